--- a/crates/runtime/src/border.rs
+++ b/crates/runtime/src/border.rs
@@ -5,9 +5,9 @@
     compact_str::CompactString,
     egretlb_types::{Epoch, Offset, Seq},
     egretlb_workflow::{
-        AdviceResult, AdviceTerms, AppendResult, DirectoryChange, HoldResult, PaceResult, Record,
-        RouteTable, RunId, SpecError, StartResult, State, StepId, StopResult, TaskId, UpkeepResult,
-        VmId, VmList, Wave, WaveState, WorkerId, Workflow,
+        AdviceResult, AdviceTerms, AppendResult, DirectoryChange, HoldResult, MaintenanceResult,
+        PaceResult, Record, RouteTable, RunId, SpecError, StartResult, StepId, StopResult, TaskId,
+        VmId, VmList, Wave, WaveState, WorkerId, Workflow, WorkflowState,
     },
     futures::future::LocalBoxFuture,
     std::{fmt, net::SocketAddr, rc::Rc, time::Duration},
@@ -243,7 +243,7 @@
         epoch: Epoch,
         vm: &'a VmId,
         wave: u64,
-    ) -> LocalBoxFuture<'a, UpkeepResult>;
+    ) -> LocalBoxFuture<'a, MaintenanceResult>;
 }
 
 /// All that a node needs of the platform.
@@ -304,7 +304,7 @@
     fn workflow(&self, body: &[u8]) -> Result<Workflow, SpecError>;
 
     /// The body that tells a client a workflow's state.
-    fn state(&self, state: State) -> Bytes;
+    fn state(&self, state: WorkflowState) -> Bytes;
 
     /// The body that tells a client how many workflows wait.
     fn pending(&self, count: usize) -> Bytes;
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -5,7 +5,7 @@
     egretlb_http::{Request, Response},
     egretlb_telemetry::Answered,
     egretlb_types::Time,
-    egretlb_workflow::{Key, Record, Route, State, Submission, WorkflowId},
+    egretlb_workflow::{Key, Record, Route, Submission, WorkflowId, WorkflowState},
     http::Method,
     std::{rc::Rc, time::Duration},
     tokio::time::timeout,
@@ -108,7 +108,7 @@
         stretch_permille: route.stretch_permille,
         slack_ms: route.slack_ms,
         advice: route.advice,
-        taken_ms: node.clock().wall_ms(),
+        accepted_ms: node.clock().wall_ms(),
         workflow,
     };
     let stored = node.store_record(Record::new(Key::Submission(id), &submission)).await;
@@ -137,8 +137,8 @@
 
 async fn cancel(node: &Rc<Node>, id: WorkflowId, arrived: Time, req: &Request) -> Response {
     match find(node, id, arrived, req).await {
-        Found::State(State::Ended(_)) => return Response::empty(status::OK),
-        Found::State(State::Queued | State::Running) => {}
+        Found::State(WorkflowState::Ended(_)) => return Response::empty(status::OK),
+        Found::State(WorkflowState::Queued | WorkflowState::Running) => {}
         Found::Nothing => return Response::empty(status::GONE),
         Found::Unknown => return refuse(),
     }
@@ -153,7 +153,7 @@
 
 /// What is known of a workflow.
 enum Found {
-    State(State),
+    State(WorkflowState),
     /// There is none: the records are read past the request's arrival.
     Nothing,
     /// The records can't be read far enough.
@@ -168,7 +168,7 @@
             return Some(Found::State(entry.state()));
         }
         if core.accepted.contains(&id) {
-            return Some(Found::State(State::Queued));
+            return Some(Found::State(WorkflowState::Queued));
         }
         let read_on = core.work.at_end && core.work.fresh.is_some_and(|at| at > arrived);
         read_on.then_some(Found::Nothing)
--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -5,7 +5,7 @@
     compact_str::CompactString,
     egretlb_types::{Epoch, Time},
     egretlb_workflow::{
-        Change, DirectoryChange, Effect, Key, Leadership, LeadershipEffect, Ledger, Limits,
+        DirectoryChange, Effect, Key, Leadership, LeadershipEffect, Ledger, LedgerChange, Limits,
         RouteTable, Scheduler, Wave, WorkerId, WorkerInfo, WorkflowId,
     },
     std::{
@@ -96,16 +96,18 @@
             }
         };
         match change {
-            Change::Leader => {
+            LedgerChange::Leader => {
                 if let Some(leader) = self.ledger.leader() {
-                    self.leadership.on_leader(now, leader, &mut out.leadership);
+                    self.leadership.on_leader_record(now, leader, &mut out.leadership);
                 }
             }
-            Change::Progressed(_) | Change::Roster => self.leadership.on_life(now),
-            Change::Submitted(id) => {
+            LedgerChange::Progressed(_) | LedgerChange::Roster => {
+                self.leadership.on_leader_activity(now)
+            }
+            LedgerChange::Submitted(id) => {
                 self.accepted.remove(&id);
             }
-            Change::Cancelled(_) | Change::None => {}
+            LedgerChange::Cancelled(_) | LedgerChange::None => {}
         }
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.on_change(now, &self.ledger, change, &mut out.scheduler);
@@ -150,7 +152,7 @@
             }
             DirectoryChange::Unreadable(id) => {
                 if let Some(info) = self.directory.get_mut(id) {
-                    info.lose_entry();
+                    info.mark_unreadable();
                 }
                 if self.unreadable.len() < MOST_UNREADABLE {
                     self.unreadable.insert(id.clone());
@@ -211,7 +213,9 @@
     /// their workflows are cancelled, and this process doesn't know. While the store is away nobody is
     /// told anything, and neither gets through.
     fn is_behind(&self) -> bool {
-        self.work.known_to.is_none_or(|known| self.leadership.proven().since(known) >= BEHIND_AFTER)
+        self.work
+            .known_to
+            .is_none_or(|known| self.leadership.last_confirmed().since(known) >= BEHIND_AFTER)
     }
 
     /// Where another process that leads takes records.
--- a/crates/runtime/src/orders.rs
+++ b/crates/runtime/src/orders.rs
@@ -7,8 +7,8 @@
     },
     egretlb_types::{Epoch, Time},
     egretlb_workflow::{
-        AppendResult, Effect, HoldResult, PaceResult, RunId, Scheduler, StartResult, StepId,
-        StopResult, TaskId, UpkeepResult, VmId, WaveState, WorkerId,
+        AppendResult, Effect, HoldResult, MaintenanceResult, PaceResult, RunId, Scheduler,
+        StartResult, StepId, StopResult, TaskId, VmId, WaveState, WorkerId,
     },
     std::{
         cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, sync::Arc, time::Duration,
@@ -191,7 +191,7 @@
         let result = if self.may_order(epoch) {
             self.fleet.upkeep(&self.name, epoch, &vm, wave).await
         } else {
-            UpkeepResult::Unknown
+            MaintenanceResult::Unknown
         };
         self.with_scheduler(epoch, |scheduler, now, out| {
             scheduler.on_upkeep(now, wave, &vm, result, out);
--- a/crates/runtime/src/reads.rs
+++ b/crates/runtime/src/reads.rs
@@ -61,7 +61,7 @@
 
     /// Waits until clients' records are among what was read.
     pub(crate) async fn clients_records(&self, records: &[Record]) {
-        self.find(|core| records.iter().all(|record| core.ledger.holds(record)).then_some(()))
+        self.find(|core| records.iter().all(|record| core.ledger.contains(record)).then_some(()))
             .await;
     }
 
--- a/crates/runtime/src/records.rs
+++ b/crates/runtime/src/records.rs
@@ -67,7 +67,7 @@
     }
 
     async fn record_all(self: &Rc<Self>, mut records: Vec<Record>) -> Stored {
-        let signed = self.core.borrow_mut().leadership.sign(self.clock.now(), false);
+        let signed = self.core.borrow_mut().leadership.heartbeat(self.clock.now(), false);
         let Some((epoch, seq, sign)) = signed else { return Stored::No };
         records.push(sign);
         let append = Append { records, fence: Some(Fence { epoch, seq }) };
@@ -128,7 +128,7 @@
         let release = {
             let mut core = self.core.borrow_mut();
             core.leadership.retire();
-            core.leadership.sign(self.clock.now(), true)
+            core.leadership.heartbeat(self.clock.now(), true)
         };
         let Some((epoch, seq, sign)) = release else { return };
         // From here on nothing is ordered, so a successor may begin as soon as it reads the record.
--- a/crates/workflow/src/colocation/caution.rs
+++ b/crates/workflow/src/colocation/caution.rs
@@ -4,11 +4,11 @@
 
 /// What fillers are known to take counts so many times while none of them waits: what an image takes
 /// changes threefold within seconds, and it can run elsewhere.
-const MOST_CAUTION: f32 = 5.0;
+const MAX_CAUTION: f32 = 5.0;
 
 /// And so many times once fillers have waited for [`LONG_WAIT`]: less keeps serving tasks over their target for
 /// longer, more leaves batches without a worker.
-const LEAST_CAUTION: f32 = 1.6;
+const MIN_CAUTION: f32 = 1.6;
 
 /// Fillers have a second and as long as they run to spare; this much of it may be spent waiting.
 const LONG_WAIT: Duration = Duration::from_millis(700);
@@ -25,7 +25,7 @@
 
 impl Caution {
     pub(super) fn new(now: Time) -> Caution {
-        Caution { factor: MOST_CAUTION, at: now }
+        Caution { factor: MAX_CAUTION, at: now }
     }
 
     pub(super) fn factor(&self) -> f32 {
@@ -35,7 +35,7 @@
     /// Takes in how long fillers have waited for a worker, the longest of them.
     pub(super) fn adapt(&mut self, now: Time, longest: Duration) {
         let waited = (longest.as_secs_f32() / LONG_WAIT.as_secs_f32()).min(1.0);
-        let wanted = MOST_CAUTION - (MOST_CAUTION - LEAST_CAUTION) * waited;
+        let wanted = MAX_CAUTION - (MAX_CAUTION - MIN_CAUTION) * waited;
         let grown = self.factor + CAUTION_GROWTH * now.since(self.at).as_secs_f32();
         self.at = now;
         self.factor = wanted.min(grown);
--- a/crates/workflow/src/colocation/demand.rs
+++ b/crates/workflow/src/colocation/demand.rs
@@ -1,6 +1,6 @@
 //! What fillers ask for, by image.
 
-use {super::interference::ImageNo, smallvec::SmallVec, std::time::Duration};
+use {super::model::ImageNo, smallvec::SmallVec, std::time::Duration};
 
 /// The span over which demand is averaged: fillers run for a second or two, and serving tasks, which are
 /// placed by it, for minutes.
@@ -15,7 +15,7 @@
 
 impl Demand {
     /// Takes in what is asked for now.
-    pub fn follow(&mut self, elapsed: Duration, asked: impl IntoIterator<Item = (ImageNo, f32)>) {
+    pub fn update(&mut self, elapsed: Duration, asked: impl IntoIterator<Item = (ImageNo, f32)>) {
         let share = 1.0 - (-elapsed.as_secs_f32() / DEMAND_SPAN.as_secs_f32()).exp();
         for (_, mean) in &mut self.by_image {
             *mean *= 1.0 - share;
--- a/crates/workflow/src/colocation/interference.rs
+++ b/crates/workflow/src/colocation/model.rs
@@ -20,7 +20,7 @@
 //! listed to use explains more than what they ask for.
 
 use {
-    super::row::{FIRST_SPREAD, Row},
+    super::row::{PRIOR_SPREAD, Row},
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
     smallvec::SmallVec,
@@ -29,18 +29,18 @@
 
 /// Filler images beyond this many aren't told apart from harmless ones. The cost of an observation
 /// grows with the square; at 24 it is 600 multiplications.
-const MAX_FILLERS: usize = 24;
+const MAX_BEST_EFFORT_IMAGES: usize = 24;
 
 /// How many standard errors are added to a weight before it is relied on.
-const CAUTION: f32 = 0.7;
+const BOUND_STANDARD_ERRORS: f32 = 0.7;
 
 /// What is seen beside fillers of which so little is known, as a standard error of what they take, counts
 /// half in a workflow's own headroom.
-const MUCH_UNSURE: f32 = 0.15;
+const HIGH_STANDARD_ERROR: f32 = 0.15;
 
 /// Tails below this multiple of the target count as this: figures are whole milliseconds, and at a few of
 /// them the inverse jumps.
-const MIN_RATIO: f32 = 0.15;
+const MIN_TAIL_RATIO: f32 = 0.15;
 
 /// Processor time in use by filler image, as a share of the worker's; the place in the list is the image's
 /// number.
@@ -52,7 +52,7 @@
 
 /// What was seen of the serving tasks of one workflow at a worker.
 #[derive(Clone, Debug, Default)]
-pub struct Sighting {
+pub struct Sample {
     /// Their headroom, the median.
     pub headroom: f32,
     /// From how many tasks it was taken.
@@ -73,13 +73,13 @@
 /// What was learned, by pair of images. A leader records it from time to time: its successor would
 /// otherwise try all bad pairs again.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Interference {
+pub struct InterferenceModel {
     images: Vec<Image>,
     columns: usize,
 }
 
 /// Sets an entry, lengthening the list if need be.
-pub fn set(exposure: &mut Exposure, index: usize, share: f32) {
+pub fn set_share(exposure: &mut Exposure, index: usize, share: f32) {
     if exposure.len() <= index {
         exposure.resize(index + 1, 0.0);
     }
@@ -89,7 +89,7 @@
 /// The inverse of a tail that is given as a multiple of its target: what is left of the worker for the
 /// serving task, where 1 just meets the target.
 pub fn headroom_of(ratio: f32) -> f32 {
-    1.0 / ratio.max(MIN_RATIO)
+    1.0 / ratio.max(MIN_TAIL_RATIO)
 }
 
 /// The median of values with weights: half of the weight is below it. Between two it is their mean.
@@ -109,7 +109,7 @@
     0.0
 }
 
-impl Interference {
+impl InterferenceModel {
     /// The number of an image. All images beyond 65,535 count as one.
     pub fn image(&mut self, name: &CompactString) -> ImageNo {
         let number = |index| ImageNo(u16::try_from(index).unwrap_or(u16::MAX));
@@ -129,10 +129,10 @@
     }
 
     /// The place of a filler image in exposures; none if there are too many.
-    pub fn column(&mut self, filler: ImageNo) -> Option<usize> {
+    pub fn column(&mut self, best_effort: ImageNo) -> Option<usize> {
         let columns = self.columns;
-        let image = self.images.get_mut(usize::from(filler.0))?;
-        if image.column.is_none() && columns < MAX_FILLERS {
+        let image = self.images.get_mut(usize::from(best_effort.0))?;
+        if image.column.is_none() && columns < MAX_BEST_EFFORT_IMAGES {
             image.column = Some(columns);
             self.columns += 1;
         }
@@ -141,27 +141,28 @@
 
     /// The headroom that a workflow's tasks would have without fillers, from what was seen at several workers
     /// at a time: the median, since one figure in twenty strays widely.
-    pub fn own_headroom(&self, serving: ImageNo, sightings: &[&Sighting]) -> f32 {
-        let own = |seen: &&Sighting| {
-            let unsure = self.unsure(serving, &seen.exposure) / MUCH_UNSURE;
-            let own = seen.headroom + self.taken(serving, &seen.exposure);
-            (own, seen.count.sqrt() / (1.0 + unsure * unsure))
+    pub fn own_headroom(&self, latency_critical: ImageNo, samples: &[&Sample]) -> f32 {
+        let own = |sample: &&Sample| {
+            let standard_error =
+                self.standard_error(latency_critical, &sample.exposure) / HIGH_STANDARD_ERROR;
+            let own = sample.headroom + self.total_interference(latency_critical, &sample.exposure);
+            (own, sample.count.sqrt() / (1.0 + standard_error * standard_error))
         };
-        let mut values: SmallVec<[(f32, f32); 8]> = sightings.iter().map(own).collect();
+        let mut values: SmallVec<[(f32, f32); 8]> = samples.iter().map(own).collect();
         median(&mut values)
     }
 
     /// Takes in what was seen of one workflow's tasks at several workers at a time. Of what one worker shows
     /// alone it can't be told what is the tasks' own load and what fillers take.
-    pub fn observe(&mut self, serving: ImageNo, sightings: &[&Sighting]) {
-        if sightings.len() < 2 {
+    pub fn observe(&mut self, latency_critical: ImageNo, samples: &[&Sample]) {
+        if samples.len() < 2 {
             return;
         }
-        let own = self.own_headroom(serving, sightings);
+        let own = self.own_headroom(latency_critical, samples);
         let size = self.columns;
-        if let Some(image) = self.images.get_mut(usize::from(serving.0)) {
+        if let Some(image) = self.images.get_mut(usize::from(latency_critical.0)) {
             image.row.grow(size);
-            image.row.contrast(own, sightings);
+            image.row.add_contrasts(own, samples);
         }
     }
 
@@ -172,35 +173,46 @@
         }
     }
 
-    fn pair(&self, serving: ImageNo, filler: ImageNo) -> Option<(&Row, usize)> {
-        let row = &self.images.get(usize::from(serving.0))?.row;
-        Some((row, self.images.get(usize::from(filler.0))?.column?))
+    fn pair(&self, latency_critical: ImageNo, best_effort: ImageNo) -> Option<(&Row, usize)> {
+        let row = &self.images.get(usize::from(latency_critical.0))?.row;
+        Some((row, self.images.get(usize::from(best_effort.0))?.column?))
     }
 
     /// What a filler takes from a serving image's headroom with a share of the worker in use, by a
     /// cautious estimate.
-    pub fn pressure(&self, serving: ImageNo, filler: ImageNo, share: f32) -> f32 {
-        let Some((row, column)) = self.pair(serving, filler) else {
-            let unseen = self.columns < MAX_FILLERS;
-            return if unseen { CAUTION * FIRST_SPREAD * share } else { 0.0 };
+    pub fn interference_bound(
+        &self,
+        latency_critical: ImageNo,
+        best_effort: ImageNo,
+        share: f32,
+    ) -> f32 {
+        let Some((row, column)) = self.pair(latency_critical, best_effort) else {
+            let unseen = self.columns < MAX_BEST_EFFORT_IMAGES;
+            return if unseen { BOUND_STANDARD_ERRORS * PRIOR_SPREAD * share } else { 0.0 };
         };
-        (row.weight(column) + CAUTION * row.error(column)) * share
+        (row.weight(column) + BOUND_STANDARD_ERRORS * row.error(column)) * share
     }
 
     /// The same by the best estimate; nothing for a pair that was never seen.
-    pub fn likely_pressure(&self, serving: ImageNo, filler: ImageNo, share: f32) -> f32 {
-        self.pair(serving, filler).map_or(0.0, |(row, column)| row.weight(column) * share)
+    pub fn expected_interference(
+        &self,
+        latency_critical: ImageNo,
+        best_effort: ImageNo,
+        share: f32,
+    ) -> f32 {
+        self.pair(latency_critical, best_effort)
+            .map_or(0.0, |(row, column)| row.weight(column) * share)
     }
 
     /// What fillers' use takes from a serving image's headroom, by the best estimate.
-    pub fn taken(&self, serving: ImageNo, exposure: &Exposure) -> f32 {
-        let Some(image) = self.images.get(usize::from(serving.0)) else { return 0.0 };
-        image.row.taken(exposure)
+    pub fn total_interference(&self, latency_critical: ImageNo, exposure: &Exposure) -> f32 {
+        let Some(image) = self.images.get(usize::from(latency_critical.0)) else { return 0.0 };
+        image.row.total_interference(exposure)
     }
 
-    /// The standard error of [`Interference::taken`].
-    pub fn unsure(&self, serving: ImageNo, exposure: &Exposure) -> f32 {
-        let Some(image) = self.images.get(usize::from(serving.0)) else { return 0.0 };
+    /// The standard error of [`InterferenceModel::total_interference`].
+    pub fn standard_error(&self, latency_critical: ImageNo, exposure: &Exposure) -> f32 {
+        let Some(image) = self.images.get(usize::from(latency_critical.0)) else { return 0.0 };
         let error = |(column, share): (usize, &f32)| (image.row.error(column) * share).powi(2);
         exposure.iter().enumerate().map(error).sum::<f32>().sqrt()
     }
--- a/crates/workflow/src/directory.rs
+++ b/crates/workflow/src/directory.rs
@@ -49,7 +49,7 @@
 
     /// The worker's newest entry can't be read. Whether it still takes work isn't known, so it gets none;
     /// a worker that announced that it leaves still does.
-    pub fn lose_entry(&mut self) {
+    pub fn mark_unreadable(&mut self) {
         if self.state == WorkerState::Ready {
             self.state = WorkerState::Other;
         }
--- a/crates/workflow/src/leadership/authority.rs
+++ b/crates/workflow/src/leadership/authority.rs
@@ -10,14 +10,16 @@
     /// process may have been paused since it decided.
     pub fn authority(&self, now: Time) -> Option<Epoch> {
         match self.role {
-            Role::Leader { epoch } if now < self.proven + self.limits.authority => Some(epoch),
+            Role::Leader { epoch } if now < self.last_confirmed + self.limits.authority => {
+                Some(epoch)
+            }
             _ => None,
         }
     }
 
     /// When the last acknowledged append of this term was sent: the store was reached after that.
-    pub fn proven(&self) -> Time {
-        self.proven
+    pub fn last_confirmed(&self) -> Time {
+        self.last_confirmed
     }
 
     /// What became of an append under this term that was sent at `sent`.
@@ -29,7 +31,7 @@
         out: &mut Vec<LeadershipEffect>,
     ) {
         match result {
-            AppendResult::Done => self.proven = self.proven.max(sent),
+            AppendResult::Done => self.last_confirmed = self.last_confirmed.max(sent),
             AppendResult::Fenced => self.resign(now, out),
             AppendResult::Conflict | AppendResult::Rejected | AppendResult::Unknown => {}
         }
@@ -37,7 +39,7 @@
 
     /// Ends a term whose signs of life aren't stored although the store can be read. While it can't be
     /// read nobody else can tell either, and the sign that waits may be stored once it is back.
-    pub(super) fn watch_authority(&mut self, now: Time, out: &mut Vec<LeadershipEffect>) {
+    pub(super) fn check_authority(&mut self, now: Time, out: &mut Vec<LeadershipEffect>) {
         let Some(epoch) = self.term() else {
             self.lapsed = None;
             return;
@@ -49,7 +51,7 @@
             }
             return;
         }
-        let sign_ms = now.since(self.proven).as_millis() as u64;
+        let sign_ms = now.since(self.last_confirmed).as_millis() as u64;
         let since = *self.lapsed.get_or_insert_with(|| {
             log::warn!(epoch:% = epoch, sign_ms; "orders_suspended");
             now
--- a/crates/workflow/src/leadership/mod.rs
+++ b/crates/workflow/src/leadership/mod.rs
@@ -27,7 +27,7 @@
 pub use self::succession::Succession;
 
 use {
-    self::succession::Sign,
+    self::succession::Heartbeat,
     crate::{Key, LeaderRecord, Limits, Record},
     compact_str::CompactString,
     egretlb_types::{Epoch, Seq, Time},
@@ -111,7 +111,7 @@
     /// Whether the quiet is the end of a term that its holder gave up.
     released: bool,
     /// The newest leader's last sign of life.
-    newest: Option<Sign>,
+    newest: Option<Heartbeat>,
     /// When this process's term began.
     began: Time,
     known: Epoch,
@@ -121,7 +121,7 @@
     read_sent: Time,
     read_at: Time,
     /// When the last acknowledged append of this term was sent.
-    proven: Time,
+    last_confirmed: Time,
     /// Since when this leader has known that its authority has lapsed.
     lapsed: Option<Time>,
     seq: Seq,
@@ -182,7 +182,7 @@
             given_up: None,
             read_sent: now,
             read_at: now,
-            proven: Time::ZERO,
+            last_confirmed: Time::ZERO,
             lapsed: None,
             seq: Seq(incarnation % SEQ_STARTS),
             willing: true,
@@ -209,7 +209,7 @@
 
     /// The epoch and the number of the next append of this term, and the record that goes with it: a sign
     /// of life, or the end of the term.
-    pub fn sign(&mut self, now: Time, released: bool) -> Option<(Epoch, Seq, Record)> {
+    pub fn heartbeat(&mut self, now: Time, released: bool) -> Option<(Epoch, Seq, Record)> {
         let epoch = self.term()?;
         let seq = self.next_seq();
         let term_ms = u64::try_from(now.since(self.began).as_millis()).unwrap_or(u64::MAX);
@@ -255,7 +255,12 @@
     }
 
     /// The newest leader's record was read.
-    pub fn on_leader(&mut self, now: Time, record: &LeaderRecord, out: &mut Vec<LeadershipEffect>) {
+    pub fn on_leader_record(
+        &mut self,
+        now: Time,
+        record: &LeaderRecord,
+        out: &mut Vec<LeadershipEffect>,
+    ) {
         self.quiet_since = now;
         self.released = record.released;
         self.known = self.known.max(record.epoch);
@@ -278,11 +283,11 @@
         // A term of this very process is over once it claims another, and so is that of an earlier process at
         // its address.
         let over = record.released || own || self.own_predecessor;
-        self.newest = Some(Sign::new(record, now, over));
+        self.newest = Some(Heartbeat::new(record, now, over));
     }
 
     /// Something else that only a leader writes was read.
-    pub fn on_life(&mut self, now: Time) {
+    pub fn on_leader_activity(&mut self, now: Time) {
         self.quiet_since = now;
     }
 
@@ -308,7 +313,7 @@
         }
         self.last_tick = now;
         self.give_up_claim(now);
-        self.watch_authority(now, out);
+        self.check_authority(now, out);
         let may_claim = caught_up
             && self.willing
             && now >= self.claim_after
@@ -372,7 +377,7 @@
     fn elect(&mut self, now: Time, sent: Time, epoch: Epoch, out: &mut Vec<LeadershipEffect>) {
         self.role = Role::Leader { epoch };
         self.known = epoch;
-        self.proven = sent;
+        self.last_confirmed = sent;
         self.began = sent;
         let succession = Succession::new(now, sent, &self.limits, self.newest, epoch);
         out.push(LeadershipEffect::Elected { epoch, succession });
--- a/crates/workflow/src/leadership/succession.rs
+++ b/crates/workflow/src/leadership/succession.rs
@@ -8,7 +8,7 @@
 
 /// The newest sign of life of a leader.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Sign {
+pub(super) struct Heartbeat {
     epoch: Epoch,
     read_at: Time,
     term_ms: u64,
@@ -16,9 +16,9 @@
     over: bool,
 }
 
-impl Sign {
-    pub(super) fn new(record: &LeaderRecord, read_at: Time, over: bool) -> Sign {
-        Sign { epoch: record.epoch, read_at, term_ms: record.term_ms, over }
+impl Heartbeat {
+    pub(super) fn new(record: &LeaderRecord, read_at: Time, over: bool) -> Heartbeat {
+        Heartbeat { epoch: record.epoch, read_at, term_ms: record.term_ms, over }
     }
 }
 
@@ -29,56 +29,56 @@
     /// When this term began: its own recorded times count from here.
     pub began: Time,
     predecessor: Epoch,
-    orders_until: Time,
+    commands_until: Time,
     read_at: Time,
     term_ms: u64,
 }
 
 impl Succession {
-    /// A term that begins now, after a leader whose last sign of life is `sign`.
+    /// A term that begins now, after a leader whose last sign of life is `heartbeat`.
     pub(super) fn new(
         now: Time,
         began: Time,
         limits: &Limits,
-        sign: Option<Sign>,
+        heartbeat: Option<Heartbeat>,
         claimed: Epoch,
     ) -> Succession {
         let latest = now + limits.authority;
-        let Some(sign) = sign.filter(|sign| sign.epoch < claimed) else {
+        let Some(heartbeat) = heartbeat.filter(|heartbeat| heartbeat.epoch < claimed) else {
             let predecessor = Epoch(0);
             return Succession {
                 began,
                 predecessor,
-                orders_until: latest,
+                commands_until: latest,
                 read_at: now,
                 term_ms: 0,
             };
         };
         // It counts its authority from before it sent the sign, and that was before the sign was read.
-        let orders_until =
-            if sign.over { now } else { latest.min(sign.read_at + limits.authority) };
+        let commands_until =
+            if heartbeat.over { now } else { latest.min(heartbeat.read_at + limits.authority) };
         Succession {
             began,
-            predecessor: sign.epoch,
-            orders_until,
-            read_at: sign.read_at,
-            term_ms: sign.term_ms,
+            predecessor: heartbeat.epoch,
+            commands_until,
+            read_at: heartbeat.read_at,
+            term_ms: heartbeat.term_ms,
         }
     }
 
     /// When the last leader's recorded times are known: it wrote the roster that has them.
-    pub(crate) fn is_of(&self, writer: Epoch) -> bool {
+    pub(crate) fn follows(&self, writer: Epoch) -> bool {
         self.predecessor == writer
     }
 
     /// The last leader gives no orders from then on.
-    pub(crate) fn orders_until(&self) -> Time {
-        self.orders_until
+    pub(crate) fn commands_until(&self) -> Time {
+        self.commands_until
     }
 
     /// A time of the last leader's term on this process's clock, or a moment later: the sign that tells how long
     /// that leader had led was sent before it was read.
-    pub(crate) fn time_of(&self, term_ms: u64) -> Time {
+    pub(crate) fn local_time(&self, term_ms: u64) -> Time {
         self.read_at + Duration::from_millis(term_ms.saturating_sub(self.term_ms))
     }
 
--- a/crates/workflow/src/ledger/mod.rs
+++ b/crates/workflow/src/ledger/mod.rs
@@ -7,7 +7,7 @@
 
 use {
     crate::{
-        Interference, Key, LeaderRecord, Outcome, Progress, Record, RecordError, Roster,
+        InterferenceModel, Key, LeaderRecord, Outcome, Progress, Record, RecordError, Roster,
         Submission, WaveProgress, WorkflowId, record::read_value,
     },
     compact_str::CompactString,
@@ -20,7 +20,7 @@
 
 /// What a client is told of a workflow.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum State {
+pub enum WorkflowState {
     /// Accepted, nothing started yet.
     Queued,
     /// Some task was started.
@@ -48,12 +48,12 @@
 impl Entry {
     /// What a client is told. A cancelled workflow is shown as such from the moment that the
     /// cancellation is recorded.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> WorkflowState {
         match self.progress.outcome {
-            Some(outcome) => State::Ended(outcome),
-            None if self.cancelled => State::Ended(Outcome::Cancelled),
-            None if self.progress.started => State::Running,
-            None => State::Queued,
+            Some(outcome) => WorkflowState::Ended(outcome),
+            None if self.cancelled => WorkflowState::Ended(Outcome::Cancelled),
+            None if self.progress.started => WorkflowState::Running,
+            None => WorkflowState::Queued,
         }
     }
 
@@ -64,13 +64,13 @@
 
     /// Whether it waits for its first start.
     fn is_pending(&self) -> bool {
-        self.submitted && !self.timed && self.state() == State::Queued
+        self.submitted && !self.timed && self.state() == WorkflowState::Queued
     }
 }
 
 /// What a record changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Change {
+pub enum LedgerChange {
     /// Nothing new.
     None,
     /// A new workflow.
@@ -91,7 +91,7 @@
     entries: HashMap<WorkflowId, Entry>,
     leader: Option<(Offset, LeaderRecord)>,
     roster: Option<(Offset, Roster)>,
-    learned: Option<(Offset, Interference)>,
+    interference_model: Option<(Offset, InterferenceModel)>,
     waves: BTreeMap<u64, (Offset, WaveProgress)>,
 }
 
@@ -127,8 +127,8 @@
     }
 
     /// What the last leader had learned of images.
-    pub fn learned(&self) -> Option<&Interference> {
-        self.learned.as_ref().map(|(_, learned)| learned)
+    pub fn interference_model(&self) -> Option<&InterferenceModel> {
+        self.interference_model.as_ref().map(|(_, interference_model)| interference_model)
     }
 
     /// How far a wave of upkeep is.
@@ -137,7 +137,7 @@
     }
 
     /// Whether a client's record has been taken in.
-    pub fn holds(&self, record: &Record) -> bool {
+    pub fn contains(&self, record: &Record) -> bool {
         match Key::from_bytes(&record.key) {
             Ok(Key::Submission(id)) => self.get(id).is_some(),
             Ok(Key::Cancel(id)) => self.entries.get(&id).is_some_and(|entry| entry.cancelled),
@@ -161,52 +161,56 @@
         offset: Offset,
         key: &[u8],
         value: &[u8],
-    ) -> Result<Change, RecordError> {
+    ) -> Result<LedgerChange, RecordError> {
         match Key::from_bytes(key)? {
             Key::Leader => self.apply_leader(offset, value),
             Key::Roster => self.apply_roster(offset, value),
-            Key::Learned => self.apply_learned(offset, value),
+            Key::InterferenceModel => self.apply_interference_model(offset, value),
             Key::Wave(number) => self.apply_wave(number, offset, value),
             Key::Submission(id) if value.is_empty() => {
                 self.entries.remove(&id);
-                Ok(Change::None)
+                Ok(LedgerChange::None)
             }
             Key::Submission(id) => self.apply_submission(id, value),
-            Key::Cancel(_) | Key::Progress(_) if value.is_empty() => Ok(Change::None),
+            Key::Cancel(_) | Key::Progress(_) if value.is_empty() => Ok(LedgerChange::None),
             Key::Cancel(id) => {
                 if !read_value::<bool>(value)? {
-                    return Ok(Change::None);
+                    return Ok(LedgerChange::None);
                 }
                 let entry = self.entries.entry(id).or_default();
                 let first = !std::mem::replace(&mut entry.cancelled, true);
-                Ok(if first { Change::Cancelled(id) } else { Change::None })
+                Ok(if first { LedgerChange::Cancelled(id) } else { LedgerChange::None })
             }
             Key::Progress(id) => self.apply_progress(id, offset, value),
         }
     }
 
-    fn apply_leader(&mut self, offset: Offset, value: &[u8]) -> Result<Change, RecordError> {
+    fn apply_leader(&mut self, offset: Offset, value: &[u8]) -> Result<LedgerChange, RecordError> {
         if self.leader.as_ref().is_some_and(|(at, _)| *at >= offset) {
-            return Ok(Change::None);
+            return Ok(LedgerChange::None);
         }
         self.leader = Some((offset, read_value(value)?));
-        Ok(Change::Leader)
+        Ok(LedgerChange::Leader)
     }
 
-    fn apply_roster(&mut self, offset: Offset, value: &[u8]) -> Result<Change, RecordError> {
+    fn apply_roster(&mut self, offset: Offset, value: &[u8]) -> Result<LedgerChange, RecordError> {
         if self.roster.as_ref().is_some_and(|(at, _)| *at >= offset) {
-            return Ok(Change::None);
+            return Ok(LedgerChange::None);
         }
         self.roster = Some((offset, read_value(value)?));
-        Ok(Change::Roster)
+        Ok(LedgerChange::Roster)
     }
 
-    fn apply_learned(&mut self, offset: Offset, value: &[u8]) -> Result<Change, RecordError> {
-        if self.learned.as_ref().is_some_and(|(at, _)| *at >= offset) {
-            return Ok(Change::None);
+    fn apply_interference_model(
+        &mut self,
+        offset: Offset,
+        value: &[u8],
+    ) -> Result<LedgerChange, RecordError> {
+        if self.interference_model.as_ref().is_some_and(|(at, _)| *at >= offset) {
+            return Ok(LedgerChange::None);
         }
-        self.learned = Some((offset, read_value(value)?));
-        Ok(Change::None)
+        self.interference_model = Some((offset, read_value(value)?));
+        Ok(LedgerChange::None)
     }
 
     fn apply_wave(
@@ -214,21 +218,25 @@
         number: u64,
         offset: Offset,
         value: &[u8],
-    ) -> Result<Change, RecordError> {
+    ) -> Result<LedgerChange, RecordError> {
         if self.waves.get(&number).is_none_or(|(at, _)| *at < offset) {
             self.waves.insert(number, (offset, read_value(value)?));
         }
-        Ok(Change::None)
+        Ok(LedgerChange::None)
     }
 
     /// The first submission of an id counts: a client that got no answer sends it again, and another
     /// process may have recorded it already.
-    fn apply_submission(&mut self, id: WorkflowId, value: &[u8]) -> Result<Change, RecordError> {
+    fn apply_submission(
+        &mut self,
+        id: WorkflowId,
+        value: &[u8],
+    ) -> Result<LedgerChange, RecordError> {
         // Also a repeated one is read: if it can't be, the store's newest record of this key is of no use to
         // processes that start later.
         let submission: Submission = read_value(value)?;
         if self.entries.get(&id).is_some_and(|entry| entry.submitted) {
-            return Ok(Change::None);
+            return Ok(LedgerChange::None);
         }
         let entry = self.entries.entry(id).or_default();
         entry.submitted = true;
@@ -237,7 +245,7 @@
         if entry.progress.outcome.is_none() {
             entry.submission = Some(Arc::new(submission));
         }
-        Ok(Change::Submitted(id))
+        Ok(LedgerChange::Submitted(id))
     }
 
     fn apply_progress(
@@ -245,10 +253,10 @@
         id: WorkflowId,
         offset: Offset,
         value: &[u8],
-    ) -> Result<Change, RecordError> {
+    ) -> Result<LedgerChange, RecordError> {
         let known = self.entries.get(&id).and_then(|entry| entry.progress_at);
         if known.is_some_and(|at| at >= offset) {
-            return Ok(Change::None);
+            return Ok(LedgerChange::None);
         }
         // Read first: what can't be read must not leave an entry behind.
         let progress = read_value(value)?;
@@ -258,6 +266,6 @@
         if entry.progress.outcome.is_some() {
             entry.submission = None;
         }
-        Ok(Change::Progressed(id))
+        Ok(LedgerChange::Progressed(id))
     }
 }
--- a/crates/workflow/src/lib.rs
+++ b/crates/workflow/src/lib.rs
@@ -13,27 +13,30 @@
 mod leadership;
 mod ledger;
 mod limits;
+mod maintenance;
 mod record;
 mod routes;
 mod scheduler;
 mod spec;
-mod upkeep;
 
 pub use crate::{
     bits::Bits,
     colocation::{
-        Company, Demand, Exposure, Host, ImageNo, Interference, Movable, Regrouping, Sighting,
-        headroom_of, openness, set,
+        ColocationGroups, Demand, Exposure, Host, ImageNo, InterferenceModel, MovableTask,
+        Regrouping, Sample, acceptance, headroom_of, set_share,
     },
-    crash::{Announced, Crash, Evidence},
+    crash::{AnnouncedRun, Crash, CrashEvidence},
     directory::{DirectoryChange, WorkerInfo, WorkerState},
     ids::{IdError, RunId, StepId, TaskId, WorkerId, WorkflowId},
     leadership::{AppendResult, Leadership, LeadershipEffect, Succession},
-    ledger::{Change, Entry, Ledger, State},
+    ledger::{Entry, Ledger, LedgerChange, WorkflowState},
     limits::Limits,
+    maintenance::{
+        MaintenanceResult, VmEntry, VmId, VmList, VmState, Wave, WaveProgress, WaveState,
+    },
     record::{
         Key, LeaderRecord, OccurrenceProgress, Outcome, Progress, Record, RecordError, Roster,
-        RosterEntry, Standing, StepProgress, Submission,
+        RosterEntry, RosterState, StepProgress, Submission,
     },
     routes::{AdviceTerms, Route, RouteTable},
     scheduler::{
@@ -42,5 +45,4 @@
         WaitingStep,
     },
     spec::{MAX_PAYLOAD_BYTES, MAX_STEPS, MAX_TASKS_PER_STEP, Repeat, SpecError, Step, Workflow},
-    upkeep::{UpkeepResult, VmEntry, VmId, VmList, VmState, Wave, WaveProgress, WaveState},
 };
--- a/crates/workflow/src/limits.rs
+++ b/crates/workflow/src/limits.rs
@@ -26,7 +26,7 @@
     pub takeover_spread: Duration,
     /// A start with fewer failed runs in a row at its worker than this is taken for the task's own
     /// fault. Two chance failures in a row at one worker are rare (0.25% at a fault rate of 5%).
-    pub faulty_after: u32,
+    pub worker_fault_threshold: u32,
     /// How long a worker that fails what it starts gets nothing new.
     pub quarantine: Duration,
     /// How long a poll waits at a worker for the next end.
@@ -36,9 +36,9 @@
     pub poll_gap: Duration,
     /// A worker silent for longer gets no new work, and no order extends its leases, so that the time
     /// at which all that runs there must have lapsed is settled.
-    pub silent_after: Duration,
+    pub unresponsive_after: Duration,
     /// An order without an answer for this long is in doubt.
-    pub order_timeout: Duration,
+    pub command_timeout: Duration,
     /// Ends and states are gathered for this long before they are recorded.
     pub record_gap: Duration,
     /// How long the state of an ended workflow is kept. Twice the platform's bound for states.
@@ -54,12 +54,12 @@
             heartbeat: Duration::from_millis(250),
             takeover_after: Duration::from_millis(1_200),
             takeover_spread: Duration::from_millis(400),
-            faulty_after: 2,
+            worker_fault_threshold: 2,
             quarantine: Duration::from_secs(4),
             poll_wait: Duration::from_millis(1_500),
             poll_gap: Duration::from_millis(25),
-            silent_after: Duration::from_millis(1_200),
-            order_timeout: Duration::from_millis(500),
+            unresponsive_after: Duration::from_millis(1_200),
+            command_timeout: Duration::from_millis(500),
             record_gap: Duration::from_millis(20),
             retention: Duration::from_secs(240),
         }
@@ -70,11 +70,11 @@
     /// How long from the sending of a renewal all that it covers may go on at the worker, counted on
     /// our clock.
     pub fn lease_bound(&self) -> Duration {
-        self.bound_of(self.lease)
+        self.lease_bound_for(self.lease)
     }
 
     /// The same for a lease of `span`.
-    pub fn bound_of(&self, span: Duration) -> Duration {
+    pub fn lease_bound_for(&self, span: Duration) -> Duration {
         span + span * self.clock_slow_percent / 100 + LEASE_MARGIN
     }
 }
--- a/crates/workflow/src/upkeep.rs
+++ b/crates/workflow/src/maintenance.rs
@@ -43,7 +43,7 @@
     /// The VMs.
     pub vms: Vec<VmEntry>,
     /// Whether each row could be read. Otherwise a VM that isn't among them may be there all the same.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// The operator wants upkeep of these VMs.
@@ -54,7 +54,7 @@
     /// By when, from the operator's request.
     pub within: Duration,
     /// So many may be down for it at one time.
-    pub cap: u32,
+    pub max_down: u32,
 }
 
 /// How far a wave is, for the operator.
@@ -68,15 +68,15 @@
 
 /// What became of an order to begin a VM's upkeep.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum UpkeepResult {
+pub enum MaintenanceResult {
     /// It has begun, or was done before.
-    Begun,
+    Started,
     /// Not begun: another process has given orders for this VM under a higher epoch.
     Outranked,
     /// Not begun: the VM isn't up, or is leaving.
     Busy,
     /// Not begun: the VM isn't one of this wave, or there is no such VM.
-    NotOfWave,
+    NotInWave,
     /// Not begun: too many calls at a time.
     Throttled,
     /// Nobody can say.
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct WaveProgress {
     /// VMs whose upkeep was ordered, and the worker that was on them then.
-    pub ordered: Vec<(VmId, Option<WorkerId>)>,
+    pub requested: Vec<(VmId, Option<WorkerId>)>,
     /// VMs that have been through it and are back, or aren't there any more.
     pub finished: Vec<VmId>,
 }
--- a/crates/workflow/src/record.rs
+++ b/crates/workflow/src/record.rs
@@ -6,7 +6,9 @@
 //! the leader alone, under its epoch.
 
 use {
-    crate::{AdviceTerms, Announced, Bits, Crash, RunId, TaskId, WorkerId, Workflow, WorkflowId},
+    crate::{
+        AdviceTerms, AnnouncedRun, Bits, Crash, RunId, TaskId, WorkerId, Workflow, WorkflowId,
+    },
     compact_str::CompactString,
     egretlb_types::{Epoch, Seq},
     serde::{Deserialize, Serialize, de::DeserializeOwned},
@@ -14,7 +16,7 @@
 };
 
 /// The version of the values' form; a process passes over a record of another one.
-const FORM: u8 = 5;
+const FORMAT_VERSION: u8 = 5;
 
 /// What a record is about.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -24,7 +26,7 @@
     /// Which workers may run something by a leader's orders.
     Roster,
     /// What a leader has learned of images.
-    Learned,
+    InterferenceModel,
     /// How far a wave of upkeep is.
     Wave(u64),
     /// A workflow's submission.
@@ -41,9 +43,9 @@
     /// The key is of no known kind.
     UnknownKey,
     /// The value is of another form.
-    UnknownForm {
+    UnsupportedVersion {
         /// The form's number.
-        form: u8,
+        version: u8,
     },
     /// The value is broken.
     Broken,
@@ -55,8 +57,8 @@
             RecordError::UnknownKey => {
                 write!(f, "unknown key; does something else write to this topic?")
             }
-            RecordError::UnknownForm { form } => {
-                write!(f, "value of form {form}; run one version everywhere")
+            RecordError::UnsupportedVersion { version } => {
+                write!(f, "value of form {version}; run one version everywhere")
             }
             RecordError::Broken => write!(f, "broken value; read the record again"),
         }
@@ -71,7 +73,7 @@
         match self {
             Key::Leader => b"leader".to_vec(),
             Key::Roster => b"roster".to_vec(),
-            Key::Learned => b"learned".to_vec(),
+            Key::InterferenceModel => b"learned".to_vec(),
             Key::Wave(number) => format!("u/{number}").into_bytes(),
             Key::Submission(id) => format!("w/{id}").into_bytes(),
             Key::Cancel(id) => format!("c/{id}").into_bytes(),
@@ -88,7 +90,7 @@
         match bytes {
             b"leader" => return Ok(Key::Leader),
             b"roster" => return Ok(Key::Roster),
-            b"learned" => return Ok(Key::Learned),
+            b"learned" => return Ok(Key::InterferenceModel),
             _ => {}
         }
         let text = std::str::from_utf8(bytes).map_err(|_| RecordError::UnknownKey)?;
@@ -143,31 +145,31 @@
     /// Where it takes orders.
     pub addr: SocketAddr,
     /// What a successor has to know of what runs there.
-    pub standing: Standing,
+    pub state: RosterState,
 }
 
 /// What may run at a worker. Times are in milliseconds of the roster's writer's term: a successor learns from
 /// the writer's last sign of life how much of them is over, and needn't wait anew for what has been waited out.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum RosterState {
     /// It has answered in this term, and anything may be started there.
     Open,
     /// It is silent: nothing is started or renewed there until a roster that says otherwise is recorded.
-    Silent {
+    Unresponsive {
         /// The runs that may be under way there, and no others.
         runs: Vec<(TaskId, RunId)>,
         /// Those of them that had just begun when it fell silent, and may have crashed it.
-        unproved: Vec<(TaskId, RunId)>,
+        just_started: Vec<(TaskId, RunId)>,
         /// When they must have lapsed.
         lapses_ms: u64,
     },
     /// It is about to leave: nothing is started there any more, but leases may still be renewed.
-    Leaving {
+    Draining {
         /// The runs that may be under way there, and no others.
         runs: Vec<(TaskId, RunId)>,
     },
     /// It hasn't answered in this term: a leader before may have started anything there, this one nothing.
-    Unanswered {
+    Unreconciled {
         /// When all that runs there must have lapsed.
         lapses_ms: u64,
     },
@@ -192,7 +194,7 @@
     /// Set if a policy allows only some workers to run a step.
     pub advice: Option<AdviceTerms>,
     /// When it was taken, by the time of day of the process that took it, in milliseconds since 1970.
-    pub taken_ms: u64,
+    pub accepted_ms: u64,
     /// What the client sent.
     pub workflow: Workflow,
 }
@@ -218,7 +220,7 @@
     /// Workers that were lost under runs.
     pub crashes: Vec<(u32, Crash)>,
     /// Runs that are started alone, or that may have crashed a silent worker.
-    pub announced: Vec<(u32, Announced)>,
+    pub announced: Vec<(u32, AnnouncedRun)>,
     /// Checkpoints of tasks that run nowhere.
     pub saved: Vec<(u32, CompactString)>,
 }
@@ -259,7 +261,7 @@
 impl Record {
     /// A record with a value.
     pub fn new(key: Key, value: &impl Serialize) -> Record {
-        let mut buf = vec![FORM];
+        let mut buf = vec![FORMAT_VERSION];
         // Serializing plain data into memory can't fail.
         let value = postcard::to_stdvec(value).unwrap_or_default();
         buf.extend_from_slice(&value);
@@ -267,7 +269,7 @@
     }
 
     /// A record that drops `key`.
-    pub fn drop(key: Key) -> Record {
+    pub fn tombstone(key: Key) -> Record {
         Record { key: key.to_bytes(), value: Vec::new() }
     }
 
@@ -305,8 +307,10 @@
 /// The value is of another form, or broken.
 pub(crate) fn read_value<T: DeserializeOwned>(value: &[u8]) -> Result<T, RecordError> {
     match value.split_first() {
-        Some((&FORM, rest)) => postcard::from_bytes(rest).map_err(|_| RecordError::Broken),
-        Some((&form, _)) => Err(RecordError::UnknownForm { form }),
+        Some((&FORMAT_VERSION, rest)) => {
+            postcard::from_bytes(rest).map_err(|_| RecordError::Broken)
+        }
+        Some((&version, _)) => Err(RecordError::UnsupportedVersion { version }),
         None => Err(RecordError::Broken),
     }
 }
--- a/crates/workflow/src/scheduler/audit.rs
+++ b/crates/workflow/src/scheduler/audit.rs
@@ -40,7 +40,7 @@
     ) -> impl Iterator<Item = TaskId> + 'a {
         let key = Ready {
             priority: flow.submission.priority,
-            lasting: flow.submission.workflow.steps[usize::from(id.step)].lasting,
+            lasting: flow.submission.workflow.steps[usize::from(id.step)].long_running,
             due_ms: flow.due_ms,
             workflow: id.workflow,
             occurrence: id.occurrence,
--- a/crates/workflow/src/scheduler/copy.rs
+++ b/crates/workflow/src/scheduler/copy.rs
@@ -106,7 +106,7 @@
     pub(crate) fn new(step: &'a Step, colocation: &mut Colocation) -> Need<'a> {
         let mut hard = step.resources;
         let mut soft = MilliCores(0);
-        if step.fills {
+        if step.best_effort {
             soft = std::mem::take(&mut hard.cpu);
         }
         Need { step, hard, soft, image: colocation.image(&step.image), rack: None }
@@ -132,7 +132,11 @@
             began: now,
             moved_at: now,
             sampled: (now, 0),
-            estimate_ms: if step.fills || step.lasting || step.gang { 0 } else { step.estimate_ms },
+            estimate_ms: if step.best_effort || step.long_running || step.gang {
+                0
+            } else {
+                step.estimate_ms
+            },
             percent: 0,
             figure: 0,
             image,
@@ -145,11 +149,11 @@
             hard,
             soft,
             serves: step.target_ms > 0,
-            fills: step.fills,
+            fills: step.best_effort,
             stop: None,
-            moves: step.checkpoints || step.lasting,
-            lasts: step.lasting,
-            yields: step.lasting && step.may_miss.is_none(),
+            moves: step.checkpoints || step.long_running,
+            lasts: step.long_running,
+            yields: step.long_running && step.max_unavailable.is_none(),
         }
     }
 
--- a/crates/workflow/src/scheduler/ends.rs
+++ b/crates/workflow/src/scheduler/ends.rs
@@ -102,7 +102,7 @@
     fn on_failure(&mut self, now: Time, id: &WorkerId) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.failures += 1;
-        if worker.failures >= self.limits.faulty_after {
+        if worker.failures >= self.limits.worker_fault_threshold {
             worker.quarantined_until = now + self.limits.quarantine;
             log::warn!(worker:% = id, failures = worker.failures; "worker_quarantined");
             self.quarantined.push(id.clone());
@@ -152,7 +152,7 @@
     }
 
     fn on_failed(&mut self, now: Time, id: &WorkerId, end: &End) {
-        let lasting = self.step(end.task).is_none_or(|step| step.lasting);
+        let lasting = self.step(end.task).is_none_or(|step| step.long_running);
         self.avoid(now, end.task, id);
         self.clear_crashes(end.task);
         let Some(state) = self.task_mut(end.task) else { return };
@@ -251,7 +251,7 @@
             Phase::Starting | Phase::Doubtful { .. } => copy.begin(now, clock_ms),
             Phase::Running { .. } => {}
             Phase::Stopping { sent, .. } => {
-                if now.since(sent) > self.limits.order_timeout * 2 {
+                if now.since(sent) > self.limits.command_timeout * 2 {
                     self.stop_runs(now, id, StopReason::NotWanted, out, |of, number| {
                         of == task && number == run
                     });
--- a/crates/workflow/src/scheduler/fallback.rs
+++ b/crates/workflow/src/scheduler/fallback.rs
@@ -64,7 +64,7 @@
         need: &Need<'_>,
     ) -> Option<WorkerId> {
         let Avoided { worker: avoided, since } = self.task_mut(task)?.avoid.clone()?;
-        if !need.step.lasting && now.since(since) < KEEP_AWAY {
+        if !need.step.long_running && now.since(since) < KEEP_AWAY {
             return None;
         }
         let again = self.workers.get_key_value(&avoided);
@@ -80,7 +80,7 @@
         service: &CompactString,
         need: &Need<'_>,
     ) -> Option<WorkerId> {
-        if !need.step.lasting || !self.is_last_resort(now, task) {
+        if !need.step.long_running || !self.is_last_resort(now, task) {
             return None;
         }
         // Where it has just failed it would fail again and again.
@@ -131,7 +131,7 @@
     }
 
     fn keeps_away(&mut self, now: Time, task: TaskId) -> bool {
-        let lasting = self.step(task).is_some_and(|step| step.lasting);
+        let lasting = self.step(task).is_some_and(|step| step.long_running);
         let avoid = self.task_mut(task).and_then(|state| state.avoid.as_ref());
         !lasting && avoid.is_some_and(|avoid| now.since(avoid.since) < KEEP_AWAY)
     }
--- a/crates/workflow/src/scheduler/flow.rs
+++ b/crates/workflow/src/scheduler/flow.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        Announced, Crash, Entry, OccurrenceProgress, Outcome, Progress, RunId, StepProgress,
+        AnnouncedRun, Crash, Entry, OccurrenceProgress, Outcome, Progress, RunId, StepProgress,
         Submission, WorkerId,
         crash::{is_given_up, is_suspect},
     },
@@ -23,7 +23,7 @@
     /// Workers that were lost under its runs since one showed that it doesn't crash its worker.
     pub(crate) crashes: SmallVec<[Crash; 1]>,
     /// A run that is recorded before its outcome is known: the next one, or one that may have crashed its worker.
-    pub(crate) announced: Option<Announced>,
+    pub(crate) announced: Option<AnnouncedRun>,
     /// Runs that may be under way, and where.
     pub(crate) copies: SmallVec<[(WorkerId, RunId); 1]>,
     pub(crate) last_run: RunId,
@@ -125,11 +125,11 @@
     pub(crate) fn new(entry: &Entry, inherited: bool) -> Option<Flow> {
         let submission = Arc::clone(entry.submission.as_ref()?);
         let Progress { started, complete_below, complete, occurrences, .. } = &entry.progress;
-        let objective = submission.workflow.chain_ms() * u64::from(submission.stretch_permille)
-            / 1_000
-            + u64::from(submission.slack_ms);
+        let objective =
+            submission.workflow.critical_path_ms() * u64::from(submission.stretch_permille) / 1_000
+                + u64::from(submission.slack_ms);
         let mut flow = Flow {
-            due_ms: submission.taken_ms + objective,
+            due_ms: submission.accepted_ms + objective,
             submission,
             outcome: None,
             started: *started,
--- a/crates/workflow/src/scheduler/losses.rs
+++ b/crates/workflow/src/scheduler/losses.rs
@@ -3,8 +3,8 @@
 use {
     super::{Copy, Scheduler, Worker, waits::LineBudget},
     crate::{
-        Announced, Crash, Evidence, RunId, StepId, TaskId, WorkerId, WorkerState, WorkflowId,
-        crash::is_given_up,
+        AnnouncedRun, Crash, CrashEvidence, RunId, StepId, TaskId, WorkerId, WorkerState,
+        WorkflowId, crash::is_given_up,
     },
     compact_str::CompactString,
     egretlb_types::Time,
@@ -136,7 +136,7 @@
     run: RunId,
     /// How long it is known to have been at work; none if it may never have begun.
     worked: Option<Duration>,
-    evidence: Option<Evidence>,
+    evidence: Option<CrashEvidence>,
 }
 
 impl Worker {
@@ -163,20 +163,20 @@
     }
 
     /// What the loss of this worker says of a run here; `alone` if nothing else that had just begun can be the cause.
-    fn evidence(&self, copy: &Copy, loss: Loss, alone: bool) -> Option<Evidence> {
+    fn evidence(&self, copy: &Copy, loss: Loss, alone: bool) -> Option<CrashEvidence> {
         let leaves = self.info.state == WorkerState::Draining;
         if !self.is_unproved(copy) {
             let inherited = copy.starts_until_ms.is_none();
             let settled = self.worked(copy).is_some_and(|span| span >= CLEARED_AFTER);
-            return (!inherited && !settled && !leaves).then_some(Evidence::Late);
+            return (!inherited && !settled && !leaves).then_some(CrashEvidence::Late);
         }
         let began = copy.confirmed || copy.inherited_unproved;
         Some(match loss {
             // A worker that leaves gets no starts, and stays for some seconds yet.
-            _ if leaves => Evidence::Unsure,
-            Loss::Replaced if began && alone => Evidence::Alone,
-            Loss::Replaced if began => Evidence::Shared,
-            _ => Evidence::Unsure,
+            _ if leaves => CrashEvidence::Unsure,
+            Loss::Replaced if began && alone => CrashEvidence::Alone,
+            Loss::Replaced if began => CrashEvidence::Shared,
+            _ => CrashEvidence::Unsure,
         })
     }
 
@@ -285,14 +285,19 @@
         for (worker, task, run) in runs {
             let Some(state) = self.task_mut(task) else { continue };
             if state.announced.as_ref().is_none_or(|known| known.run < run) {
-                state.announced = Some(Announced { run, worker });
+                state.announced = Some(AnnouncedRun { run, worker });
                 self.dirty.insert(task.workflow);
             }
         }
     }
 
     /// Counts a crash under a task; returns how many there are.
-    pub(super) fn note_crash(&mut self, task: TaskId, run: RunId, evidence: Evidence) -> usize {
+    pub(super) fn note_crash(
+        &mut self,
+        task: TaskId,
+        run: RunId,
+        evidence: CrashEvidence,
+    ) -> usize {
         let Some(state) = self.task_mut(task).filter(|state| !state.done) else { return 0 };
         state.announced.take_if(|announced| announced.run == run);
         if state.crashes.iter().all(|known| known.run != run) {
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -47,7 +47,7 @@
         worker::{Inherited, Worker},
     },
     crate::{
-        Change, DirectoryChange, Ledger, Limits, Outcome, Record, RunId, StepId, Succession,
+        DirectoryChange, Ledger, LedgerChange, Limits, Outcome, Record, RunId, StepId, Succession,
         TaskId, WorkerId, WorkerInfo, WorkerState, WorkflowId, colocation::Colocation,
     },
     compact_str::CompactString,
@@ -211,7 +211,10 @@
             recorded_at: now,
             proven: None,
             ended: Vec::new(),
-            colocation: Colocation::new(now, ledger.learned().cloned().unwrap_or_default()),
+            colocation: Colocation::new(
+                now,
+                ledger.interference_model().cloned().unwrap_or_default(),
+            ),
             learned_at: now,
             learned_news: false,
             crowded_at: None,
@@ -284,15 +287,24 @@
     }
 
     /// A record changed the ledger.
-    pub fn on_change(&mut self, now: Time, ledger: &Ledger, change: Change, out: &mut Vec<Effect>) {
+    pub fn on_change(
+        &mut self,
+        now: Time,
+        ledger: &Ledger,
+        change: LedgerChange,
+        out: &mut Vec<Effect>,
+    ) {
         match change {
-            Change::Submitted(id) => {
+            LedgerChange::Submitted(id) => {
                 if let Some(entry) = ledger.get(id) {
                     self.add_flow(now, id, entry, false);
                 }
             }
-            Change::Cancelled(id) => self.cancel(now, id, out),
-            Change::None | Change::Progressed(_) | Change::Leader | Change::Roster => {}
+            LedgerChange::Cancelled(id) => self.cancel(now, id, out),
+            LedgerChange::None
+            | LedgerChange::Progressed(_)
+            | LedgerChange::Leader
+            | LedgerChange::Roster => {}
         }
     }
 
--- a/crates/workflow/src/scheduler/pacing.rs
+++ b/crates/workflow/src/scheduler/pacing.rs
@@ -99,18 +99,18 @@
         let Some(Worker { copies, neighbours, .. }) = self.workers.get_mut(id) else { return };
         let serving = copies.iter().filter(|(_, copy)| copy.serves);
         let serving = serving.map(|((task, _), copy)| (task.workflow, copy.image));
-        self.colocation.note_own(neighbours, serving);
+        self.colocation.update_own_headroom(neighbours, serving);
     }
 
     /// The fillers of a worker that are to work at another pace, in percent.
     fn changes_of_pace(&self, worker: &Worker) -> Vec<(TaskId, RunId, u32)> {
         let fillers = worker.copies.values().filter(|copy| copy.fills).map(Copy::filler);
-        let bearable = self.colocation.bearable_shares(&worker.neighbours, fillers);
+        let bearable = self.colocation.tolerated_paces(&worker.neighbours, fillers);
         let mut changes: Vec<(TaskId, RunId, u32)> = Vec::new();
         for ((task, run), copy) in &worker.copies {
             if copy.fills && matches!(copy.phase, Phase::Running { .. }) {
                 let share =
-                    self.colocation.fitting_share(&worker.neighbours, &bearable, copy.filler());
+                    self.colocation.allowed_pace(&worker.neighbours, &bearable, copy.filler());
                 let pace = pace_of(share);
                 if worth_telling(copy, pace) {
                     changes.push((*task, *run, pace));
--- a/crates/workflow/src/scheduler/place.rs
+++ b/crates/workflow/src/scheduler/place.rs
@@ -18,7 +18,7 @@
 struct Unmet {
     service: CompactString,
     resources: Resources,
-    fills: bool,
+    best_effort: bool,
     image: ImageNo,
 }
 
@@ -41,7 +41,7 @@
             }
         }
         self.fillers_wait = longest;
-        self.colocation.fillers_waited(now, longest);
+        self.colocation.adapt_caution(now, longest);
     }
 
     /// Places the waiting tasks of a step; returns whether none is left.
@@ -64,15 +64,15 @@
         let image = self.colocation.image(&step.image);
         let hopeless = |known: &Unmet| {
             known.service == *service
-                && known.fills == step.fills
+                && known.best_effort == step.best_effort
                 && known.image == image
                 && known.resources.fits(&step.resources)
         };
         let hopeless = unmet.iter().any(hopeless);
-        if hopeless && !(step.lasting && self.is_last_resort(now, key.task(0))) {
+        if hopeless && !(step.long_running && self.is_last_resort(now, key.task(0))) {
             return false;
         }
-        if step.lasting && self.gives_way(now, key) {
+        if step.long_running && self.gives_way(now, key) {
             return false;
         }
         if step.gang {
@@ -111,8 +111,8 @@
                 self.make_room(now, key, service, step, out);
                 if step.label.is_none() && step.per_worker == 0 && !advised && !keeps_away {
                     let Need { image, .. } = need;
-                    let Step { resources, fills, .. } = *step;
-                    unmet.push(Unmet { service: service.clone(), resources, fills, image });
+                    let Step { resources, best_effort, .. } = *step;
+                    unmet.push(Unmet { service: service.clone(), resources, best_effort, image });
                 }
                 return false;
             };
@@ -129,7 +129,7 @@
 
     fn fills(&self, key: Ready) -> bool {
         let flow = self.flows.get(&key.workflow);
-        flow.is_some_and(|flow| flow.submission.workflow.steps[usize::from(key.step)].fills)
+        flow.is_some_and(|flow| flow.submission.workflow.steps[usize::from(key.step)].best_effort)
     }
 
     pub(super) fn queue_of(&mut self, key: Ready) -> Option<&mut std::collections::VecDeque<u32>> {
@@ -319,9 +319,9 @@
             let company = KINSHIP_COUNTS * kinship(worker, need.image) - spread(worker, task);
             return Some((near, true, -closed, company, -left));
         }
-        let open = (self.colocation.openness(&worker.neighbours) / OPENNESS_STEP) as i64;
-        if step.fills {
-            let disturbance = self.colocation.disturbance(&worker.neighbours, need.filler());
+        let open = (self.colocation.acceptance(&worker.neighbours) / OPENNESS_STEP) as i64;
+        if step.best_effort {
+            let disturbance = self.colocation.added_interference(&worker.neighbours, need.filler());
             let disturbance = match disturbance {
                 Some(known) => known,
                 None if self.is_tried(now, worker, task, need) => TRIED,
@@ -341,12 +341,12 @@
         worker.filling == 0
             && self.waited(now, task.step_id()) >= TRY_AFTER
             && self.task(task).is_some_and(TaskState::waits)
-            && self.colocation.is_unproved(&worker.neighbours, need.filler())
+            && self.colocation.may_probe(&worker.neighbours, need.filler())
     }
 
     /// How much room for fillers one more serving task of an image would close at a worker, in steps.
     fn closes(&self, worker: &Worker, image: ImageNo) -> i64 {
-        let closed = self.colocation.closed_by(&worker.neighbours, image);
+        let closed = self.colocation.acceptance_loss_with(&worker.neighbours, image);
         (closed * worker.room_for_fillers() as f32 / ROOM_STEP) as i64
     }
 
@@ -390,7 +390,7 @@
 /// How well a serving task's company suits it: best beside its own image alone, then by itself, then
 /// beside few others.
 fn kinship(worker: &Worker, image: ImageNo) -> i64 {
-    let images = worker.neighbours.serving();
+    let images = worker.neighbours.latency_critical();
     let kin = usize::from(images.iter().any(|(known, _)| *known == image));
     let strangers = images.len() - kin;
     i64::try_from(kin).unwrap_or(0) - 2 * i64::try_from(strangers).unwrap_or(0)
@@ -418,7 +418,7 @@
         return false;
     }
     let crowded = worker.over_target || worker.left_over() < i64::from(step.resources.cpu.0);
-    if step.fills && crowded {
+    if step.best_effort && crowded {
         return false;
     }
     step.per_worker == 0 || siblings(worker, task) < step.per_worker as usize
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -91,7 +91,7 @@
                 // What is left on a leaving worker ends with it, and is started again that much sooner.
                 let leaves = worker.info.state == WorkerState::Draining;
                 let span = if leaves { LEAVING_LEASE } else { limits.lease };
-                worker.lease_until(now, span, limits.bound_of(span))
+                worker.lease_until(now, span, limits.lease_bound_for(span))
             } else {
                 None
             };
--- a/crates/workflow/src/scheduler/preempt.rs
+++ b/crates/workflow/src/scheduler/preempt.rs
@@ -48,7 +48,7 @@
         step: &Step,
         out: &mut Vec<Effect>,
     ) {
-        if step.lasting || step.fills || step.gang {
+        if step.long_running || step.best_effort || step.gang {
             return;
         }
         self.crowded_at = Some(now);
@@ -120,7 +120,7 @@
         if !copy.serves {
             return 0;
         }
-        let opened = self.colocation.opened_without(&worker.neighbours, copy.image);
+        let opened = self.colocation.acceptance_gain_without(&worker.neighbours, copy.image);
         (opened * worker.room_for_fillers() as f32 / ROOM_STEP) as i64
     }
 }
--- a/crates/workflow/src/scheduler/queue.rs
+++ b/crates/workflow/src/scheduler/queue.rs
@@ -82,7 +82,7 @@
             let waiting = (0u32..).zip(&state.tasks).filter(|(_, task)| task.waits());
             state.queue = waiting.map(|(index, _)| index).collect();
             if !state.queue.is_empty() {
-                let lasting = steps[usize::from(step_no)].lasting;
+                let lasting = steps[usize::from(step_no)].long_running;
                 state.since = now;
                 self.ready.insert(Ready {
                     priority,
@@ -170,7 +170,7 @@
             step.since = now;
         }
         step.queue.push_front(task.index);
-        let lasting = flow.submission.workflow.steps[usize::from(task.step)].lasting;
+        let lasting = flow.submission.workflow.steps[usize::from(task.step)].long_running;
         self.ready.insert(Ready {
             priority,
             lasting,
--- a/crates/workflow/src/scheduler/recording.rs
+++ b/crates/workflow/src/scheduler/recording.rs
@@ -3,7 +3,7 @@
 use {
     super::{Effect, Scheduler, Worker},
     crate::{
-        Key, Limits, Record, Roster, RosterEntry, Standing, WaveProgress, WorkerId, WorkflowId,
+        Key, Limits, Record, Roster, RosterEntry, RosterState, WaveProgress, WorkerId, WorkflowId,
     },
     egretlb_types::Time,
     std::time::Duration,
@@ -150,20 +150,24 @@
         let mut entries = Vec::with_capacity(self.workers.len());
         let listed = self.workers.iter().filter(|(_, worker)| worker.belongs_in_roster());
         for (id, worker) in listed {
-            let standing = self.standing(now, worker);
-            entries.push(RosterEntry { id: id.clone(), addr: worker.info.addr, standing });
+            let state = self.standing(now, worker);
+            entries.push(RosterEntry { id: id.clone(), addr: worker.info.addr, state });
         }
         for entry in &entries {
             let Some(worker) = self.workers.get_mut(&entry.id) else { continue };
-            let silent =
-                matches!(entry.standing, Standing::Silent { .. } | Standing::Unanswered { .. });
+            let silent = matches!(
+                entry.state,
+                RosterState::Unresponsive { .. } | RosterState::Unreconciled { .. }
+            );
             // From here on nothing is started there, since the record may be read before it is confirmed.
             worker.listed_silent |= silent;
             let leaving = worker.leaves();
             worker.leaving |= leaving;
-            worker.listed_runs = match &entry.standing {
-                Standing::Silent { runs, .. } | Standing::Leaving { runs } => runs.len(),
-                Standing::Open | Standing::Unanswered { .. } => 0,
+            worker.listed_runs = match &entry.state {
+                RosterState::Unresponsive { runs, .. } | RosterState::Draining { runs } => {
+                    runs.len()
+                }
+                RosterState::Open | RosterState::Unreconciled { .. } => 0,
             };
             recording.roster.push(Listed { id: entry.id.clone(), silent, leaving });
         }
@@ -176,7 +180,7 @@
         if self.learned_news && now.since(self.learned_at) >= LEARNED_GAP {
             self.learned_news = false;
             self.learned_at = now;
-            records.push(Record::new(Key::Learned, self.colocation.learned()));
+            records.push(Record::new(Key::InterferenceModel, self.colocation.model()));
         }
     }
 
@@ -185,9 +189,9 @@
         let retention = self.limits.retention;
         let old = self.ended.iter().take_while(|(at, _)| now.since(*at) >= retention).count();
         for (_, id) in self.ended.drain(..old.min(FORGET_PER_APPEND)) {
-            records.push(Record::drop(Key::Progress(id)));
-            records.push(Record::drop(Key::Cancel(id)));
-            records.push(Record::drop(Key::Submission(id)));
+            records.push(Record::tombstone(Key::Progress(id)));
+            records.push(Record::tombstone(Key::Cancel(id)));
+            records.push(Record::tombstone(Key::Submission(id)));
         }
     }
 
--- a/crates/workflow/src/scheduler/regroup.rs
+++ b/crates/workflow/src/scheduler/regroup.rs
@@ -7,7 +7,7 @@
     super::{Copy, Effect, Phase, Scheduler, Worker, place::siblings, waits::StopReason},
     crate::{
         RunId, Step, TaskId, WorkerId,
-        colocation::{Company, Host, Movable, Regrouping},
+        colocation::{ColocationGroups, Host, MovableTask, Regrouping},
     },
     compact_str::CompactString,
     egretlb_types::Time,
@@ -70,12 +70,16 @@
         for (place, (id, worker)) in workers.iter().enumerate() {
             for ((task, run), copy) in &worker.copies {
                 if self.may_be_moved(now, *task, copy) {
-                    movable.push(Movable { host: place, image: copy.image, hard: copy.hard });
+                    movable.push(MovableTask {
+                        host: place,
+                        image: copy.image,
+                        resources: copy.hard,
+                    });
                     candidates.push(Candidate { worker: (*id).clone(), task: *task, run: *run });
                 }
             }
         }
-        let mut company = Company::new(self.colocation.learned(), self.colocation.demand());
+        let mut company = ColocationGroups::new(self.colocation.model(), self.colocation.demand());
         let suits = |task: usize, host: usize| {
             let task = candidates[task].task;
             let most = self.step(task).map_or(0, |step| step.per_worker as usize);
@@ -112,6 +116,10 @@
 }
 
 fn host(worker: &Worker) -> Host {
-    let room = worker.room_for_fillers().max(0) as f32 / 1_000.0;
-    Host { free: worker.free(), room, serving: worker.neighbours.serving().into() }
+    let best_effort_cores = worker.room_for_fillers().max(0) as f32 / 1_000.0;
+    Host {
+        free: worker.free(),
+        best_effort_cores,
+        latency_critical: worker.neighbours.latency_critical().into(),
+    }
 }
--- a/crates/workflow/src/scheduler/restore.rs
+++ b/crates/workflow/src/scheduler/restore.rs
@@ -16,7 +16,7 @@
             // A sign of life follows within a quarter of a second.
             Key::Leader => {}
             Key::Roster => self.roster_dirty = true,
-            Key::Learned => self.learned_news = true,
+            Key::InterferenceModel => self.learned_news = true,
             Key::Wave(number) => self.upkeep.record_again(number),
             Key::Submission(id) => self.restored.extend(submission(id, ledger)),
             Key::Cancel(id) => {
--- a/crates/workflow/src/scheduler/serving.rs
+++ b/crates/workflow/src/scheduler/serving.rs
@@ -4,7 +4,7 @@
     super::{Copy, Effect, Phase, Ready, Scheduler, Worker, waits::StopReason},
     crate::{
         RunId, TaskId, WorkerId,
-        colocation::{Exposure, ImageNo, Seen, Sighting, headroom_together},
+        colocation::{Exposure, ImageNo, Observation, Sample, median_headroom},
     },
     egretlb_types::Time,
     smallvec::SmallVec,
@@ -58,8 +58,8 @@
     }
 
     /// The new figures of serving tasks, by workflow.
-    fn fresh_figures(&mut self, now: Time, exposure: &Exposure) -> SmallVec<[Seen; 4]> {
-        let mut seen: SmallVec<[Seen; 4]> = SmallVec::new();
+    fn fresh_figures(&mut self, now: Time, exposure: &Exposure) -> SmallVec<[Observation; 4]> {
+        let mut seen: SmallVec<[Observation; 4]> = SmallVec::new();
         for ((task, _), copy) in self.copies.iter().filter(|(_, copy)| copy.has_news()) {
             if seen.iter().any(|known| known.workflow == task.workflow) {
                 continue;
@@ -67,13 +67,13 @@
             let of_workflow = |(of, _): &&(TaskId, RunId)| of.workflow == task.workflow;
             let news =
                 || self.copies.iter().filter(|(key, copy)| of_workflow(key) && copy.has_news());
-            let sighting = Sighting {
-                headroom: headroom_together(news().map(|(_, copy)| copy.ratio())),
+            let sample = Sample {
+                headroom: median_headroom(news().map(|(_, copy)| copy.ratio())),
                 count: news().count() as f32,
                 exposure: exposure.clone(),
             };
             let (workflow, image) = (task.workflow, copy.image);
-            seen.push(Seen { workflow, image, at: now, sighting });
+            seen.push(Observation { workflow, image, at: now, sample });
         }
         for copy in self.copies.values_mut().filter(|copy| copy.is_serving()) {
             copy.taken_figure = copy.figure;
@@ -111,9 +111,9 @@
         }
         let exposure = self.colocation.exposure(&worker.neighbours, worker.fillers_use());
         let seen = worker.fresh_figures(now, &exposure);
-        worker.neighbours.see(seen);
+        worker.neighbours.add_observations(seen);
         if let Some(over) = worker.note_over_target(now) {
-            let image = self.colocation.learned().name(over.image);
+            let image = self.colocation.model().name(over.image);
             let (ratio, fillers) = (over.ratio, exposure.as_slice());
             log::debug!(worker:% = id, image:%, ratio, fillers:?; "over_target");
             self.relieve(now, id, over, out);
@@ -135,7 +135,7 @@
         }
         worker.relieved_at = now;
         self.measures.relieved += pressing.len() as u64;
-        let image = self.colocation.learned().name(over.image);
+        let image = self.colocation.model().name(over.image);
         log::info!(worker:% = id, image:%, stopped = pressing.len(); "serving_relieved");
         self.stop_runs(now, id, StopReason::Relieved, out, |task, run| {
             pressing.contains(&(task, run))
@@ -151,7 +151,7 @@
         let workers = self.workers.values().map(|worker| &worker.neighbours);
         self.learned_news |= self.colocation.learn(now, workers, asked);
         for worker in self.workers.values_mut() {
-            self.colocation.note_openness(&mut worker.neighbours);
+            self.colocation.cache_acceptance(&mut worker.neighbours);
         }
     }
 
@@ -168,7 +168,7 @@
             };
             let state = flow.occurrences.get(&occurrence);
             let state = state.and_then(|state| state.steps.get(usize::from(step)));
-            if of_step.fills {
+            if of_step.best_effort {
                 let waiting = state.map_or(0, |state| state.queue.len()) as f32;
                 let cores = of_step.resources.cpu.0 as f32 / 1_000.0;
                 asked.push((self.colocation.image(&of_step.image), waiting * cores));
--- a/crates/workflow/src/scheduler/stragglers.rs
+++ b/crates/workflow/src/scheduler/stragglers.rs
@@ -135,7 +135,7 @@
 }
 
 fn judge(now: Time, copy: &Copy, step: &Step, resumed: bool) -> Option<Straggler> {
-    if step.lasting || step.gang || !matches!(copy.phase, Phase::Running { .. }) {
+    if step.long_running || step.gang || !matches!(copy.phase, Phase::Running { .. }) {
         return None;
     }
     // One that is held back gets on as slowly as it should.
@@ -151,7 +151,7 @@
     }
     // Fillers are slowed down by what else runs, and their estimates are off by any factor.
     let expected = Duration::from_millis(u64::from(step.estimate_ms)) * SLOW_PERCENT / 100;
-    let slow = !step.fills && step.estimate_ms > 0 && ran >= expected + SLOW_SLACK;
+    let slow = !step.best_effort && step.estimate_ms > 0 && ran >= expected + SLOW_SLACK;
     (slow && copy.percent < WORTH_MOVING_PERCENT).then_some(Straggler::Slow)
 }
 
--- a/crates/workflow/src/scheduler/survey.rs
+++ b/crates/workflow/src/scheduler/survey.rs
@@ -10,8 +10,8 @@
 use {
     super::{Copy, Inherited, Need, Phase, Scheduler, Worker, flow::TaskState},
     crate::{
-        Announced, Evidence, Ledger, Roster, RosterEntry, RunId, Standing, TaskId, WorkerId,
-        WorkerInfo, WorkerState,
+        AnnouncedRun, CrashEvidence, Ledger, Roster, RosterEntry, RosterState, RunId, TaskId,
+        WorkerId, WorkerInfo, WorkerState,
     },
     compact_str::CompactString,
     egretlb_types::{Resources, Time},
@@ -30,12 +30,16 @@
             let mut worker = Worker::new(now, placeholder(entry));
             worker.present = false;
             worker.in_roster = true;
-            worker.lease_bound = self.lapses_at(now, roster, &entry.standing);
-            worker.leaving = matches!(entry.standing, Standing::Leaving { .. });
-            worker.listed_silent =
-                matches!(entry.standing, Standing::Silent { .. } | Standing::Unanswered { .. });
-            let known =
-                matches!(entry.standing, Standing::Silent { .. } | Standing::Leaving { .. });
+            worker.lease_bound = self.lapses_at(now, roster, &entry.state);
+            worker.leaving = matches!(entry.state, RosterState::Draining { .. });
+            worker.listed_silent = matches!(
+                entry.state,
+                RosterState::Unresponsive { .. } | RosterState::Unreconciled { .. }
+            );
+            let known = matches!(
+                entry.state,
+                RosterState::Unresponsive { .. } | RosterState::Draining { .. }
+            );
             worker.inherited = Some(if known { Inherited::Listed } else { Inherited::Unlisted });
             if !known {
                 self.unaccounted.insert(entry.id.clone(), worker.lease_bound);
@@ -48,15 +52,16 @@
     pub(super) fn inherit_runs(&mut self, now: Time, ledger: &Ledger) {
         let Some(roster) = ledger.roster() else { return };
         for entry in &roster.entries {
-            let (Standing::Silent { runs, .. } | Standing::Leaving { runs }) = &entry.standing
+            let (RosterState::Unresponsive { runs, .. } | RosterState::Draining { runs }) =
+                &entry.state
             else {
                 continue;
             };
             for (task, run) in runs {
                 self.suppose(now, &entry.id, *task, *run);
             }
-            if let Standing::Silent { unproved, .. } = &entry.standing {
-                unproved.iter().for_each(|key| self.suspect_inherited(&entry.id, *key));
+            if let RosterState::Unresponsive { just_started, .. } = &entry.state {
+                just_started.iter().for_each(|key| self.suspect_inherited(&entry.id, *key));
             }
         }
     }
@@ -64,10 +69,10 @@
     /// Takes runs that a predecessor announced as under way where they were to run, until that worker answers. If it is
     /// gone, they may have crashed it.
     pub(super) fn inherit_announced(&mut self, now: Time) {
-        for (task, Announced { run, worker: id }) in self.all_announced() {
+        for (task, AnnouncedRun { run, worker: id }) in self.all_announced() {
             let held = self.task(task).is_some_and(|state| !state.copies.is_empty());
             if !self.workers.contains_key(&id) {
-                self.note_crash(task, run, Evidence::Unsure);
+                self.note_crash(task, run, CrashEvidence::Unsure);
             } else if !held {
                 self.suppose(now, &id, task, run);
             }
@@ -82,7 +87,7 @@
         }
     }
 
-    fn all_announced(&self) -> Vec<(TaskId, Announced)> {
+    fn all_announced(&self) -> Vec<(TaskId, AnnouncedRun)> {
         let mut found = Vec::new();
         for (workflow, flow) in &self.flows {
             for (occurrence, steps) in &flow.occurrences {
@@ -100,18 +105,21 @@
     }
 
     /// When all that leaders before this one started at a worker must have lapsed.
-    fn lapses_at(&self, now: Time, roster: &Roster, standing: &Standing) -> Time {
+    fn lapses_at(&self, now: Time, roster: &Roster, standing: &RosterState) -> Time {
         let lease = self.limits.lease_bound();
         // The last leader wrote no roster, so who of its predecessors may still give orders isn't known. All
         // of them had lost their authority so long after the last leader's claim at the latest.
         let latest = now + self.limits.authority + lease;
-        let known = self.succession.is_of(roster.epoch);
+        let known = self.succession.follows(roster.epoch);
         match standing {
-            Standing::Open | Standing::Leaving { .. } if known => {
-                self.succession.orders_until() + lease
+            RosterState::Open | RosterState::Draining { .. } if known => {
+                self.succession.commands_until() + lease
             }
-            Standing::Silent { lapses_ms, .. } | Standing::Unanswered { lapses_ms } if known => {
-                latest.min(self.succession.time_of(*lapses_ms))
+            RosterState::Unresponsive { lapses_ms, .. }
+            | RosterState::Unreconciled { lapses_ms }
+                if known =>
+            {
+                latest.min(self.succession.local_time(*lapses_ms))
             }
             // The writer of the roster starts and renews nothing at a worker that it lists as silent. Had that one
             // not answered it, though, a leader before it may still renew what runs there.
@@ -140,20 +148,20 @@
     }
 
     /// What the roster says of a worker.
-    pub(super) fn standing(&self, now: Time, worker: &Worker) -> Standing {
+    pub(super) fn standing(&self, now: Time, worker: &Worker) -> RosterState {
         let runs = || worker.copies.keys().copied().collect();
         let lapses_ms = self.succession.term_ms(worker.lease_bound);
         if worker.inherited == Some(Inherited::Unlisted) && !worker.surveyed {
-            return Standing::Unanswered { lapses_ms };
+            return RosterState::Unreconciled { lapses_ms };
         }
         if worker.lists_silent(now, &self.limits) {
-            let unproved = worker.unproved_runs().collect();
-            return Standing::Silent { runs: runs(), unproved, lapses_ms };
+            let just_started = worker.unproved_runs().collect();
+            return RosterState::Unresponsive { runs: runs(), just_started, lapses_ms };
         }
         if worker.leaves() {
-            return Standing::Leaving { runs: runs() };
+            return RosterState::Draining { runs: runs() };
         }
-        Standing::Open
+        RosterState::Open
     }
 }
 
@@ -162,7 +170,7 @@
 /// the store is cut off, and a worker that is well would be taken for one that left as soon as a connection is
 /// refused (its tasks would run twice), or be passed over for the whole term once its entry is back.
 fn placeholder(entry: &RosterEntry) -> WorkerInfo {
-    let leaves = matches!(entry.standing, Standing::Leaving { .. });
+    let leaves = matches!(entry.state, RosterState::Draining { .. });
     WorkerInfo {
         id: entry.id.clone(),
         addr: entry.addr,
--- a/crates/workflow/src/scheduler/trials.rs
+++ b/crates/workflow/src/scheduler/trials.rs
@@ -7,7 +7,7 @@
     super::{
         Copy, Need, Ready, Scheduler, Worker, flow::TaskState, losses::PROBATION, place::has_room,
     },
-    crate::{Announced, RunId, TaskId, WorkerId},
+    crate::{AnnouncedRun, RunId, TaskId, WorkerId},
     compact_str::CompactString,
     egretlb_types::Time,
     std::time::Duration,
@@ -167,7 +167,7 @@
         let Some(id) = best.map(|(_, id)| id.clone()) else {
             return if kept > 0 { Trial::Later } else { Trial::NoRoom };
         };
-        let missed = need.step.lasting && self.is_missed(now, task);
+        let missed = need.step.long_running && self.is_missed(now, task);
         if kept >= (fit / WORKERS_PER_TRIAL).max(1) && !missed {
             return Trial::Later;
         }
@@ -178,7 +178,7 @@
             log::info!(task:%, run:%, worker:% = id, crashes; "start_announced");
         }
         if let Some(state) = self.task_mut(task) {
-            state.announced = Some(Announced { run, worker: id });
+            state.announced = Some(AnnouncedRun { run, worker: id });
         }
         self.dirty.insert(task.workflow);
         self.losses.note_unrecorded(task.workflow);
--- a/crates/workflow/src/scheduler/unclear.rs
+++ b/crates/workflow/src/scheduler/unclear.rs
@@ -129,7 +129,7 @@
             // That it leaves was only supposed, or its entry was gone.
             self.info.state = WorkerState::Other;
         }
-        self.info.lose_entry();
+        self.info.mark_unreadable();
         self.present = true;
     }
 
--- a/crates/workflow/src/scheduler/upkeep/mod.rs
+++ b/crates/workflow/src/scheduler/upkeep/mod.rs
@@ -14,7 +14,7 @@
     self::stages::{Stage, WaveRun},
     super::{Copy, Effect, Phase, Scheduler, waits::StopReason},
     crate::{
-        Ledger, RunId, TaskId, UpkeepResult, VmId, VmList, VmState, Wave, WaveState, WorkerId,
+        Ledger, MaintenanceResult, RunId, TaskId, VmId, VmList, VmState, Wave, WaveState, WorkerId,
     },
     egretlb_types::Time,
     std::{collections::BTreeMap, time::Duration},
@@ -41,10 +41,10 @@
         if self.upkeep.runs.contains_key(&number) {
             return;
         }
-        log::info!(wave = number, vms = wave.vms.len(), cap = wave.cap; "wave_begins");
+        log::info!(wave = number, vms = wave.vms.len(), cap = wave.max_down; "wave_begins");
         let mut run = WaveRun { due: now + wave.within, wave, stages: BTreeMap::new(), told: None };
         if let Some(progress) = ledger.wave(number) {
-            for (vm, worker) in &progress.ordered {
+            for (vm, worker) in &progress.requested {
                 let stage = Stage::Ordered { worker: worker.clone(), sent: None, again: now };
                 run.stages.insert(vm.clone(), stage);
             }
@@ -61,10 +61,10 @@
         if let Some(listed) = listed {
             // A VM whose row can't be read is still what it was; taken as gone, its wave would be said to be
             // complete without it.
-            if listed.whole {
+            if listed.complete {
                 self.upkeep.vms.clear();
             }
-            self.upkeep.whole = listed.whole;
+            self.upkeep.whole = listed.complete;
             let entries = listed.vms.into_iter().map(|entry| (entry.vm.clone(), entry));
             self.upkeep.vms.extend(entries);
             self.upkeep.listed = Some(sent);
@@ -77,7 +77,7 @@
         now: Time,
         number: u64,
         vm: &VmId,
-        result: UpkeepResult,
+        result: MaintenanceResult,
         out: &mut Vec<Effect>,
     ) {
         let Some(run) = self.upkeep.runs.get_mut(&number) else { return };
@@ -86,19 +86,19 @@
         let worker = worker.clone();
         log::info!(wave = number, vm:%, result:?; "upkeep_ordered");
         match result {
-            UpkeepResult::Begun => {
+            MaintenanceResult::Started => {
                 *stage = Stage::Down { worker: worker.clone(), since: now };
                 // All that ran there has ended with it.
                 if let Some(id) = worker {
                     self.on_left(now, &id);
                 }
             }
-            UpkeepResult::NotOfWave => {
+            MaintenanceResult::NotInWave => {
                 *stage = Stage::Finished;
                 self.upkeep.dirty.insert(number);
             }
-            UpkeepResult::Outranked => out.push(Effect::Outranked),
-            UpkeepResult::Busy | UpkeepResult::Throttled | UpkeepResult::Unknown => {
+            MaintenanceResult::Outranked => out.push(Effect::Outranked),
+            MaintenanceResult::Busy | MaintenanceResult::Throttled | MaintenanceResult::Unknown => {
                 *stage = Stage::Ordered { worker, sent: None, again: now + ORDER_AGAIN };
             }
         }
@@ -176,7 +176,7 @@
     fn begin_emptying(&mut self, now: Time, number: u64) {
         let Upkeep { runs, vms, .. } = &mut self.upkeep;
         let Some(run) = runs.get_mut(&number) else { return };
-        let room = (run.wave.cap as usize).saturating_sub(run.down() + run.emptying());
+        let room = (run.wave.max_down as usize).saturating_sub(run.down() + run.emptying());
         let mut next: Vec<(usize, VmId, WorkerId)> = Vec::new();
         for vm in run.wave.vms.iter().filter(|vm| !run.stages.contains_key(*vm)) {
             let Some(entry) = vms.get(vm).filter(|entry| entry.state == VmState::Up) else {
@@ -235,7 +235,9 @@
 
     /// Whether one more task of a step may be away. A task that hasn't been at work at its worker is away.
     fn may_be_away(&self, task: TaskId) -> bool {
-        let Some(allowed) = self.step(task).and_then(|step| step.may_miss) else { return true };
+        let Some(allowed) = self.step(task).and_then(|step| step.max_unavailable) else {
+            return true;
+        };
         let count = self.step(task).map_or(0, |step| step.count);
         let at_work = |index: u32| {
             let (first, last) = (RunId(0), RunId(u64::MAX));
--- a/crates/workflow/src/scheduler/upkeep/stages.rs
+++ b/crates/workflow/src/scheduler/upkeep/stages.rs
@@ -75,7 +75,9 @@
                 Stage::Emptying { .. } => {}
                 Stage::Recording { worker }
                 | Stage::Ordered { worker, .. }
-                | Stage::Down { worker, .. } => progress.ordered.push((vm.clone(), worker.clone())),
+                | Stage::Down { worker, .. } => {
+                    progress.requested.push((vm.clone(), worker.clone()))
+                }
                 Stage::Finished => progress.finished.push(vm.clone()),
             }
         }
@@ -136,7 +138,7 @@
     ) {
         for (number, progress) in recorded {
             let Some(run) = self.runs.get_mut(number) else { continue };
-            for (vm, worker) in &progress.ordered {
+            for (vm, worker) in &progress.requested {
                 if let Some(stage @ Stage::Recording { .. }) = run.stages.get_mut(vm) {
                     let worker = worker.clone();
                     *stage = Stage::Ordered { worker, sent: None, again: now };
--- a/crates/workflow/src/scheduler/waits/queued.rs
+++ b/crates/workflow/src/scheduler/waits/queued.rs
@@ -102,7 +102,7 @@
         if !self.may_start() {
             return Some(Cause::plain(Reason::StartsUnderWay));
         }
-        if step.lasting && self.gives_way(now, key) {
+        if step.long_running && self.gives_way(now, key) {
             return Some(Cause::plain(Reason::GivesWay));
         }
         let index = *self.queue_of(key)?.front()?;
@@ -181,8 +181,11 @@
             }
             () if self.is_held(id) => Stage::Upkeep,
             () if !self.allows(now, task, id) => Stage::NoTicket,
-            () if need.step.fills
-                && self.colocation.disturbance(&worker.neighbours, need.filler()).is_none() =>
+            () if need.step.best_effort
+                && self
+                    .colocation
+                    .added_interference(&worker.neighbours, need.filler())
+                    .is_none() =>
             {
                 Stage::ServingTasks
             }
--- a/crates/workflow/src/scheduler/waits/runs.rs
+++ b/crates/workflow/src/scheduler/waits/runs.rs
@@ -139,7 +139,7 @@
     }
 
     pub(super) fn is_lasting(&self, task: TaskId) -> bool {
-        self.step(task).is_some_and(|step| step.lasting)
+        self.step(task).is_some_and(|step| step.long_running)
     }
 
     /// A worker lists the end of a run.
--- a/crates/workflow/src/scheduler/worker.rs
+++ b/crates/workflow/src/scheduler/worker.rs
@@ -128,10 +128,10 @@
         self.filling += u32::from(copy.fills);
         self.trials += u32::from(copy.trial);
         if copy.serves {
-            self.neighbours.add_serving(copy.image);
+            self.neighbours.add_latency_critical(copy.image);
         }
         if copy.fills {
-            self.neighbours.add_filling(copy.image, copy.paced_cpu());
+            self.neighbours.add_best_effort(copy.image, copy.paced_cpu());
         }
         self.copies.insert((task, run), copy);
     }
@@ -144,10 +144,10 @@
         self.filling -= u32::from(copy.fills);
         self.trials -= u32::from(copy.trial);
         if copy.serves {
-            self.neighbours.remove_serving(copy.image);
+            self.neighbours.remove_latency_critical(copy.image);
         }
         if copy.fills {
-            self.neighbours.remove_filling(copy.image, copy.paced_cpu());
+            self.neighbours.remove_best_effort(copy.image, copy.paced_cpu());
         }
         Some(copy)
     }
@@ -155,14 +155,14 @@
     /// Sets the pace of a filler.
     pub(crate) fn set_pace(&mut self, task: TaskId, run: RunId, percent: u32) {
         let Some(copy) = self.copies.get_mut(&(task, run)) else { return };
-        self.neighbours.remove_filling(copy.image, copy.paced_cpu());
+        self.neighbours.remove_best_effort(copy.image, copy.paced_cpu());
         copy.pace = percent;
-        self.neighbours.add_filling(copy.image, copy.paced_cpu());
+        self.neighbours.add_best_effort(copy.image, copy.paced_cpu());
     }
 
     /// Its own entry in the directory was read.
     pub(crate) fn set_info(&mut self, info: WorkerInfo) {
-        self.neighbours.resize(info.capacity.cpu);
+        self.neighbours.set_capacity(info.capacity.cpu);
         self.info = info;
         self.present = true;
     }
@@ -194,7 +194,7 @@
     /// Whether it has answered lately.
     pub(crate) fn is_responsive(&self, now: Time, limits: &Limits) -> bool {
         // A poll may rightly wait at the worker before it is answered.
-        let patience = limits.poll_wait + limits.silent_after;
+        let patience = limits.poll_wait + limits.unresponsive_after;
         self.last_heard.is_some_and(|heard| now.since(heard) < patience)
     }
 
--- a/crates/workflow/src/spec.rs
+++ b/crates/workflow/src/spec.rs
@@ -39,9 +39,9 @@
     /// Copies of a task may run beside each other; the first to finish counts.
     pub speculative: bool,
     /// Tasks run until the workflow is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     /// The step's processor time isn't counted against a worker; its tasks get what is left over.
-    pub fills: bool,
+    pub best_effort: bool,
     /// A label that the worker must have.
     pub label: Option<CompactString>,
     /// The rack where the data is; elsewhere tasks take longer.
@@ -53,7 +53,7 @@
     /// The latency target of a task that serves, in milliseconds; 0 if it serves nobody.
     pub target_ms: u32,
     /// So many tasks of a lasting step may be away at one time by our own doing, if the client says.
-    pub may_miss: Option<u32>,
+    pub max_unavailable: Option<u32>,
 }
 
 /// Repetitions by the clock.
@@ -174,12 +174,12 @@
     }
 
     /// Whether a step runs until the workflow is cancelled.
-    pub fn lasts(&self) -> bool {
-        self.steps.iter().any(|step| step.lasting)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|step| step.long_running)
     }
 
     /// The longest chain of estimated run times, in milliseconds.
-    pub fn chain_ms(&self) -> u64 {
+    pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let begin = step.after.iter().map(|after| ends[usize::from(*after)]).max();
--- a/crates/workflow/tests/clock_times.rs
+++ b/crates/workflow/tests/clock_times.rs
@@ -28,5 +28,5 @@
     world.kill(leader);
     assert!(world.run_until(12 * SECOND, |world| world.completed(id)).is_some());
     assert_eq!(world.checker.starts, 10);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
--- a/crates/workflow/tests/company_kept.rs
+++ b/crates/workflow/tests/company_kept.rs
@@ -7,8 +7,8 @@
     compact_str::CompactString,
     egretlb_types::{MilliCores, Resources},
     egretlb_workflow::{
-        Company, Demand, Exposure, Host, ImageNo, Interference, Movable, Regrouping, Sighting,
-        openness, set,
+        ColocationGroups, Demand, Exposure, Host, ImageNo, InterferenceModel, MovableTask,
+        Regrouping, Sample, acceptance, set_share,
     },
     rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom},
     smallvec::SmallVec,
@@ -25,7 +25,7 @@
 }
 
 struct Site {
-    interference: Interference,
+    interference: InterferenceModel,
     demand: Demand,
     serving: Vec<ImageNo>,
 }
@@ -33,7 +33,7 @@
 /// What is known after some seconds in which each filler ran beside each serving image.
 fn site(rounds: usize) -> Site {
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut interference = Interference::default();
+    let mut interference = InterferenceModel::default();
     let mut image = |name: String| interference.image(&CompactString::from(name));
     let serving: Vec<ImageNo> = (0..SERVING).map(|n| image(format!("serving-{n}"))).collect();
     let fillers: Vec<ImageNo> = (0..FILLERS).map(|n| image(format!("filler-{n}"))).collect();
@@ -45,17 +45,17 @@
             let sighting = |rng: &mut SmallRng| {
                 let mut exposure = Exposure::new();
                 let filler = rng.random_range(0..FILLERS);
-                set(&mut exposure, filler, 0.1);
+                set_share(&mut exposure, filler, 0.1);
                 let headroom = (3.0 - 0.1 * weight(number, filler)) * rng.random_range(0.9..1.1);
-                Sighting { headroom, count: 2.0, exposure }
+                Sample { headroom, count: 2.0, exposure }
             };
-            let seen: Vec<Sighting> = (0..4).map(|_| sighting(&mut rng)).collect();
+            let seen: Vec<Sample> = (0..4).map(|_| sighting(&mut rng)).collect();
             interference.observe(*image, &seen.iter().collect::<Vec<_>>());
         }
         interference.solve(ROUND);
     }
     let mut demand = Demand::default();
-    demand.follow(ROUND, fillers.iter().map(|filler| (*filler, 10.0)));
+    demand.update(ROUND, fillers.iter().map(|filler| (*filler, 10.0)));
     Site { interference, demand, serving }
 }
 
@@ -72,20 +72,24 @@
 }
 
 fn host(images: &[ImageNo]) -> Host {
-    let mut serving: SmallVec<[(ImageNo, u32); 4]> = SmallVec::new();
+    let mut latency_critical: SmallVec<[(ImageNo, u32); 4]> = SmallVec::new();
     for image in images {
-        match serving.iter_mut().find(|(known, _)| known == image) {
+        match latency_critical.iter_mut().find(|(known, _)| known == image) {
             Some((_, count)) => *count += 1,
-            None => serving.push((*image, 1)),
+            None => latency_critical.push((*image, 1)),
         }
     }
-    Host { free: resources(500), room: 16.0, serving }
+    Host { free: resources(500), best_effort_cores: 16.0, latency_critical }
 }
 
-fn movable(hosts: &[Host]) -> Vec<Movable> {
+fn movable(hosts: &[Host]) -> Vec<MovableTask> {
     let of = |(place, host): (usize, &Host)| {
-        let images: Vec<ImageNo> = host.serving.iter().map(|(image, _)| *image).collect();
-        images.into_iter().map(move |image| Movable { host: place, image, hard: resources(6_400) })
+        let images: Vec<ImageNo> = host.latency_critical.iter().map(|(image, _)| *image).collect();
+        images.into_iter().map(move |image| MovableTask {
+            host: place,
+            image,
+            resources: resources(6_400),
+        })
     };
     hosts.iter().enumerate().flat_map(of).collect()
 }
@@ -93,29 +97,29 @@
 fn best(
     site: &Site,
     hosts: &[Host],
-    tasks: &[Movable],
+    tasks: &[MovableTask],
     suits: impl Fn(usize, usize) -> bool,
 ) -> Option<Regrouping> {
-    Company::new(&site.interference, &site.demand).best_regrouping(hosts, tasks, suits)
+    ColocationGroups::new(&site.interference, &site.demand).best_regrouping(hosts, tasks, suits)
 }
 
 fn mean_openness(site: &Site, hosts: &[Host]) -> f32 {
     let open = |host: &Host| {
-        let images = host.serving.iter().map(|(image, _)| *image);
-        openness(&site.interference, &site.demand, images)
+        let images = host.latency_critical.iter().map(|(image, _)| *image);
+        acceptance(&site.interference, &site.demand, images)
     };
     hosts.iter().map(open).sum::<f32>() / hosts.len() as f32
 }
 
 fn shift(host: &mut Host, image: ImageNo, by: i32) {
-    match host.serving.iter_mut().find(|(known, _)| *known == image) {
+    match host.latency_critical.iter_mut().find(|(known, _)| *known == image) {
         Some((_, count)) => *count = count.saturating_add_signed(by),
-        None => host.serving.push((image, 1)),
+        None => host.latency_critical.push((image, 1)),
     }
-    host.serving.retain(|(_, count)| *count > 0);
+    host.latency_critical.retain(|(_, count)| *count > 0);
 }
 
-fn change_places(hosts: &mut [Host], first: Movable, second: Movable) {
+fn change_places(hosts: &mut [Host], first: MovableTask, second: MovableTask) {
     shift(&mut hosts[first.host], first.image, -1);
     shift(&mut hosts[second.host], second.image, -1);
     shift(&mut hosts[first.host], second.image, 1);
@@ -192,7 +196,7 @@
     let mut site = site(40);
     site.demand = Demand::default();
     let filler = site.interference.image(&CompactString::const_new("filler-0"));
-    site.demand.follow(ROUND, [(filler, 10.0)]);
+    site.demand.update(ROUND, [(filler, 10.0)]);
     let [_, _, third, fourth, _] = site.serving[..] else { panic!("five images") };
     let hosts = vec![host(&[third, fourth]), host(&[third]), host(&[fourth])];
     let tasks = movable(&hosts);
--- a/crates/workflow/tests/crash_loops.rs
+++ b/crates/workflow/tests/crash_loops.rs
@@ -3,9 +3,9 @@
 mod support;
 
 use {
-    egretlb_workflow::{EndKind, Limits, Outcome, State, Step, TaskId, WorkflowId},
+    egretlb_workflow::{EndKind, Limits, Outcome, Step, TaskId, WorkflowId, WorkflowState},
     std::{collections::BTreeMap, time::Duration},
-    support::{lasting, lines, step, submission, world::World},
+    support::{lines, long_running, step, submission, world::World},
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -21,13 +21,13 @@
 fn busy_world(seed: u64) -> World {
     let mut world = World::new(seed, 3, 12, Limits::default());
     world.run(2 * SECOND);
-    world.submit(1, &submission(vec![lasting(12, 2)]));
+    world.submit(1, &submission(vec![long_running(12, 2)]));
     world.run(SECOND);
     world
 }
 
 fn failed(world: &World, id: u64) -> bool {
-    world.state(WorkflowId(id)) == Some(State::Ended(Outcome::Failed))
+    world.state(WorkflowId(id)) == Some(WorkflowState::Ended(Outcome::Failed))
 }
 
 /// Guards against a task that takes down one worker after the other because it is started again without end.
@@ -35,12 +35,12 @@
 fn culprit_given_up() {
     let mut world = World::new(41, 3, 12, Limits::default());
     world.run(2 * SECOND);
-    world.submit(1, &submission(vec![lasting(12, 2)]));
+    world.submit(1, &submission(vec![long_running(12, 2)]));
     let id = world.submit(2, &submission(vec![step(6, 800)]));
-    world.culprits.tasks.insert(task(2, 3), AT_ONCE);
+    world.crashing_tasks.tasks.insert(task(2, 3), AT_ONCE);
     world.run(40 * SECOND);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
-    assert_eq!(world.state(id), Some(State::Ended(Outcome::Failed)));
+    assert_eq!(world.checker.violations, Vec::<String>::new());
+    assert_eq!(world.state(id), Some(WorkflowState::Ended(Outcome::Failed)));
 }
 
 /// Guards against a suspected task that takes along, with the next worker, what shared the first one with it.
@@ -49,7 +49,7 @@
     for seed in 0..20 {
         let mut world = busy_world(seed);
         world.submit(2, &submission(vec![step(12, 3_000)]));
-        world.culprits.tasks.insert(task(2, 5), AT_ONCE);
+        world.crashing_tasks.tasks.insert(task(2, 5), AT_ONCE);
         lines::collect();
         world.run(30 * SECOND);
         let mut lost: BTreeMap<String, u32> = BTreeMap::new();
@@ -61,7 +61,7 @@
         assert!(twice.is_empty(), "seed {seed}: {twice:?}");
         assert!(failed(&world, 2), "seed {seed}");
         assert_eq!(world.checker.crashes_by(task(2, 5)), 2, "seed {seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -71,7 +71,7 @@
     for seed in 0..20 {
         let mut world = busy_world(seed);
         world.submit(2, &submission(vec![step(6, 800)]));
-        world.culprits.tasks.insert(task(2, 3), AT_ONCE);
+        world.crashing_tasks.tasks.insert(task(2, 3), AT_ONCE);
         for _ in 0..6 {
             world.run(Duration::from_millis(3_600 + 70 * seed));
             let Some(leader) = world.leader() else { continue };
@@ -81,7 +81,7 @@
         }
         world.run(20 * SECOND);
         assert!(failed(&world, 2), "seed {seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -90,11 +90,11 @@
 fn unanswered_starts() {
     let mut world = busy_world(42);
     world.submit(2, &submission(vec![step(6, 800)]));
-    world.culprits.tasks.insert(task(2, 3), Duration::ZERO);
-    world.culprits.unanswered = true;
+    world.crashing_tasks.tasks.insert(task(2, 3), Duration::ZERO);
+    world.crashing_tasks.unanswered = true;
     world.run(60 * SECOND);
     assert!(failed(&world, 2));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// Guards against workers that stay away for good, so that nothing tells a crash from a cut.
@@ -102,11 +102,11 @@
 fn workers_stay_away() {
     let mut world = busy_world(43);
     world.submit(2, &submission(vec![step(6, 800)]));
-    world.culprits.tasks.insert(task(2, 3), AT_ONCE);
-    world.culprits.away = 600 * SECOND;
+    world.crashing_tasks.tasks.insert(task(2, 3), AT_ONCE);
+    world.crashing_tasks.away = 600 * SECOND;
     world.run(90 * SECOND);
     assert!(failed(&world, 2));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// Guards against a task that is at work for a while before it crashes its worker.
@@ -115,10 +115,10 @@
     for after in [1, 3, 7] {
         let mut world = busy_world(44);
         world.submit(2, &submission(vec![step(6, 60_000)]));
-        world.culprits.tasks.insert(task(2, 3), after * SECOND);
+        world.crashing_tasks.tasks.insert(task(2, 3), after * SECOND);
         world.run(120 * SECOND);
         assert!(failed(&world, 2), "after {after} s");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "after {after} s");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "after {after} s");
     }
 }
 
@@ -126,11 +126,11 @@
 #[test]
 fn lasting_culprit() {
     let mut world = busy_world(45);
-    world.submit(2, &submission(vec![lasting(6, 1)]));
-    world.culprits.tasks.insert(task(2, 3), AT_ONCE);
+    world.submit(2, &submission(vec![long_running(6, 1)]));
+    world.crashing_tasks.tasks.insert(task(2, 3), AT_ONCE);
     world.run(40 * SECOND);
     assert!(failed(&world, 2));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// Guards against a gang whose members are all lost with one worker after the other.
@@ -139,10 +139,10 @@
     let mut world = busy_world(46);
     let gang = Step { gang: true, ..step(6, 60_000) };
     world.submit(2, &submission(vec![gang]));
-    world.culprits.tasks.insert(task(2, 3), AT_ONCE);
+    world.crashing_tasks.tasks.insert(task(2, 3), AT_ONCE);
     world.run(90 * SECOND);
     assert!(failed(&world, 2));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// Guards against innocent tasks that are given up because many culprits come at once.
@@ -153,7 +153,7 @@
         for id in 10..40 {
             world.submit(id, &submission(vec![step(4, 700)]));
             if id % 5 == 0 {
-                world.culprits.tasks.insert(task(id, 2), AT_ONCE);
+                world.crashing_tasks.tasks.insert(task(id, 2), AT_ONCE);
             }
             world.run(Duration::from_millis(150));
         }
@@ -162,8 +162,8 @@
             assert_eq!(failed(&world, id), id % 5 == 0, "seed {seed} workflow {id}");
             assert!(id % 5 == 0 || world.completed(WorkflowId(id)), "seed {seed} workflow {id}");
         }
-        assert_eq!(world.state(WorkflowId(1)), Some(State::Running), "seed {seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.state(WorkflowId(1)), Some(WorkflowState::Running), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -192,10 +192,14 @@
         world.run(20 * SECOND);
         for id in (1..=4).flat_map(|round| 100 * round..100 * round + 10) {
             let state = world.state(WorkflowId(id));
-            assert_eq!(state, Some(State::Ended(Outcome::Completed)), "seed {seed} workflow {id}");
+            assert_eq!(
+                state,
+                Some(WorkflowState::Ended(Outcome::Completed)),
+                "seed {seed} workflow {id}"
+            );
         }
-        assert_eq!(world.state(WorkflowId(1)), Some(State::Running), "seed {seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.state(WorkflowId(1)), Some(WorkflowState::Running), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -207,14 +211,14 @@
     for _ in 0..6 {
         let cut: Vec<usize> = (0..12).filter(|n| !world.workers[*n].running.is_empty()).collect();
         let cut: Vec<usize> = cut.into_iter().take(6).collect();
-        world.nodes.iter_mut().for_each(|node| node.cut_from.clone_from(&cut));
+        world.nodes.iter_mut().for_each(|node| node.unreachable.clone_from(&cut));
         world.run(8 * SECOND);
-        world.nodes.iter_mut().for_each(|node| node.cut_from.clear());
+        world.nodes.iter_mut().for_each(|node| node.unreachable.clear());
         world.run(Duration::from_millis(900));
     }
     world.run(120 * SECOND);
     assert!(world.completed(id), "{:?}", world.state(id));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// Guards against a run that fails by itself, and thus left its worker alive, counting towards a conviction.
--- a/crates/workflow/tests/fillers_paced.rs
+++ b/crates/workflow/tests/fillers_paced.rs
@@ -15,7 +15,7 @@
 fn serving(count: u32) -> Step {
     let mut serving = step(count, 0);
     serving.resources.cpu = MilliCores(4_000);
-    serving.lasting = true;
+    serving.long_running = true;
     serving.target_ms = 50;
     serving.per_worker = 1;
     serving.image = CompactString::const_new("serving");
@@ -24,7 +24,7 @@
 
 fn filler(count: u32, ms: u32) -> Step {
     let mut filler = step(count, ms);
-    filler.fills = true;
+    filler.best_effort = true;
     filler.image = CompactString::const_new("filler");
     filler
 }
@@ -34,7 +34,7 @@
     let mut world = World::new(31, 2, 2, Limits::default());
     world.run(2 * SECOND);
     for worker in &mut world.workers {
-        (worker.tail_ms, worker.pressure_ms) = (14, 15);
+        (worker.tail_ms, worker.interference_ms) = (14, 15);
     }
     world.submit(1, &submission(vec![serving(2)]));
     world.run(3 * SECOND);
@@ -65,7 +65,7 @@
         worker.tail_ms = 14;
     }
     assert!(world.run_until(12 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The leader that held a filler back dies, and the serving tasks are cancelled meanwhile. Its successor
@@ -88,7 +88,7 @@
     assert!(world.run_until(9 * SECOND, |world| world.completed(id)).is_some());
     // Neither was stopped and begun anew.
     assert_eq!(world.checker.starts, starts);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A task is over its target on end while fillers work beside it, whatever is known of them. The platform
@@ -97,7 +97,7 @@
 fn relieved_in_time() {
     let (mut world, id) = pressed();
     for worker in &mut world.workers {
-        (worker.tail_ms, worker.pressure_ms) = (49, 3);
+        (worker.tail_ms, worker.interference_ms) = (49, 3);
     }
     world.run(Duration::from_millis(2_500));
     assert!(fillers(&world, id).iter().all(|pace| *pace == 0));
@@ -111,7 +111,7 @@
     let mut world = World::new(33, 2, 2, Limits::default());
     world.run(2 * SECOND);
     for worker in &mut world.workers {
-        (worker.tail_ms, worker.pressure_ms) = (25, 0);
+        (worker.tail_ms, worker.interference_ms) = (25, 0);
     }
     world.submit(1, &submission(vec![serving(2)]));
     world.run(3 * SECOND);
@@ -143,14 +143,14 @@
     for worker in &mut world.workers {
         worker.tail_ms = 200;
     }
-    world.late_orders = 600;
+    world.late_commands = 600;
     world.run(SECOND);
-    world.late_orders = 0;
+    world.late_commands = 0;
     for worker in &mut world.workers {
         worker.tail_ms = 14;
     }
     assert!(world.run_until(25 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 #[test]
--- a/crates/workflow/tests/gang_racks.rs
+++ b/crates/workflow/tests/gang_racks.rs
@@ -44,7 +44,7 @@
         world.run(Duration::from_millis(300));
         assert_eq!(racks(&world, id).len(), 1, "seed {seed}");
         assert!(world.run_until(4 * SECOND, |world| world.completed(id)).is_some());
-        assert_eq!(world.checker.faults, Vec::<String>::new());
+        assert_eq!(world.checker.violations, Vec::<String>::new());
     }
 }
 
--- a/crates/workflow/tests/held_and_stopped.rs
+++ b/crates/workflow/tests/held_and_stopped.rs
@@ -20,7 +20,7 @@
     for seed in 0..8 {
         let mut world = World::new(seed, 3, 5, Limits::default());
         world.run(2 * SECOND);
-        let lasting = Step { lasting: true, per_worker: 1, ..step(4, 0) };
+        let lasting = Step { long_running: true, per_worker: 1, ..step(4, 0) };
         let mut lasting = lasting;
         lasting.resources.cpu = MilliCores(8_000);
         let id = world.submit(1, &submission(vec![lasting]));
@@ -40,6 +40,6 @@
         // Lasting tasks leave room to short ones for two seconds.
         let took = world.run_until(12 * SECOND, all_run);
         assert!(took.is_some_and(|took| took < Duration::from_millis(2_600)), "{seed}: {took:?}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "{seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "{seed}");
     }
 }
--- a/crates/workflow/tests/held_orders.rs
+++ b/crates/workflow/tests/held_orders.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    egretlb_workflow::{Limits, State},
+    egretlb_workflow::{Limits, WorkflowState},
     std::time::Duration,
     support::{step, submission, world::World},
 };
@@ -21,14 +21,14 @@
     twice.speculative = true;
     let id = world.submit(1, &submission(vec![twice]));
     world.run_until(SECOND, |world| world.checker.starts == 4);
-    world.order_wait = 3 * SECOND;
+    world.command_wait = 3 * SECOND;
     for worker in &mut world.workers {
-        worker.stand_still(1_100);
+        worker.stall_runs(1_100);
     }
     assert!(world.run_until(4 * SECOND, |world| world.completed(id)).is_some());
     world.run(4 * SECOND);
     assert_eq!(world.checker.starts, 4);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A workflow is cancelled while its starts wait for their turn. None of them is sent.
@@ -36,13 +36,13 @@
 fn start_of_cancelled() {
     let mut world = World::new(22, 2, 4, Limits::default());
     world.run(2 * SECOND);
-    world.order_wait = 2 * SECOND;
+    world.command_wait = 2 * SECOND;
     let id = world.submit(1, &submission(vec![step(4, 500)]));
     world.run(SECOND);
     world.cancel(id);
     world.run(4 * SECOND);
     assert_eq!(world.checker.starts, 0);
-    assert!(matches!(world.state(id), Some(State::Ended(_))));
+    assert!(matches!(world.state(id), Some(WorkflowState::Ended(_))));
 }
 
 /// Far more tasks come than a weak VM can start. What it has decided stays few, so that what it sends is
@@ -54,7 +54,7 @@
         world.add_worker(8);
     }
     world.run(2 * SECOND);
-    world.order_wait = SECOND;
+    world.command_wait = SECOND;
     world.submit(1, &submission(vec![step(300, 100)]));
     world.run(Duration::from_millis(500));
     assert_eq!(world.checker.starts, 0);
--- a/crates/workflow/tests/lapsed_authority.rs
+++ b/crates/workflow/tests/lapsed_authority.rs
@@ -25,7 +25,7 @@
     let id = world.submit(id, &submission(vec![step(4, 300)]));
     let took = world.run_until(3 * SECOND, |world| world.completed(id));
     assert!(took.is_some(), "nobody starts what clients submit");
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// One VM is left, and the store is away for longer than its authority lasts. The sign of life that it
@@ -72,7 +72,7 @@
     assert_eq!(world.leader(), leader);
     assert!(world.run_until(10 * SECOND, |world| world.completed(id)).is_some());
     assert_eq!(world.checker.starts, starts);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The store answers reads and refuses each append of the term, say because it has missed one of its
--- a/crates/workflow/tests/lapsed_entries.rs
+++ b/crates/workflow/tests/lapsed_entries.rs
@@ -60,7 +60,7 @@
         world.nodes[leader].reaches_store = false;
         world.run(30 * SECOND);
         assert_ne!(world.leader(), Some(leader));
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -77,14 +77,14 @@
     world.kill(leader);
     world.run(4 * SECOND);
     for node in &mut world.nodes {
-        node.cut_from = vec![0];
+        node.unreachable = vec![0];
     }
     world.run(3 * SECOND);
     for node in &mut world.nodes {
-        node.cut_from.clear();
+        node.unreachable.clear();
     }
     world.run(25 * SECOND);
     assert!(world.completed(WorkflowId(1)));
     assert_eq!(world.checker.starts, 20);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
--- a/crates/workflow/tests/large_fleet.rs
+++ b/crates/workflow/tests/large_fleet.rs
@@ -45,7 +45,7 @@
     let looked = looked_at(&mut world);
     assert!(started >= 200);
     assert!(looked <= 20 * started, "{looked} workers for {started} starts");
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// Load: the fleet is full, and work waits. Nothing changes but at the workers that are heard of, so the others
--- a/crates/workflow/tests/lasting_lines.rs
+++ b/crates/workflow/tests/lasting_lines.rs
@@ -6,9 +6,8 @@
     egretlb_workflow::{Limits, WorkerState},
     std::time::Duration,
     support::{
-        lasting,
         lines::{self, Line},
-        step, submission,
+        long_running, step, submission,
         world::World,
     },
 };
@@ -34,7 +33,7 @@
 #[test]
 fn preempted_and_back() {
     let mut world = world(21);
-    world.submit(1, &submission(vec![lasting(8, 4)]));
+    world.submit(1, &submission(vec![long_running(8, 4)]));
     world.run(5 * SECOND);
     assert_eq!(runs(&lines::take(), "lasting_task_started", 1).len(), 8);
     world.submit(2, &submission(vec![step(3, 500)]));
@@ -56,7 +55,7 @@
 #[test]
 fn evacuated() {
     let mut world = world(22);
-    world.submit(1, &submission(vec![lasting(4, 2)]));
+    world.submit(1, &submission(vec![long_running(4, 2)]));
     world.run(2 * SECOND);
     lines::take();
     let busy = world.workers.iter().position(|worker| !worker.running.is_empty());
@@ -78,7 +77,7 @@
 #[test]
 fn worker_lost() {
     let mut world = world(23);
-    world.submit(1, &submission(vec![lasting(4, 2)]));
+    world.submit(1, &submission(vec![long_running(4, 2)]));
     world.run(2 * SECOND);
     lines::take();
     let busy = world.workers.iter().position(|worker| !worker.running.is_empty());
@@ -107,7 +106,7 @@
 #[test]
 fn cancelled() {
     let mut world = world(24);
-    let id = world.submit(1, &submission(vec![lasting(2, 2)]));
+    let id = world.submit(1, &submission(vec![long_running(2, 2)]));
     world.run(2 * SECOND);
     lines::take();
     world.cancel(id);
--- a/crates/workflow/tests/lasting_waits.rs
+++ b/crates/workflow/tests/lasting_waits.rs
@@ -16,7 +16,7 @@
 fn lasting(count: u32, cores: u32) -> Step {
     let mut step = step(count, 0);
     step.resources.cpu = MilliCores(cores * 1_000);
-    step.lasting = true;
+    step.long_running = true;
     step
 }
 
@@ -48,7 +48,7 @@
         assert!(!world.checker.is_running(task));
         let took = world.run_until(10 * SECOND, |world| world.checker.is_running(task));
         assert!(took.is_some_and(|took| took < 3 * SECOND), "seed {seed}: {took:?}");
-        assert_eq!(world.checker.faults, Vec::<String>::new());
+        assert_eq!(world.checker.violations, Vec::<String>::new());
     }
 }
 
--- a/crates/workflow/tests/late_orders.rs
+++ b/crates/workflow/tests/late_orders.rs
@@ -16,15 +16,15 @@
 fn late_starts() {
     let mut world = World::new(3, 3, 6, Limits::default());
     world.run(2 * SECOND);
-    world.late_orders = 80;
+    world.late_commands = 80;
     for id in 1..40 {
         world.submit(id, &submission(vec![step(4, 600)]));
         world.run(Duration::from_millis(150));
     }
-    world.late_orders = 0;
+    world.late_commands = 0;
     world.run(20 * SECOND);
     assert!((1..40).all(|id| world.completed(WorkflowId(id))));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A few workers leave orders unanswered while their polls look well. Orders at one worker wait for each
@@ -33,17 +33,17 @@
 #[test]
 fn mute_workers() {
     let mut world = World::new(6, 2, 24, Limits::default());
-    world.orders_at_once = Some(2);
+    world.max_concurrent_commands = Some(2);
     for _ in 0..4 {
         let large = world.add_worker(64);
-        world.workers[large].mute = true;
+        world.workers[large].ignores_commands = true;
     }
     world.run(2 * SECOND);
     world.submit(1, &submission(vec![step(1_500, 100)]));
     world.run(3 * SECOND);
     let started = world.checker.starts;
     assert!(started > 1_400, "{started}");
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// Answers of the store are lost after it appended. The leader repeats the same append; were it to
@@ -59,7 +59,7 @@
     }
     world.run(10 * SECOND);
     assert!((1..20).all(|id| world.completed(WorkflowId(id))));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The store is away for 3 s while tasks run and end. Their leases are renewed, and nobody's task is
@@ -79,5 +79,5 @@
     world.store_down = false;
     assert!(world.run_until(SECOND, |world| world.completed(id)).is_some());
     assert_eq!(world.leader(), leader);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
--- a/crates/workflow/tests/leader_changes.rs
+++ b/crates/workflow/tests/leader_changes.rs
@@ -31,7 +31,7 @@
     let took = world.run_until(5 * SECOND, |world| world.completed(id));
     assert!(took.is_some_and(|took| took < Duration::from_millis(900)), "{took:?}");
     assert_eq!(world.nodes.iter().map(|node| node.elections).sum::<u32>(), 1);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The leading process is killed while tasks run and others wait for a step before them. A client
@@ -49,7 +49,7 @@
     assert!(took.is_some_and(|took| took < Duration::from_millis(2_000)), "{took:?}");
     let took = world.run_until(10 * SECOND, |world| world.completed(id));
     assert!(took.is_some_and(|took| took < Duration::from_millis(2_500)), "{took:?}");
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The leading process is killed and started again at once, at the same address. It knows that the
@@ -65,7 +65,7 @@
     assert!(took.is_some_and(|took| took < Duration::from_millis(200)), "{took:?}");
     let id = world.submit(1, &submission(vec![step(8, 300)]));
     assert!(world.run_until(3 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The leading process is paused for seconds, and wakes after another has taken over. It believes that
@@ -82,7 +82,7 @@
     world.run(12 * SECOND);
     assert!((1..20).all(|id| world.completed(egretlb_workflow::WorkflowId(id))));
     assert_ne!(world.leader(), Some(leader));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The store turns the leading VM away, and serves the others. The leader still reaches all workers, so
@@ -96,7 +96,7 @@
     assert!(!world.nodes[leader].leads(world.now));
     let id = world.submit(1, &submission(vec![step(8, 300)]));
     assert!(world.run_until(3 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The leader is cut off from the store, and its successor from a worker that the leader still reaches.
@@ -112,13 +112,13 @@
     let leader = world.leader().expect("somebody leads");
     for node in 0..world.nodes.len() {
         if node != leader {
-            world.nodes[node].cut_from = vec![0, 1];
+            world.nodes[node].unreachable = vec![0, 1];
         }
     }
     world.nodes[leader].reaches_store = false;
     world.run(30 * SECOND);
     assert!((1..10).all(|id| world.completed(egretlb_workflow::WorkflowId(id))));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The deposed leader reaches nothing but two workers that its successor can't reach: nobody tells it
@@ -134,12 +134,12 @@
     let leader = world.leader().expect("somebody leads");
     for node in 0..world.nodes.len() {
         let cut = if node == leader { vec![2, 3, 4, 5] } else { vec![0, 1] };
-        world.nodes[node].cut_from = cut;
+        world.nodes[node].unreachable = cut;
     }
     world.nodes[leader].reaches_store = false;
     world.run(70 * SECOND);
     assert!((1..10).all(|id| world.completed(egretlb_workflow::WorkflowId(id))));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The same with a bound that is too short: the checker must notice, or it proves nothing.
@@ -165,12 +165,12 @@
         let Some(leader) = world.leader() else { continue };
         for node in 0..world.nodes.len() {
             if node != leader {
-                world.nodes[node].cut_from = vec![0, 1];
+                world.nodes[node].unreachable = vec![0, 1];
             }
         }
         world.kill(leader);
         world.run(6 * SECOND);
-        noticed |= !world.checker.faults.is_empty();
+        noticed |= !world.checker.violations.is_empty();
     }
     assert!(noticed);
 }
@@ -192,7 +192,7 @@
             seq: Seq(9),
             term_ms: 0,
         };
-        leadership.on_leader(now, &gone, &mut Vec::new());
+        leadership.on_leader_record(now, &gone, &mut Vec::new());
         let begun = now;
         let mut out = Vec::new();
         while out.is_empty() {
@@ -247,7 +247,7 @@
     let took = world.run_until(4 * SECOND, |world| world.completed(id));
     assert!(took.is_some_and(|took| took < SECOND), "{took:?}");
     assert_eq!(world.leader(), Some(claimant));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A worker's answers don't reach the leader any more, and a task is done there. Then the leader stands still
@@ -263,14 +263,14 @@
         world.submit(2, &submission(vec![step(8, 30_000)]));
         world.run(Duration::from_millis(500));
         let leader = world.leader().expect("somebody leads by now");
-        world.nodes[leader].deaf_to = vec![0];
+        world.nodes[leader].answers_lost_from = vec![0];
         for node in (0..3).filter(|node| *node != leader) {
-            world.nodes[node].cut_from = vec![1];
+            world.nodes[node].unreachable = vec![1];
         }
         world.run(Duration::from_millis(5_400));
         world.freeze(leader, Duration::from_millis(2_300 + 25 * seed));
         world.run(12 * SECOND);
         assert_ne!(world.leader(), Some(leader));
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/workflow/tests/leads_again.rs
+++ b/crates/workflow/tests/leads_again.rs
@@ -89,6 +89,6 @@
         let id = world.submit(2, &submission(vec![step(2, 200)]));
         let done = world.run_until(Duration::from_secs(20), |world| world.completed(id));
         assert!(done.is_some(), "seed {seed}: work isn't done");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/workflow/tests/listed_runs.rs
+++ b/crates/workflow/tests/listed_runs.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    egretlb_workflow::{Limits, Outcome, State, WorkerState, WorkflowId},
+    egretlb_workflow::{Limits, Outcome, WorkerState, WorkflowId, WorkflowState},
     std::time::Duration,
     support::{step, submission, world::World},
 };
@@ -25,15 +25,15 @@
     world.kill(leader);
     world.cancel(id);
     for node in &mut world.nodes {
-        node.cut_from.clear();
+        node.unreachable.clear();
     }
 }
 
 fn assert_stopped(world: &mut World, id: WorkflowId) {
     world.run(4 * SECOND);
     assert!(world.workers.iter().all(|worker| worker.running.is_empty()));
-    assert_eq!(world.state(id), Some(State::Ended(Outcome::Cancelled)));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.state(id), Some(WorkflowState::Ended(Outcome::Cancelled)));
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A worker announces that it leaves, so the records list what runs there; then a workflow is cancelled
@@ -53,7 +53,7 @@
 fn cancelled_at_silent() {
     let (mut world, id) = world(42);
     for node in &mut world.nodes {
-        node.cut_from = vec![0];
+        node.unreachable = vec![0];
     }
     world.run(Duration::from_millis(3_000));
     cancel_between_leaders(&mut world, id);
--- a/crates/workflow/tests/lost_workers.rs
+++ b/crates/workflow/tests/lost_workers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    egretlb_workflow::{Limits, Outcome, State, Step, WorkerState, WorkflowId},
+    egretlb_workflow::{Limits, Outcome, Step, WorkerState, WorkflowId, WorkflowState},
     std::time::Duration,
     support::{step, submission, world::World},
 };
@@ -32,7 +32,7 @@
     world.run(Duration::from_millis(500));
     world.workers[0].crash(&mut world.checker);
     assert!(world.run_until(10 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A worker is cut off and runs on. Its tasks may be started elsewhere only once its leases have lapsed,
@@ -44,14 +44,14 @@
     let id = world.submit(1, &submission(vec![step(24, 9_000)]));
     world.run(Duration::from_millis(500));
     for node in &mut world.nodes {
-        node.cut_from = vec![0];
+        node.unreachable = vec![0];
     }
     world.run(6 * SECOND);
     for node in &mut world.nodes {
-        node.cut_from.clear();
+        node.unreachable.clear();
     }
     assert!(world.run_until(20 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A worker is lost seconds before the leader is killed. The successor must hold back what may run at
@@ -87,7 +87,7 @@
     assert!(took.is_some_and(|took| took < Duration::from_millis(6_000)), "{took:?}");
     world.run(6 * SECOND);
     assert!((1..4).all(|id| world.completed(WorkflowId(id))));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A task fails on its last attempt, and the leader is killed right after that end is recorded. The
@@ -105,8 +105,8 @@
         let leader = world.leader().expect("somebody leads");
         world.kill(leader);
         world.run(12 * SECOND);
-        assert_eq!(world.state(id), Some(State::Ended(Outcome::Failed)));
-        assert_eq!(world.checker.faults, Vec::<String>::new());
+        assert_eq!(world.state(id), Some(WorkflowState::Ended(Outcome::Failed)));
+        assert_eq!(world.checker.violations, Vec::<String>::new());
     }
 }
 
@@ -122,7 +122,7 @@
     }
     world.run(8 * SECOND);
     assert!((1..30).all(|id| world.completed(WorkflowId(id))));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A worker says that it is about to leave. Its lasting tasks are moved before it goes; otherwise their
@@ -131,7 +131,7 @@
 fn leaving_worker() {
     let mut world = world(8);
     let mut serving = step(6, 0);
-    serving.lasting = true;
+    serving.long_running = true;
     serving.per_worker = 1;
     world.submit(1, &submission(vec![serving]));
     world.add_worker(8);
@@ -143,7 +143,7 @@
     assert!(world.workers[busy].running.is_empty());
     let running: usize = world.workers.iter().map(|worker| worker.running.len()).sum();
     assert_eq!(running, 6);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A workflow is cancelled while no process leads. What runs of it must be stopped by the next leader,
@@ -152,7 +152,7 @@
 fn cancelled_between_leaders() {
     let mut world = world(9);
     let mut serving = step(4, 0);
-    serving.lasting = true;
+    serving.long_running = true;
     let id = world.submit(1, &submission(vec![serving]));
     world.run(SECOND);
     let leader = world.leader().expect("somebody leads");
@@ -160,7 +160,7 @@
     world.cancel(id);
     world.run(4 * SECOND);
     assert!(world.workers.iter().all(|worker| worker.running.is_empty()));
-    assert_eq!(world.state(id), Some(State::Ended(Outcome::Cancelled)));
+    assert_eq!(world.state(id), Some(WorkflowState::Ended(Outcome::Cancelled)));
 }
 
 /// Tasks of one worker stand still while it answers and looks well. They are moved; a workflow would
@@ -175,10 +175,10 @@
         world.run(Duration::from_millis(300));
         let busy = world.workers.iter().position(|worker| !worker.running.is_empty());
         let busy = busy.expect("tasks run");
-        world.workers[busy].stand_still(60_000);
+        world.workers[busy].stall_runs(60_000);
         let took = world.run_until(10 * SECOND, |world| world.completed(id));
         assert!(took.is_some_and(|took| took < Duration::from_millis(3_500)), "{took:?}");
-        assert_eq!(world.checker.faults, Vec::<String>::new());
+        assert_eq!(world.checker.violations, Vec::<String>::new());
     }
 }
 
@@ -196,14 +196,14 @@
         }
         world.run(2 * SECOND);
         let leader = world.leader().expect("somebody leads by now");
-        world.nodes[leader].cut_from = vec![0];
+        world.nodes[leader].unreachable = vec![0];
         world.submit(1, &submission(vec![step(16, 9_000)]));
         world.run(4 * SECOND);
-        world.nodes[leader].cut_from.clear();
+        world.nodes[leader].unreachable.clear();
         world.nodes[leader].reaches_store = false;
         world.run(5 * SECOND);
         assert_ne!(world.leader(), Some(leader));
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
         // A higher run is the proof that the supposed one had ended, so it goes on.
         assert_eq!(world.checker.starts, 16, "seed {seed}");
     }
@@ -227,7 +227,7 @@
     world.kill(leader);
     let took = world.run_until(12 * SECOND, |world| world.completed(id));
     assert!(took.is_some_and(|took| took < 4 * SECOND), "{took:?}");
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A worker that leaves is cut off with a task on it, and the leader is killed. Its successor starts that
@@ -242,7 +242,7 @@
     world.workers[0].info.state = WorkerState::Draining;
     world.run(SECOND);
     for node in &mut world.nodes {
-        node.cut_from = vec![0];
+        node.unreachable = vec![0];
     }
     let leader = world.leader().expect("somebody leads by now");
     world.kill(leader);
@@ -251,5 +251,5 @@
     assert!(took.is_some_and(|took| took < 4 * SECOND), "{took:?}");
     world.run(40 * SECOND);
     assert!(world.completed(WorkflowId(1)));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
--- a/crates/workflow/tests/missing_entries.rs
+++ b/crates/workflow/tests/missing_entries.rs
@@ -22,7 +22,7 @@
 /// So many lasting tasks, each on a worker of its own.
 fn one_for_each(workers: usize) -> Step {
     let mut serving = step(u32::try_from(workers).unwrap_or(0), 0);
-    serving.lasting = true;
+    serving.long_running = true;
     serving.per_worker = 1;
     serving
 }
@@ -61,7 +61,7 @@
         world.submit(1, &submission(vec![one_for_each(WORKERS + 1)]));
         let took = world.run_until(10 * SECOND, all_busy);
         assert!(took.is_some_and(|took| took < 2 * SECOND), "seed {seed}: {took:?}");
-        assert_eq!(world.checker.faults, Vec::<String>::new());
+        assert_eq!(world.checker.violations, Vec::<String>::new());
     }
 }
 
@@ -80,7 +80,7 @@
     world.submit(1, &submission(vec![one_for_each(WORKERS + 1)]));
     let took = world.run_until(10 * SECOND, all_busy);
     assert!(took.is_some_and(|took| took < 2 * SECOND), "{took:?}");
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A worker's entry is missing for long. What runs there goes on, with leases as long as any other's: with
@@ -105,7 +105,7 @@
     world.run(8 * SECOND);
     assert!(all_busy(&world));
     assert_eq!(world.checker.starts, starts);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A worker announces that it leaves and takes that back. It gets work again once the records don't list
@@ -119,7 +119,7 @@
     world.submit(1, &submission(vec![one_for_each(WORKERS)]));
     let took = world.run_until(10 * SECOND, all_busy);
     assert!(took.is_some_and(|took| took < 2 * SECOND), "{took:?}");
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A worker is long gone and forgotten when its entry is read once more, since the store was away when it
@@ -131,7 +131,7 @@
         let mut world = world(seed);
         world.workers[0].crash(&mut world.checker);
         world.run(12 * SECOND);
-        world.workers[0].lingers = true;
+        world.workers[0].stale_entry = true;
         world.run(SECOND);
         let mut second = step(4, 400);
         second.after.push(0);
@@ -141,6 +141,6 @@
         world.kill(leader);
         let took = world.run_until(12 * SECOND, |world| world.completed(id));
         assert!(took.is_some_and(|took| took < 4 * SECOND), "seed {seed}: {took:?}");
-        assert_eq!(world.checker.faults, Vec::<String>::new());
+        assert_eq!(world.checker.violations, Vec::<String>::new());
     }
 }
--- a/crates/workflow/tests/mute_for_good.rs
+++ b/crates/workflow/tests/mute_for_good.rs
@@ -19,7 +19,7 @@
     for seed in 0..6 {
         let mut world = World::new(seed, 2, 6, Limits::default());
         let large = world.add_worker(64);
-        world.workers[large].mute = true;
+        world.workers[large].ignores_commands = true;
         world.run(2 * SECOND);
         for id in 1..=20 {
             world.submit(id, &submission(vec![step(4, 300)]));
@@ -29,7 +29,7 @@
         world.run(25 * SECOND);
         let left: Vec<u64> = (1..=20).filter(|id| !world.completed(WorkflowId(*id))).collect();
         assert_eq!(left, Vec::<u64>::new(), "{seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "{seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "{seed}");
     }
 }
 
@@ -40,15 +40,15 @@
     for seed in 0..6 {
         let mut world = World::new(seed, 2, 6, Limits::default());
         world.run(2 * SECOND);
-        world.late_orders = 400;
+        world.late_commands = 400;
         for id in 1..=20 {
             world.submit(id, &submission(vec![step(4, 300)]));
             world.run(Duration::from_millis(300));
         }
         world.run(10 * SECOND);
-        world.late_orders = 0;
+        world.late_commands = 0;
         world.run(20 * SECOND);
         assert!((1..=20).all(|id| world.completed(WorkflowId(id))), "{seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "{seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "{seed}");
     }
 }
--- a/crates/workflow/tests/none_stranded.rs
+++ b/crates/workflow/tests/none_stranded.rs
@@ -24,10 +24,10 @@
         0 => world.kill(leader),
         1 => world.freeze(leader, span),
         2 => world.nodes[leader].reaches_store = false,
-        3 => world.nodes[leader].cut_from = vec![worker],
+        3 => world.nodes[leader].unreachable = vec![worker],
         4 => world.store_down = true,
         5 => world.lost_appends = 350,
-        6 => world.late_orders = 60,
+        6 => world.late_commands = 60,
         7 => {
             world.workers[worker].crash(&mut world.checker);
             world.add_worker(8);
@@ -40,14 +40,14 @@
 }
 
 fn heal(world: &mut World) {
-    (world.store_down, world.lost_appends, world.late_orders) = (false, 0, 0);
+    (world.store_down, world.lost_appends, world.late_commands) = (false, 0, 0);
     for worker in &mut world.workers {
         (worker.fails_all, worker.listed) = (false, true);
         worker.info.state = WorkerState::Ready;
     }
     for node in 0..NODES {
         world.nodes[node].reaches_store = true;
-        world.nodes[node].cut_from.clear();
+        world.nodes[node].unreachable.clear();
         if !world.nodes[node].up {
             world.restart(node);
         }
@@ -61,8 +61,8 @@
     let mut second = step(3, 400);
     second.after.push(0);
     match world.rng.random_range(0..5) {
-        0 => (first.lasting, second.lasting) = (true, true),
-        1 => second.lasting = true,
+        0 => (first.long_running, second.long_running) = (true, true),
+        1 => second.long_running = true,
         2 => second.gang = true,
         3 => first.speculative = true,
         _ => {}
@@ -104,6 +104,6 @@
             heal(&mut world);
         }
         run_checked(&mut world, Duration::from_secs(15), seed);
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/workflow/tests/odd_records.rs
+++ b/crates/workflow/tests/odd_records.rs
@@ -12,7 +12,7 @@
         driver::{Options, Rng},
     },
     egretlb_types::Offset,
-    egretlb_workflow::{Entry, Key, Ledger, Outcome, Progress, Record, State, WorkflowId},
+    egretlb_workflow::{Entry, Key, Ledger, Outcome, Progress, Record, WorkflowId, WorkflowState},
     rand::{SeedableRng, rngs::StdRng},
     support::{step, submission},
 };
@@ -66,7 +66,7 @@
                 let _ = apply(&mut ledger, &key(*kind, name), &value);
             }
             let entry = ledger.get(WORKFLOW).expect("it was submitted");
-            assert_eq!(entry.state(), State::Running, "{draw:?}");
+            assert_eq!(entry.state(), WorkflowState::Running, "{draw:?}");
             assert!(entry.submission.is_some());
             assert_eq!(ledger.roster(), None);
             assert!(ledger.leader().is_none());
@@ -96,10 +96,14 @@
     let key = Key::Cancel(WORKFLOW).to_bytes();
     for value in [&b"\xff"[..], b"cancel", &[2], &[2, 7], &[2, 0]] {
         let _ = ledger.apply(Offset(10), &key, value);
-        assert_eq!(ledger.get(WORKFLOW).map(Entry::state), Some(State::Running), "{value:?}");
+        assert_eq!(
+            ledger.get(WORKFLOW).map(Entry::state),
+            Some(WorkflowState::Running),
+            "{value:?}"
+        );
     }
     let own = Record::new(Key::Cancel(WORKFLOW), &true);
     ledger.apply(Offset(11), &own.key, &own.value).expect("a record of this crate");
-    let cancelled = State::Ended(Outcome::Cancelled);
+    let cancelled = WorkflowState::Ended(Outcome::Cancelled);
     assert_eq!(ledger.get(WORKFLOW).map(Entry::state), Some(cancelled));
 }
--- a/crates/workflow/tests/odd_workers.rs
+++ b/crates/workflow/tests/odd_workers.rs
@@ -19,7 +19,7 @@
 /// A step of tasks that last, one on each worker.
 fn serving(count: u32) -> Step {
     let mut serving = step(count, 0);
-    serving.lasting = true;
+    serving.long_running = true;
     serving.per_worker = 1;
     serving
 }
@@ -34,7 +34,7 @@
         world.submit(1, &submission(vec![serving(4)]));
         world.run(SECOND);
         assert!(world.workers.iter().all(|worker| worker.running.len() == 1));
-        world.workers[0].entry_lost = true;
+        world.workers[0].unreadable_entry = true;
         world.run(SECOND);
         let id = world.submit(2, &submission(vec![step(40, 300)]));
         world.run(7 * SECOND);
@@ -48,13 +48,13 @@
         assert_eq!(world.workers[0].running.len(), 1, "seed {seed}");
         assert_eq!(world.workers[0].next_end, 1, "seed {seed}");
         assert_eq!(world.checker.starts, 84, "seed {seed}");
-        world.workers[0].entry_lost = false;
+        world.workers[0].unreadable_entry = false;
         world.run(SECOND);
         let id = world.submit(4, &submission(vec![step(40, 300)]));
         world.run(4 * SECOND);
         assert!(world.completed(id));
         assert!(world.workers[0].next_end > 1, "seed {seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -66,7 +66,7 @@
         let mut world = world(seed);
         world.submit(1, &submission(vec![serving(4)]));
         world.run(SECOND);
-        world.workers[0].entry_lost = true;
+        world.workers[0].unreadable_entry = true;
         world.run(SECOND);
         for node in 0..3 {
             world.kill(node);
@@ -79,7 +79,7 @@
         assert_eq!(world.workers[0].running.len(), 1, "seed {seed}");
         assert_eq!(world.workers[0].next_end, 1, "seed {seed}");
         assert_eq!(world.checker.starts, 4, "seed {seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -90,11 +90,11 @@
     let mut world = world(7);
     let id = world.submit(1, &submission(vec![step(12, 2_000)]));
     world.run(Duration::from_millis(300));
-    world.workers[0].entry_lost = true;
+    world.workers[0].unreadable_entry = true;
     world.run(Duration::from_millis(500));
     world.workers[0].crash(&mut world.checker);
     assert!(world.run_until(12 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// For a while no row of a worker's runs can be read. Each goes on; were it taken as not listed, its task
@@ -105,11 +105,11 @@
         let mut world = world(seed);
         let id = world.submit(1, &submission(vec![step(12, 3_000)]));
         world.run(Duration::from_millis(500));
-        world.workers[1].blurred = true;
+        world.workers[1].unreadable_runs = true;
         world.run(1_500 * Duration::from_millis(1));
-        world.workers[1].blurred = false;
+        world.workers[1].unreadable_runs = false;
         assert!(world.run_until(12 * SECOND, |world| world.completed(id)).is_some());
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.checker.starts, 12, "seed {seed}");
     }
 }
@@ -122,13 +122,13 @@
         let mut world = world(seed);
         let id = world.submit(1, &submission(vec![step(12, 3_000)]));
         world.run(Duration::from_millis(500));
-        world.workers[1].blurred = true;
+        world.workers[1].unreadable_runs = true;
         let leader = world.leader().expect("somebody leads by now");
         world.kill(leader);
         world.run(Duration::from_millis(1_800 + blurred));
-        world.workers[1].blurred = false;
+        world.workers[1].unreadable_runs = false;
         assert!(world.run_until(20 * SECOND, |world| world.completed(id)).is_some(), "seed {seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}, {blurred} ms");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}, {blurred} ms");
     }
 }
 
@@ -141,13 +141,13 @@
     world.run(Duration::from_millis(300));
     let id = world.submit(1, &submission(vec![step(12, 3_000)]));
     world.run(Duration::from_millis(500));
-    world.workers[1].blurred = true;
+    world.workers[1].unreadable_runs = true;
     let lost = *world.workers[1].running.keys().next().expect("something runs there");
     let run = world.workers[1].running.remove(&lost).expect("it is there");
     let worker = world.workers[1].info.id.clone();
     world.checker.vanished(&worker, lost, run.run);
     assert!(world.run_until(30 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// Ends can't be read for a moment: all of them, or one among others. Acknowledged at once, also with those that
@@ -158,12 +158,12 @@
         let mut world = world(seed);
         let id = world.submit(1, &submission(vec![step(12, 400)]));
         world.run(Duration::from_millis(200));
-        world.workers[1].lost_ends = lost.clone();
+        world.workers[1].unreadable_ends = lost.clone();
         world.run(700 * Duration::from_millis(1));
-        world.workers[1].lost_ends = 0..=0;
+        world.workers[1].unreadable_ends = 0..=0;
         assert!(world.run_until(6 * SECOND, |world| world.completed(id)).is_some());
         assert_eq!(world.checker.starts, 12, "seed {seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -178,7 +178,7 @@
     let id = world.submit(1, &submission(vec![step(4, 300)]));
     assert!(world.run_until(40 * SECOND, |world| world.completed(id)).is_some());
     assert_eq!(world.state(WorkflowId(1)), world.state(id));
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// All that one worker runs ends in a way that isn't known, at once, while it looks well. As it is always free it
@@ -194,5 +194,5 @@
     world.run(8 * SECOND);
     assert!((1..30).all(|id| world.completed(WorkflowId(id))));
     assert!(world.workers[0].next_end < 12, "{} ends", world.workers[0].next_end);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
--- a/crates/workflow/tests/pair_learning.rs
+++ b/crates/workflow/tests/pair_learning.rs
@@ -2,7 +2,7 @@
 
 use {
     compact_str::CompactString,
-    egretlb_workflow::{Exposure, ImageNo, Interference, Sighting, set},
+    egretlb_workflow::{Exposure, ImageNo, InterferenceModel, Sample, set_share},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::time::Duration,
 };
@@ -19,7 +19,7 @@
 /// fillers that come and go. A core of a filler takes its weight of their headroom. Each figure strays by a
 /// fifth.
 fn observe(
-    learned: &mut Interference,
+    learned: &mut InterferenceModel,
     serving: ImageNo,
     weights: &[f32],
     figures: usize,
@@ -34,24 +34,24 @@
             let mut headroom = own;
             for (column, weight) in weights.iter().enumerate() {
                 let cores = if rng.random_bool(0.4) { rng.random_range(2.0..8.0) } else { 0.0 };
-                set(&mut exposure, column, cores / CORES);
+                set_share(&mut exposure, column, cores / CORES);
                 headroom -= weight * cores;
             }
             let headroom = headroom.max(0.1) * rng.random_range(0.8..1.2);
-            Sighting { headroom, count: 2.0, exposure }
+            Sample { headroom, count: 2.0, exposure }
         };
-        let seen: Vec<Sighting> = (0..WORKERS).map(|_| sighting(&mut rng)).collect();
+        let seen: Vec<Sample> = (0..WORKERS).map(|_| sighting(&mut rng)).collect();
         learned.observe(serving, &seen.iter().collect::<Vec<_>>());
         learned.solve(ROUND);
     }
 }
 
 /// What a core of a filler takes at a worker, by a cautious estimate.
-fn of_core(learned: &Interference, serving: ImageNo, filler: ImageNo) -> f32 {
-    learned.pressure(serving, filler, 1.0 / CORES)
+fn of_core(learned: &InterferenceModel, serving: ImageNo, filler: ImageNo) -> f32 {
+    learned.interference_bound(serving, filler, 1.0 / CORES)
 }
 
-fn fillers(learned: &mut Interference, count: usize) -> Vec<ImageNo> {
+fn fillers(learned: &mut InterferenceModel, count: usize) -> Vec<ImageNo> {
     let image = |number| CompactString::from(format!("filler-{number}"));
     let images: Vec<ImageNo> = (0..count).map(|n| learned.image(&image(n))).collect();
     for filler in &images {
@@ -65,7 +65,7 @@
 #[test]
 fn bad_pair_found() {
     for seed in 0..20 {
-        let mut learned = Interference::default();
+        let mut learned = InterferenceModel::default();
         let serving = learned.image(&CompactString::const_new("serving"));
         let images = fillers(&mut learned, 6);
         observe(&mut learned, serving, &[0.0, 0.12, 0.0, 0.0, 0.0, 0.0], 60, seed);
@@ -83,7 +83,7 @@
 #[test]
 fn drastic_pair_found_soon() {
     for seed in 0..20 {
-        let mut learned = Interference::default();
+        let mut learned = InterferenceModel::default();
         let serving = learned.image(&CompactString::const_new("serving"));
         let images = fillers(&mut learned, 3);
         observe(&mut learned, serving, &[0.0, 0.0, 0.3], 8, seed);
@@ -96,24 +96,24 @@
 /// same.
 #[test]
 fn doubt_shrinks() {
-    let mut learned = Interference::default();
+    let mut learned = InterferenceModel::default();
     let serving = learned.image(&CompactString::const_new("serving"));
     fillers(&mut learned, 2);
     let mut exposure = Exposure::new();
-    set(&mut exposure, 0, 1.0 / CORES);
-    let before = learned.unsure(serving, &exposure);
+    set_share(&mut exposure, 0, 1.0 / CORES);
+    let before = learned.standard_error(serving, &exposure);
     observe(&mut learned, serving, &[0.0, 0.0], 40, 1);
-    let after = learned.unsure(serving, &exposure);
+    let after = learned.standard_error(serving, &exposure);
     assert!(after < before / 3.0, "{before} {after}");
     observe(&mut learned, serving, &[0.0, 0.0], 120, 2);
-    let after = learned.unsure(serving, &exposure);
+    let after = learned.standard_error(serving, &exposure);
     assert!(after < before / 5.0, "{before} {after}");
 }
 
 /// More filler images than are told apart: those beyond count as harmless, and nothing else changes.
 #[test]
 fn many_images() {
-    let mut learned = Interference::default();
+    let mut learned = InterferenceModel::default();
     let serving = learned.image(&CompactString::const_new("serving"));
     let images = fillers(&mut learned, 40);
     let mut weights = [0.0; 24];
@@ -129,14 +129,14 @@
 fn load_is_no_filler() {
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut learned = Interference::default();
+        let mut learned = InterferenceModel::default();
         let serving = learned.image(&CompactString::const_new("serving"));
         let images = fillers(&mut learned, 2);
         for round in 0..80 {
             let own = 2.6 + (round as f32 * 0.25 / 14.0 * std::f32::consts::TAU).sin();
             let mut exposure = Exposure::new();
-            set(&mut exposure, 0, rng.random_range(0.0..0.4));
-            let sighting = |rng: &mut SmallRng| Sighting {
+            set_share(&mut exposure, 0, rng.random_range(0.0..0.4));
+            let sighting = |rng: &mut SmallRng| Sample {
                 headroom: own * rng.random_range(0.9..1.1),
                 count: 2.0,
                 exposure: exposure.clone(),
@@ -145,7 +145,7 @@
             learned.observe(serving, &seen.iter().collect::<Vec<_>>());
             learned.solve(ROUND);
         }
-        let taken = learned.taken(serving, &Exposure::from_slice(&[1.0 / CORES]));
+        let taken = learned.total_interference(serving, &Exposure::from_slice(&[1.0 / CORES]));
         assert!(taken < 0.02, "seed {seed}: {taken}");
         // Nothing was learned either: the filler is judged as one that was never seen.
         let unseen = of_core(&learned, serving, images[1]);
@@ -159,12 +159,12 @@
 #[test]
 fn outlier_believed_little() {
     for seed in 0..20 {
-        let mut learned = Interference::default();
+        let mut learned = InterferenceModel::default();
         let serving = learned.image(&CompactString::const_new("serving"));
         let images = fillers(&mut learned, 2);
         observe(&mut learned, serving, &[0.0, 0.0], 60, seed);
         let before = of_core(&learned, serving, images[0]);
-        let sighting = |headroom: f32, share: f32| Sighting {
+        let sighting = |headroom: f32, share: f32| Sample {
             headroom,
             count: 1.0,
             exposure: Exposure::from_slice(&[share, 0.0]),
--- a/crates/workflow/tests/replaced_workers.rs
+++ b/crates/workflow/tests/replaced_workers.rs
@@ -36,6 +36,6 @@
         world.nodes[leader].reaches_store = false;
         world.run(8 * SECOND);
         assert_ne!(world.leader(), Some(leader));
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/workflow/tests/room_shared.rs
+++ b/crates/workflow/tests/room_shared.rs
@@ -21,7 +21,7 @@
 fn lasting(count: u32, cores: u32) -> Step {
     let mut step = step(count, 0);
     step.resources.cpu = MilliCores(cores * 1_000);
-    step.lasting = true;
+    step.long_running = true;
     step
 }
 
@@ -38,7 +38,7 @@
     world.run(6 * SECOND);
     let running: usize = world.workers.iter().map(|worker| worker.running.len()).sum();
     assert_eq!(running, 8);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A step says how many of its tasks may be away: it isn't stopped for others.
@@ -46,7 +46,7 @@
 fn guarded_stays() {
     let mut world = world();
     let mut guarded = lasting(8, 4);
-    guarded.may_miss = Some(0);
+    guarded.max_unavailable = Some(0);
     world.submit(1, &submission(vec![guarded]));
     world.run(5 * SECOND);
     world.submit(2, &submission(vec![step(3, 500)]));
@@ -145,7 +145,7 @@
     world.submit(1, &submission(vec![serving]));
     world.run(SECOND);
     let mut filler = step(4, 20_000);
-    filler.fills = true;
+    filler.best_effort = true;
     filler.image = CompactString::const_new("filler");
     world.submit(2, &submission(vec![filler]));
     world.run(SECOND);
--- a/crates/workflow/tests/seeded_faults.rs
+++ b/crates/workflow/tests/seeded_faults.rs
@@ -30,11 +30,11 @@
         0 => world.kill(leader),
         1 => world.freeze(leader, span),
         2 => world.nodes[leader].reaches_store = false,
-        3 => world.nodes[node].cut_from = vec![worker, (worker + 1) % WORKERS],
-        4 => world.nodes[leader].cut_from = vec![worker],
+        3 => world.nodes[node].unreachable = vec![worker, (worker + 1) % WORKERS],
+        4 => world.nodes[leader].unreachable = vec![worker],
         5 => world.store_down = true,
         6 => world.lost_appends = 350,
-        7 => world.late_orders = 60,
+        7 => world.late_commands = 60,
         8 => {
             world.workers[worker].crash(&mut world.checker);
             world.add_worker(8);
@@ -48,13 +48,13 @@
 fn heal(world: &mut World) {
     world.store_down = false;
     world.lost_appends = 0;
-    world.late_orders = 0;
+    world.late_commands = 0;
     for worker in &mut world.workers {
         worker.fails_all = false;
     }
     for node in 0..NODES {
         world.nodes[node].reaches_store = true;
-        world.nodes[node].cut_from.clear();
+        world.nodes[node].unreachable.clear();
         if !world.nodes[node].up {
             world.restart(node);
         }
@@ -89,11 +89,11 @@
     let mut starts = 0;
     for seed in 0..SEEDS {
         let world = play(seed);
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
         for id in 1..=24 {
             let state = world.state(WorkflowId(id));
             assert!(
-                matches!(state, Some(egretlb_workflow::State::Ended(_))),
+                matches!(state, Some(egretlb_workflow::WorkflowState::Ended(_))),
                 "seed {seed} workflow {id}: {state:?}"
             );
         }
--- a/crates/workflow/tests/seeded_successions.rs
+++ b/crates/workflow/tests/seeded_successions.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use {
-    egretlb_workflow::{Limits, Outcome, State, Step, TaskId, WorkerState, WorkflowId},
+    egretlb_workflow::{Limits, Outcome, Step, TaskId, WorkerState, WorkflowId, WorkflowState},
     rand::Rng,
     std::{env, ops::Range, time::Duration},
     support::{step, submission, worker::Worker, world::World},
@@ -95,7 +95,7 @@
         }
         _ => {
             let cut = lost.clone();
-            world.nodes.iter_mut().for_each(|node| node.cut_from.clone_from(&cut));
+            world.nodes.iter_mut().for_each(|node| node.unreachable.clone_from(&cut));
             return Vec::new();
         }
     }
@@ -120,14 +120,14 @@
     for node in 0..NODES {
         let follows = leader != Some(node);
         match kind {
-            0 if follows => world.nodes[node].cut_from = hit.clone(),
+            0 if follows => world.nodes[node].unreachable = hit.clone(),
             1 if follows => world.nodes[node].refused_by = hit.clone(),
-            2 if !follows => world.nodes[node].cut_from = hit.clone(),
-            3 => world.late_orders = 60,
+            2 if !follows => world.nodes[node].unreachable = hit.clone(),
+            3 => world.late_commands = 60,
             4 => world.lost_appends = 300,
-            6 if !follows => world.nodes[node].deaf_to.clone_from(&hit),
-            7 if !follows => world.nodes[node].deaf_to = (0..RACK).collect(),
-            8 if follows => world.nodes[node].cut_from = (0..RACK).collect(),
+            6 if !follows => world.nodes[node].answers_lost_from.clone_from(&hit),
+            7 if !follows => world.nodes[node].answers_lost_from = (0..RACK).collect(),
+            8 if follows => world.nodes[node].unreachable = (0..RACK).collect(),
             _ => {}
         }
     }
@@ -159,16 +159,16 @@
 fn heal(world: &mut World) {
     world.store_down = false;
     world.lost_appends = 0;
-    world.late_orders = 0;
+    world.late_commands = 0;
     for worker in &mut world.workers {
         worker.listed = true;
     }
     for node in 0..NODES {
         world.nodes[node].reaches_store = true;
         world.nodes[node].calls_hang = false;
-        world.nodes[node].cut_from.clear();
+        world.nodes[node].unreachable.clear();
         world.nodes[node].refused_by.clear();
-        world.nodes[node].deaf_to.clear();
+        world.nodes[node].answers_lost_from.clear();
         if !world.nodes[node].up {
             world.restart(node);
         }
@@ -183,7 +183,7 @@
             let workflow = WorkflowId(*id);
             let culprit = TaskId { workflow, occurrence: 0, step: 0, index: 1 };
             let after = millis(world, 0..400);
-            world.culprits.tasks.insert(culprit, after);
+            world.crashing_tasks.tasks.insert(culprit, after);
         }
         let (count, ms) = (world.rng.random_range(2..10), world.rng.random_range(200..6_000));
         let later = Step { after: [0].into_iter().collect(), ..step(3, 400) };
@@ -197,7 +197,7 @@
 
 /// A step whose tasks run until they are cancelled.
 fn lasting_step() -> Step {
-    Step { lasting: true, ..step(LASTING, 0) }
+    Step { long_running: true, ..step(LASTING, 0) }
 }
 
 /// How many of a workflow's tasks run.
@@ -259,7 +259,7 @@
     }
     world.run(if mix.culprits { 90 } else { 30 } * SECOND);
     let wrong = check_end(&mut world, mix, id, lasting);
-    let culprits = world.culprits.tasks.keys();
+    let culprits = world.crashing_tasks.tasks.keys();
     let crashes = culprits.map(|task| world.checker.crashes_by(*task)).filter(|n| *n > 0).collect();
     Played { wrong, starts: world.checker.starts, crashes }
 }
@@ -268,11 +268,11 @@
     let mut wrong = Vec::new();
     for id in (1..=last).chain(DOOMED..DOOMED + mix.rounds).map(WorkflowId) {
         let (state, running) = (world.state(id), running(world, id));
-        if !matches!(state, Some(State::Ended(_))) || running > 0 {
+        if !matches!(state, Some(WorkflowState::Ended(_))) || running > 0 {
             wrong.push(format!("workflow {id}: {state:?}, {running} tasks run"));
         }
-        let hopeless = world.culprits.tasks.keys().any(|task| task.workflow == id);
-        if state == Some(State::Ended(Outcome::Failed)) && !hopeless {
+        let hopeless = world.crashing_tasks.tasks.keys().any(|task| task.workflow == id);
+        if state == Some(WorkflowState::Ended(Outcome::Failed)) && !hopeless {
             wrong.push(format!("workflow {id} is given up without cause"));
         }
     }
@@ -288,7 +288,7 @@
         let at_work = running(world, wide);
         wrong.push(format!("{at_work} tasks run of a step for {ready} workers"));
     }
-    wrong.append(&mut world.checker.faults);
+    wrong.append(&mut world.checker.violations);
     wrong
 }
 
--- a/crates/workflow/tests/silent_and_renewed.rs
+++ b/crates/workflow/tests/silent_and_renewed.rs
@@ -31,10 +31,10 @@
         world.run(Duration::from_millis(300));
         world.nodes[first].reaches_store = false;
         let others = (0..world.workers.len()).filter(|worker| *worker != busy);
-        world.nodes[first].cut_from = others.collect();
+        world.nodes[first].unreachable = others.collect();
         for node in 0..world.nodes.len() {
             if node != first {
-                world.nodes[node].cut_from = vec![busy];
+                world.nodes[node].unreachable = vec![busy];
             }
         }
         let led = |world: &World| world.leader().is_some_and(|leader| leader != first);
@@ -46,13 +46,13 @@
             world.kill(second);
             world.run(Duration::from_millis(20));
             world.restart(second);
-            world.nodes[second].cut_from = vec![busy];
+            world.nodes[second].unreachable = vec![busy];
             let led = |world: &World| world.leader() == Some(second);
             assert!(world.run_until(SECOND, led).is_some(), "{seed}");
         }
         world.run(14 * SECOND);
         let task = |index| TaskId { workflow: id, occurrence: 0, step: 0, index };
         assert!((0..6).all(|index| world.checker.is_running(task(index))), "{seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "{seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "{seed}");
     }
 }
--- a/crates/workflow/tests/slow_workers.rs
+++ b/crates/workflow/tests/slow_workers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    egretlb_workflow::{Limits, State, Step},
+    egretlb_workflow::{Limits, Step, WorkflowState},
     std::time::Duration,
     support::{step, submission, world::World},
 };
@@ -31,7 +31,7 @@
         let id = world.submit(1, &submission(vec![wide()]));
         let took = world.run_until(6 * SECOND, |world| world.completed(id));
         assert!(took.is_some_and(|took| took < Duration::from_millis(1_500)), "{seed}: {took:?}");
-        assert_eq!(world.checker.faults, Vec::<String>::new());
+        assert_eq!(world.checker.violations, Vec::<String>::new());
     }
 }
 
@@ -69,7 +69,7 @@
     let id = world.submit(1, &submission(vec![step(8, 500)]));
     assert!(world.run_until(12 * SECOND, |world| world.completed(id)).is_some());
     assert!(world.checker.starts <= 24, "{}", world.checker.starts);
-    assert!(matches!(world.state(id), Some(State::Ended(_))));
+    assert!(matches!(world.state(id), Some(WorkflowState::Ended(_))));
 }
 
 /// Tasks of many seconds get on by a percent at a time. One percent where two were due is no sign of a slow
--- a/crates/workflow/tests/spec_checks.rs
+++ b/crates/workflow/tests/spec_checks.rs
@@ -5,8 +5,8 @@
 use {
     egretlb_types::Offset,
     egretlb_workflow::{
-        Key, Ledger, Progress, Record, RecordError, Repeat, SpecError, State, TaskId, Workflow,
-        WorkflowId,
+        Key, Ledger, Progress, Record, RecordError, Repeat, SpecError, TaskId, Workflow,
+        WorkflowId, WorkflowState,
     },
     support::{step, submission},
 };
@@ -40,7 +40,7 @@
 #[test]
 fn chain_is_longest() {
     let steps = vec![step(1, 500), step(1, 200), after(step(3, 300), 1), after(step(1, 100), 2)];
-    assert_eq!(with_steps(steps).chain_ms(), 600);
+    assert_eq!(with_steps(steps).critical_path_ms(), 600);
 }
 
 #[test]
@@ -68,9 +68,9 @@
     }
     assert_eq!(
         ledger.apply(Offset(1), &Key::Progress(id).to_bytes(), &[9, 0]),
-        Err(RecordError::UnknownForm { form: 9 })
+        Err(RecordError::UnsupportedVersion { version: 9 })
     );
-    assert_eq!(ledger.get(id).map(egretlb_workflow::Entry::state), Some(State::Queued));
+    assert_eq!(ledger.get(id).map(egretlb_workflow::Entry::state), Some(WorkflowState::Queued));
     assert_eq!(ledger.iter().count(), 1);
 }
 
@@ -87,7 +87,7 @@
     ledger.apply(Offset(9), &started.key, &started.value).expect("it is whole");
     ledger.apply(Offset(1), &submitted.key, &submitted.value).expect("it is whole");
     ledger.apply(Offset(2), &fresh.key, &fresh.value).expect("it is whole");
-    assert_eq!(ledger.get(id).map(egretlb_workflow::Entry::state), Some(State::Running));
+    assert_eq!(ledger.get(id).map(egretlb_workflow::Entry::state), Some(WorkflowState::Running));
 }
 
 /// A record handed from process to process is a client's or it isn't taken: a follower must not be able
--- a/crates/workflow/tests/successive_leaders.rs
+++ b/crates/workflow/tests/successive_leaders.rs
@@ -14,7 +14,7 @@
 const RESTART: Duration = Duration::from_millis(700);
 
 fn lasting(count: u32) -> Step {
-    Step { lasting: true, per_worker: 1, ..step(count, 0) }
+    Step { long_running: true, per_worker: 1, ..step(count, 0) }
 }
 
 /// A world in which each of six workers runs a lasting task, and one worker is free.
@@ -64,7 +64,7 @@
         restart_leader(&mut world);
         world.run(2 * SECOND);
         assert!(all_run(&world, id), "{seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "{seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "{seed}");
     }
 }
 
@@ -91,7 +91,7 @@
         // from the last sign of life, a quarter of a second old, to the next start.
         let took = world.now.since(begin);
         assert!(took < Duration::from_millis(12_100), "{seed}: {took:?}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "{seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "{seed}");
     }
 }
 
@@ -108,7 +108,7 @@
         // election 1.6 s later.
         let took = world.run_until(12 * SECOND, |world| all_run(world, id));
         assert!(took.is_some_and(|took| took < Duration::from_millis(9_400)), "{seed}: {took:?}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "{seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "{seed}");
     }
 }
 
@@ -122,7 +122,7 @@
         let busy = busy.expect("six tasks run");
         world.workers[busy].rate = 980;
         for node in &mut world.nodes {
-            node.cut_from = vec![busy];
+            node.unreachable = vec![busy];
         }
         for pause in [300 + 200 * seed, 2_500, 900] {
             world.run(Duration::from_millis(pause));
@@ -130,16 +130,16 @@
                 world.kill(leader);
                 world.run(RESTART);
                 world.restart(leader);
-                world.nodes[leader].cut_from = vec![busy];
+                world.nodes[leader].unreachable = vec![busy];
             }
         }
         world.run(12 * SECOND);
         assert!(all_run(&world, id), "{seed}");
         for node in &mut world.nodes {
-            node.cut_from.clear();
+            node.unreachable.clear();
         }
         world.run(4 * SECOND);
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "{seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "{seed}");
     }
 }
 
@@ -157,10 +157,10 @@
         world.nodes[first].reaches_store = false;
         // Nor do others tell it that there is a new leader.
         let others = (0..world.workers.len()).filter(|worker| *worker != busy);
-        world.nodes[first].cut_from = others.collect();
+        world.nodes[first].unreachable = others.collect();
         for node in 0..world.nodes.len() {
             if node != first {
-                world.nodes[node].cut_from = vec![busy];
+                world.nodes[node].unreachable = vec![busy];
             }
         }
         let led = |world: &World| world.leader().is_some_and(|leader| leader != first);
@@ -169,10 +169,10 @@
         world.kill(second);
         world.run(Duration::from_millis(300));
         world.restart(second);
-        world.nodes[second].cut_from = vec![busy];
+        world.nodes[second].unreachable = vec![busy];
         world.run(14 * SECOND);
         assert!(all_run(&world, id), "{seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "{seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "{seed}");
     }
 }
 
@@ -186,7 +186,7 @@
         let mut world = World::new(seed, 3, 4, Limits::default());
         world.run(2 * SECOND);
         for node in &mut world.nodes {
-            node.cut_from = vec![0];
+            node.unreachable = vec![0];
         }
         // Eight cores a worker: three of them are full.
         world.submit(1, &submission(vec![step(24, 60_000)]));
@@ -197,7 +197,7 @@
         let waits = world.submit(2, &submission(vec![step(8, 60_000)]));
         world.run(SECOND);
         let second = world.leader().expect("somebody leads");
-        world.nodes[second].cut_from.clear();
+        world.nodes[second].unreachable.clear();
         world.nodes[second].reaches_store = false;
         world.run(3 * SECOND);
         world.add_worker(8);
@@ -205,6 +205,6 @@
         assert_ne!(world.leader(), Some(second), "{seed}");
         let task = |index| TaskId { workflow: waits, occurrence: 0, step: 0, index };
         assert!((0..8).all(|index| world.checker.is_running(task(index))), "{seed}");
-        assert_eq!(world.checker.faults, Vec::<String>::new(), "{seed}");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "{seed}");
     }
 }
--- a/crates/workflow/tests/support/advisor.rs
+++ b/crates/workflow/tests/support/advisor.rs
@@ -16,10 +16,10 @@
     /// It turns calls away.
     pub busy: bool,
     /// It gives no answer.
-    pub silent: bool,
+    pub unresponsive: bool,
     pub calls: u32,
     /// Workers that were asked about, in all calls.
-    pub named: usize,
+    pub asked_workers: usize,
     issued: BTreeMap<CompactString, Time>,
 }
 
@@ -37,13 +37,13 @@
         terms: AdviceTerms,
     ) -> (AdviceResult, Duration) {
         self.calls += 1;
-        if self.silent {
+        if self.unresponsive {
             return (AdviceResult::Failed, Duration::from_secs(2));
         }
         if self.busy {
             return (AdviceResult::Busy, Duration::from_millis(5));
         }
-        self.named += workers.len();
+        self.asked_workers += workers.len();
         let count = u32::try_from(workers.len()).expect("few workers");
         let takes =
             Duration::from_millis(u64::from(terms.decision_ms + terms.per_worker_ms * count));
--- a/crates/workflow/tests/support/checker.rs
+++ b/crates/workflow/tests/support/checker.rs
@@ -17,16 +17,16 @@
 /// Faults found, and what they are judged by.
 #[derive(Default)]
 pub struct Checker {
-    pub faults: Vec<String>,
+    pub violations: Vec<String>,
     pub starts: u32,
     running: BTreeMap<TaskId, BTreeSet<(WorkerId, RunId)>>,
     /// Ends `done` that a worker still lists, by worker and number.
-    unnoted: BTreeMap<WorkerId, BTreeMap<u64, (TaskId, EndKind)>>,
+    unacknowledged: BTreeMap<WorkerId, BTreeMap<u64, (TaskId, EndKind)>>,
     done: BTreeSet<TaskId>,
-    noted: BTreeSet<TaskId>,
+    acknowledged_done: BTreeSet<TaskId>,
     failed: BTreeMap<TaskId, u32>,
     /// Workers that each culprit has crashed, and its starts after the third.
-    culprits: BTreeMap<TaskId, (u32, u32)>,
+    crashing_tasks: BTreeMap<TaskId, (u32, u32)>,
     pub cancelled: BTreeSet<WorkflowId>,
 }
 
@@ -42,28 +42,29 @@
         let step = &submission.workflow.steps[usize::from(task.step)];
         let running = self.running.entry(task).or_default();
         if !step.speculative && !running.is_empty() {
-            self.faults.push(format!("{task} run {run} at {worker} beside {running:?}"));
+            self.violations.push(format!("{task} run {run} at {worker} beside {running:?}"));
         }
         running.insert((worker.clone(), run));
-        if self.noted.contains(&task) {
-            self.faults.push(format!("{task} run {run} started after it was done"));
+        if self.acknowledged_done.contains(&task) {
+            self.violations.push(format!("{task} run {run} started after it was done"));
         }
         if self.failed.get(&task).is_some_and(|failed| *failed >= submission.max_attempts) {
-            self.faults.push(format!("{task} run {run} started after its last attempt"));
+            self.violations.push(format!("{task} run {run} started after its last attempt"));
         }
-        if let Some((crashes, starts)) = self.culprits.get_mut(&task)
+        if let Some((crashes, starts)) = self.crashing_tasks.get_mut(&task)
             && *crashes >= CRASHES
         {
             *starts += 1;
             if *starts >= STARTS_AFTER_CRASHES {
-                self.faults.push(format!("{task} run {run} started after {crashes} crashes"));
+                self.violations.push(format!("{task} run {run} started after {crashes} crashes"));
             }
         }
         for after in &step.after {
             let count = submission.workflow.steps[usize::from(*after)].count;
             let before = |index| TaskId { step: *after, index, ..task };
             if !(0..count).all(|index| self.done.contains(&before(index))) {
-                self.faults.push(format!("{task} run {run} started before step {after} was done"));
+                self.violations
+                    .push(format!("{task} run {run} started before step {after} was done"));
             }
         }
     }
@@ -77,7 +78,7 @@
         number: u64,
     ) {
         self.vanished(worker, task, run);
-        self.unnoted.entry(worker.clone()).or_default().insert(number, (task, kind));
+        self.unacknowledged.entry(worker.clone()).or_default().insert(number, (task, kind));
         if kind == EndKind::Done {
             self.done.insert(task);
         }
@@ -91,12 +92,12 @@
 
     /// A worker's ends up to `number` are acknowledged: they stand.
     pub fn acknowledged(&mut self, worker: &WorkerId, number: u64) {
-        let Some(ends) = self.unnoted.get_mut(worker) else { return };
+        let Some(ends) = self.unacknowledged.get_mut(worker) else { return };
         let rest = ends.split_off(&(number + 1));
         for (_, (task, kind)) in std::mem::replace(ends, rest) {
             match kind {
                 EndKind::Done => {
-                    self.noted.insert(task);
+                    self.acknowledged_done.insert(task);
                 }
                 EndKind::Failed => *self.failed.entry(task).or_default() += 1,
                 _ => {}
@@ -105,18 +106,18 @@
     }
 
     /// A task has crashed its worker.
-    pub fn crashed_by(&mut self, culprit: TaskId) {
-        self.culprits.entry(culprit).or_default().0 += 1;
+    pub fn crashed_by(&mut self, crashing_task: TaskId) {
+        self.crashing_tasks.entry(crashing_task).or_default().0 += 1;
     }
 
     /// How many workers a task has crashed.
-    pub fn crashes_by(&self, culprit: TaskId) -> u32 {
-        self.culprits.get(&culprit).map_or(0, |(crashes, _)| *crashes)
+    pub fn crashes_by(&self, crashing_task: TaskId) -> u32 {
+        self.crashing_tasks.get(&crashing_task).map_or(0, |(crashes, _)| *crashes)
     }
 
     /// A worker crashed: ends that nobody took note of are void.
-    pub fn forgotten(&mut self, worker: &WorkerId) {
-        self.unnoted.remove(worker);
+    pub fn discard_ends(&mut self, worker: &WorkerId) {
+        self.unacknowledged.remove(worker);
     }
 
     pub fn is_running(&self, task: TaskId) -> bool {
--- a/crates/workflow/tests/support/culprits.rs
+++ b/crates/workflow/tests/support/crashing_tasks.rs
@@ -11,7 +11,7 @@
 const GANG_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Which tasks crash their worker, and when what they crashed is back.
-pub struct Culprits {
+pub struct CrashingTasks {
     /// How long after its start each task crashes its worker.
     pub tasks: BTreeMap<TaskId, Duration>,
     /// How long a worker is away.
@@ -21,16 +21,16 @@
     down: Vec<(Time, usize)>,
 }
 
-impl Default for Culprits {
-    fn default() -> Culprits {
+impl Default for CrashingTasks {
+    fn default() -> CrashingTasks {
         let away = Duration::from_millis(3_200);
-        Culprits { tasks: BTreeMap::new(), away, unanswered: false, down: Vec::new() }
+        CrashingTasks { tasks: BTreeMap::new(), away, unanswered: false, down: Vec::new() }
     }
 }
 
-impl Culprits {
+impl CrashingTasks {
     /// Whether an order gets no answer since its worker crashes at once.
-    pub fn swallows(&self, effect: &Effect) -> bool {
+    pub fn drops_answer(&self, effect: &Effect) -> bool {
         let Effect::Start { task, .. } = effect else { return false };
         self.unanswered && self.tasks.contains_key(task)
     }
@@ -51,7 +51,7 @@
     }
 
     /// Ends members of a gang that have waited in vain for the others.
-    pub fn end_lonely_gangs(&mut self) {
+    pub fn end_incomplete_gangs(&mut self) {
         let now = self.now;
         let mut present: BTreeMap<(StepId, RunId), u32> = BTreeMap::new();
         for worker in &self.workers {
@@ -60,12 +60,12 @@
             }
         }
         for worker in &mut self.workers {
-            let lonely = |(task, run): &(&TaskId, &Run)| {
+            let incomplete = |(task, run): &(&TaskId, &Run)| {
                 let there = present.get(&(task.step_id(), run.run)).copied().unwrap_or(0);
                 run.step.gang && there < run.step.count && worker.waited(now, run) >= GANG_TIMEOUT
             };
             let ended: Vec<TaskId> =
-                worker.running.iter().filter(lonely).map(|(t, _)| *t).collect();
+                worker.running.iter().filter(incomplete).map(|(t, _)| *t).collect();
             for task in ended {
                 worker.finish(task, EndKind::Alone, &mut self.checker);
             }
@@ -74,19 +74,21 @@
 
     /// Crashes the workers at which a culprit has run for as long as it takes, and brings back those whose time is
     /// over.
-    pub fn crash_by_culprits(&mut self) {
+    pub fn run_crashing_tasks(&mut self) {
         let now = self.now;
         for number in 0..self.workers.len() {
             let worker = &self.workers[number];
-            let Some(task) = worker.culprit(now, &self.culprits.tasks) else { continue };
+            let Some(task) = worker.crashing_task(now, &self.crashing_tasks.tasks) else {
+                continue;
+            };
             self.checker.crashed_by(task);
             let lost: Vec<TaskId> = self.workers[number].running.keys().copied().collect();
             self.workers[number].crash(&mut self.checker);
             lost.into_iter().for_each(|task| self.break_gang(task));
-            self.culprits.down.push((now + self.culprits.away, number));
+            self.crashing_tasks.down.push((now + self.crashing_tasks.away, number));
         }
-        let (back, down) = self.culprits.down.drain(..).partition(|(at, _)| *at <= now);
-        self.culprits.down = down;
+        let (back, down) = self.crashing_tasks.down.drain(..).partition(|(at, _)| *at <= now);
+        self.crashing_tasks.down = down;
         let back: Vec<(Time, usize)> = back;
         for (_, number) in back {
             self.revive(number);
--- a/crates/workflow/tests/support/fleet.rs
+++ b/crates/workflow/tests/support/fleet.rs
@@ -3,7 +3,7 @@
 use {
     compact_str::format_compact,
     egretlb_types::{Epoch, Time},
-    egretlb_workflow::{UpkeepResult, VmEntry, VmId, VmState, WorkerId},
+    egretlb_workflow::{MaintenanceResult, VmEntry, VmId, VmState, WorkerId},
     std::{
         collections::{BTreeMap, BTreeSet},
         time::Duration,
@@ -22,9 +22,9 @@
     pub done: BTreeSet<VmId>,
     tokens: BTreeMap<VmId, Epoch>,
     /// The most VMs that were down at one time.
-    pub most_down: usize,
+    pub max_down: usize,
     /// What the operator was told, in order.
-    pub told: Vec<egretlb_workflow::WaveState>,
+    pub reported: Vec<egretlb_workflow::WaveState>,
 }
 
 pub fn vm(number: usize) -> VmId {
@@ -47,21 +47,21 @@
         now: Time,
         epoch: Epoch,
         vm: &VmId,
-    ) -> (UpkeepResult, Option<WorkerId>) {
+    ) -> (MaintenanceResult, Option<WorkerId>) {
         let token = self.tokens.entry(vm.clone()).or_insert(epoch);
         if epoch < *token {
-            return (UpkeepResult::Outranked, None);
+            return (MaintenanceResult::Outranked, None);
         }
         *token = epoch;
         if self.done.contains(vm) {
-            return (UpkeepResult::Begun, None);
+            return (MaintenanceResult::Started, None);
         }
-        let Some(known) = self.vms.get_mut(vm) else { return (UpkeepResult::NotOfWave, None) };
-        let Some(worker) = known.take() else { return (UpkeepResult::Busy, None) };
+        let Some(known) = self.vms.get_mut(vm) else { return (MaintenanceResult::NotInWave, None) };
+        let Some(worker) = known.take() else { return (MaintenanceResult::Busy, None) };
         self.done.insert(vm.clone());
         self.down.insert(vm.clone(), now + UPKEEP);
-        self.most_down = self.most_down.max(self.down.len());
-        (UpkeepResult::Begun, Some(worker))
+        self.max_down = self.max_down.max(self.down.len());
+        (MaintenanceResult::Started, Some(worker))
     }
 
     /// VMs whose upkeep ends now.
