--- a/crates/workflow/tests/support/messages.rs
+++ b/crates/workflow/tests/support/messages.rs
@@ -2,14 +2,14 @@
 
 use {
     super::{
-        node::Wish,
-        worker::{StartOrder, Worker},
+        node::Action,
+        worker::{StartCommand, Worker},
         world::{STEP, World},
     },
     egretlb_types::{Epoch, Seq, Time},
     egretlb_workflow::{
-        AdviceResult, AdviceTerms, AppendResult, Effect, HoldResult, PaceResult, Record, RunId,
-        Scheduler, StartResult, StepId, StopResult, TaskId, UpkeepResult, VmId, VmList, WaveState,
+        AdviceResult, AdviceTerms, AppendResult, Effect, HoldResult, MaintenanceResult, PaceResult,
+        Record, RunId, Scheduler, StartResult, StepId, StopResult, TaskId, VmId, VmList, WaveState,
         WorkerId,
     },
     rand::Rng,
@@ -34,7 +34,7 @@
         claim: bool,
         result: AppendResult,
     },
-    Order {
+    Command {
         node: usize,
         incarnation: u64,
         epoch: Epoch,
@@ -51,21 +51,21 @@
 }
 
 pub enum Answer {
-    Hold(WorkerId, HoldResult),
+    Poll(WorkerId, HoldResult),
     Start(WorkerId, TaskId, RunId, StartResult),
     Stop(WorkerId, TaskId, RunId, StopResult),
     Pace(WorkerId, TaskId, RunId, PaceResult),
     Advice(StepId, AdviceResult),
     Vms(Option<VmList>),
-    Upkeep(u64, VmId, UpkeepResult),
-    Told(u64, WaveState),
+    Upkeep(u64, VmId, MaintenanceResult),
+    WaveReported(u64, WaveState),
 }
 
 impl Answer {
     /// What a node knows when a worker's answer doesn't reach it.
     fn lost(self) -> Answer {
         match self {
-            Answer::Hold(id, _) => Answer::Hold(id, HoldResult::Failed),
+            Answer::Poll(id, _) => Answer::Poll(id, HoldResult::Failed),
             Answer::Start(id, task, run, _) => Answer::Start(id, task, run, StartResult::Unknown),
             Answer::Stop(id, task, run, _) => Answer::Stop(id, task, run, StopResult::Unknown),
             Answer::Pace(id, task, run, _) => Answer::Pace(id, task, run, PaceResult::Unknown),
@@ -76,7 +76,7 @@
 
 /// What an order meets at the address that it is sent to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Meets {
+enum Delivery {
     /// The worker.
     Worker,
     /// No answer; it isn't carried out.
@@ -91,25 +91,25 @@
 const HANGS: Duration = Duration::from_millis(2_400);
 
 /// What advice costs in this world.
-pub const TERMS: AdviceTerms =
+pub const ADVICE_TERMS: AdviceTerms =
     AdviceTerms { decision_ms: 60, per_worker_ms: 10, validity_ms: 3_000 };
 
 impl World {
-    pub fn perform(&mut self, node: usize, wishes: Vec<Wish>) {
+    pub fn perform(&mut self, node: usize, actions: Vec<Action>) {
         let incarnation = self.nodes[node].incarnation;
         let sent = self.now;
-        for wish in wishes {
-            match wish {
-                Wish::Claim { epoch, seq, records } => {
+        for enqueue in actions {
+            match enqueue {
+                Action::Claim { epoch, seq, records } => {
                     let fence = (epoch, seq);
                     self.send(Msg::Append { node, incarnation, sent, records, fence, claim: true });
                 }
-                Wish::Effect(epoch, Effect::Record { mut records }) => {
+                Action::Effect(epoch, Effect::Record { mut records }) => {
                     let leadership = &mut self.nodes[node].leadership;
                     if leadership.term() != Some(epoch) {
                         continue;
                     }
-                    let Some((_, seq, sign)) = leadership.sign(sent, false) else { continue };
+                    let Some((_, seq, sign)) = leadership.heartbeat(sent, false) else { continue };
                     records.push(sign);
                     let fence = (epoch, seq);
                     self.send(Msg::Append {
@@ -121,18 +121,18 @@
                         claim: false,
                     });
                 }
-                Wish::Effect(_, Effect::Outranked) => {
+                Action::Effect(_, Effect::Outranked) => {
                     let mut out = Vec::new();
                     let node = &mut self.nodes[node];
                     node.leadership.on_outranked(sent, &mut out);
                     node.apply(sent, out, &mut Vec::new());
                 }
-                Wish::Effect(epoch, effect) => {
+                Action::Effect(epoch, effect) => {
                     let polls = matches!(effect, Effect::Hold { .. });
-                    let wait = if polls { Duration::ZERO } else { self.order_wait };
-                    let turn = self.now + wait + STEP * self.rng.random_range(1..=3);
-                    let msg = Msg::Order { node, incarnation, epoch, sent: turn, effect };
-                    self.messages.push((turn, msg));
+                    let wait = if polls { Duration::ZERO } else { self.command_wait };
+                    let deliver_at = self.now + wait + STEP * self.rng.random_range(1..=3);
+                    let msg = Msg::Command { node, incarnation, epoch, sent: deliver_at, effect };
+                    self.messages.push((deliver_at, msg));
                 }
             }
         }
@@ -153,8 +153,8 @@
                 Msg::Append { node, incarnation, sent, records, fence, claim } => {
                     self.append(node, incarnation, (sent, records, fence), claim);
                 }
-                Msg::Order { node, incarnation, epoch, sent, effect } => {
-                    self.order(node, incarnation, epoch, sent, effect);
+                Msg::Command { node, incarnation, epoch, sent, effect } => {
+                    self.handle_command(node, incarnation, epoch, sent, effect);
                 }
                 msg => self.answer(msg),
             }
@@ -203,12 +203,19 @@
         self.late_appends > 0 && self.rng.random_range(0..1_000) < self.late_appends
     }
 
-    fn order(&mut self, node: usize, incarnation: u64, epoch: Epoch, sent: Time, effect: Effect) {
+    fn handle_command(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        epoch: Epoch,
+        sent: Time,
+        effect: Effect,
+    ) {
         let now = self.now;
         match effect {
             Effect::Advise { .. } => return self.advise(node, incarnation, epoch, effect),
             Effect::ListVms | Effect::Upkeep { .. } | Effect::TellWave { .. } => {
-                return self.keep_up(node, incarnation, epoch, sent, effect);
+                return self.call_vms(node, incarnation, epoch, sent, effect);
             }
             _ => {}
         }
@@ -221,9 +228,11 @@
         };
         let id = id.clone();
         let polls = matches!(effect, Effect::Hold { .. });
-        if let Some(turn) = self.turn_at(&id).filter(|turn| !polls && *turn > now) {
-            let msg = Msg::Order { node, incarnation, epoch, sent: turn, effect };
-            self.messages.push((turn, msg));
+        if let Some(deliver_at) =
+            self.next_free(&id).filter(|deliver_at| !polls && *deliver_at > now)
+        {
+            let msg = Msg::Command { node, incarnation, epoch, sent: deliver_at, effect };
+            self.messages.push((deliver_at, msg));
             return;
         }
         if let Effect::Start { task, run, .. } = &effect
@@ -237,50 +246,56 @@
         let Some(index) = self.workers.iter().position(|worker| worker.info.id == id) else {
             return;
         };
-        let late = self.rng.random_range(0..1_000) < self.late_orders;
+        let late = self.rng.random_range(0..1_000) < self.late_commands;
         if late && now.since(sent) < Duration::from_millis(100) {
             let wait = Duration::from_millis(self.rng.random_range(2_000..12_000));
-            let lost = Msg::Order { node, incarnation, epoch, sent, effect: effect.clone() };
+            let lost = Msg::Command { node, incarnation, epoch, sent, effect: effect.clone() };
             self.messages.push((now + wait, lost));
         }
-        let mute = self.workers[index].mute && !polls;
-        let meets = if late || mute { Meets::Silence } else { self.meets(node, index) };
-        let deaf = self.nodes[node].deaf_to.contains(&index) || self.culprits.swallows(&effect);
+        let ignores_commands = self.workers[index].ignores_commands && !polls;
+        let delivery =
+            if late || ignores_commands { Delivery::Silence } else { self.delivery(node, index) };
+        let answer_lost = self.nodes[node].answers_lost_from.contains(&index)
+            || self.crashing_tasks.drops_answer(&effect);
         // A call without an answer is given up after half a second.
-        let wait = if deaf || meets == Meets::Silence { Duration::from_millis(500) } else { STEP };
+        let wait = if answer_lost || delivery == Delivery::Silence {
+            Duration::from_millis(500)
+        } else {
+            STEP
+        };
         if !polls {
-            self.turns.entry(id.clone()).or_default().push(now + wait);
+            self.busy_until.entry(id.clone()).or_default().push(now + wait);
         }
-        let Some(mut answer) = self.carry_out(index, id, effect, meets) else { return };
-        if deaf {
+        let Some(mut answer) = self.carry_out(index, id, effect, delivery) else { return };
+        if answer_lost {
             answer = answer.lost();
         }
         self.messages.push((now + wait, Msg::Answer { node, incarnation, epoch, sent, answer }));
     }
 
     /// When the next order may be sent to a worker; none if orders don't wait for each other.
-    fn turn_at(&mut self, id: &WorkerId) -> Option<Time> {
-        let (now, most) = (self.now, self.orders_at_once?);
-        let busy = self.turns.entry(id.clone()).or_default();
+    fn next_free(&mut self, id: &WorkerId) -> Option<Time> {
+        let (now, max) = (self.now, self.max_concurrent_commands?);
+        let busy = self.busy_until.entry(id.clone()).or_default();
         busy.retain(|until| *until > now);
         busy.sort_unstable();
-        busy.len().checked_sub(most).map(|first| busy[first])
+        busy.len().checked_sub(max).map(|first| busy[first])
     }
 
     /// What orders of a node to a worker meet.
-    fn meets(&self, node: usize, index: usize) -> Meets {
+    fn delivery(&self, node: usize, index: usize) -> Delivery {
         let node = &self.nodes[node];
         let worker = &self.workers[index];
         let addr = worker.info.addr;
         let listens = |other: &Worker| other.up && other.info.addr == addr;
         let there = self.workers.iter().position(listens);
         match there {
-            _ if node.cut_from.contains(&index) => Meets::Silence,
-            _ if node.refused_by.contains(&index) => Meets::Refusal,
-            Some(there) if there == index => Meets::Worker,
-            Some(_) => Meets::Successor,
-            None if worker.vm_up => Meets::Refusal,
-            None => Meets::Silence,
+            _ if node.unreachable.contains(&index) => Delivery::Silence,
+            _ if node.refused_by.contains(&index) => Delivery::Refusal,
+            Some(there) if there == index => Delivery::Worker,
+            Some(_) => Delivery::Successor,
+            None if worker.vm_up => Delivery::Refusal,
+            None => Delivery::Silence,
         }
     }
 
@@ -290,47 +305,47 @@
         index: usize,
         id: WorkerId,
         effect: Effect,
-        meets: Meets,
+        delivery: Delivery,
     ) -> Option<Answer> {
         let now = self.now;
         let (worker, checker) = (&mut self.workers[index], &mut self.checker);
         Some(match effect {
             Effect::Hold { epoch, recorded, until_ms, .. } => {
-                let result = match meets {
-                    Meets::Worker => worker.hold(now, epoch, recorded, until_ms, checker),
-                    Meets::Silence => HoldResult::Failed,
-                    Meets::Refusal => HoldResult::Refused,
-                    Meets::Successor => HoldResult::OtherIncarnation,
+                let result = match delivery {
+                    Delivery::Worker => worker.poll(now, epoch, recorded, until_ms, checker),
+                    Delivery::Silence => HoldResult::Failed,
+                    Delivery::Refusal => HoldResult::Refused,
+                    Delivery::Successor => HoldResult::OtherIncarnation,
                 };
-                Answer::Hold(id, result)
+                Answer::Poll(id, result)
             }
             Effect::Start { epoch, task, run, submission, until_ms, ticket, .. } => {
                 let step = task.step_id();
                 let ticketed =
                     submission.advice.is_none() || self.advisor.accepts(now, step, &id, &ticket);
-                let order = StartOrder { epoch, task, run, submission, until_ms };
-                let result = match meets {
-                    Meets::Worker if !ticketed => StartResult::BadTicket,
-                    Meets::Worker => worker.start(now, &order, checker),
-                    Meets::Silence => StartResult::Unknown,
-                    Meets::Refusal => StartResult::NotSent,
-                    Meets::Successor => StartResult::OtherIncarnation,
+                let command = StartCommand { epoch, task, run, submission, until_ms };
+                let result = match delivery {
+                    Delivery::Worker if !ticketed => StartResult::BadTicket,
+                    Delivery::Worker => worker.start(now, &command, checker),
+                    Delivery::Silence => StartResult::Unknown,
+                    Delivery::Refusal => StartResult::NotSent,
+                    Delivery::Successor => StartResult::OtherIncarnation,
                 };
                 Answer::Start(id, task, run, result)
             }
             Effect::Stop { epoch, task, run, .. } => {
-                let result = match meets {
-                    Meets::Worker => worker.stop(now, epoch, task, run, checker),
-                    Meets::Silence | Meets::Refusal => StopResult::Unknown,
-                    Meets::Successor => StopResult::OtherIncarnation,
+                let result = match delivery {
+                    Delivery::Worker => worker.stop(now, epoch, task, run, checker),
+                    Delivery::Silence | Delivery::Refusal => StopResult::Unknown,
+                    Delivery::Successor => StopResult::OtherIncarnation,
                 };
                 Answer::Stop(id, task, run, result)
             }
             Effect::Pace { epoch, task, run, percent, .. } => {
-                let result = match meets {
-                    Meets::Worker => worker.pace(now, epoch, (task, run), percent),
-                    Meets::Silence | Meets::Refusal => PaceResult::Unknown,
-                    Meets::Successor => PaceResult::OtherIncarnation,
+                let result = match delivery {
+                    Delivery::Worker => worker.pace(now, epoch, (task, run), percent),
+                    Delivery::Silence | Delivery::Refusal => PaceResult::Unknown,
+                    Delivery::Successor => PaceResult::OtherIncarnation,
                 };
                 Answer::Pace(id, task, run, result)
             }
@@ -374,20 +389,20 @@
             self.messages.push((receiver.frozen_until, msg));
             return;
         }
-        let mut wishes = Vec::new();
+        let mut actions = Vec::new();
         match msg {
             Msg::Appended { claim: true, result, .. } => {
                 self.nodes[node].leadership.on_claim(now, result);
             }
             Msg::Appended { sent, records, fence, result, .. } => {
-                self.on_appended(node, (sent, records, fence), result, &mut wishes);
+                self.on_appended(node, (sent, records, fence), result, &mut actions);
             }
             Msg::Answer { epoch, sent, answer, .. } => {
-                self.on_answer(node, epoch, sent, answer, &mut wishes);
+                self.on_answer(node, epoch, sent, answer, &mut actions);
             }
-            Msg::Append { .. } | Msg::Order { .. } => {}
+            Msg::Append { .. } | Msg::Command { .. } => {}
         }
-        self.perform(node, wishes);
+        self.perform(node, actions);
     }
 
     fn on_appended(
@@ -395,7 +410,7 @@
         index: usize,
         append: (Time, Vec<Record>, (Epoch, Seq)),
         result: AppendResult,
-        wishes: &mut Vec<Wish>,
+        actions: &mut Vec<Action>,
     ) {
         let now = self.now;
         let (sent, records, fence) = append;
@@ -405,7 +420,7 @@
             return;
         }
         node.leadership.on_append(now, sent, result, &mut out);
-        node.apply(now, out, wishes);
+        node.apply(now, out, actions);
         match result {
             AppendResult::Done => {
                 if let Some(scheduler) = &mut node.scheduler {
@@ -428,7 +443,7 @@
         epoch: Epoch,
         sent: Time,
         answer: Answer,
-        wishes: &mut Vec<Wish>,
+        actions: &mut Vec<Action>,
     ) {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -438,7 +453,7 @@
         let Some(scheduler) = &mut node.scheduler else { return };
         let mut effects = Vec::new();
         match answer {
-            Answer::Hold(id, result) => scheduler.on_hold(now, &id, sent, &result, &mut effects),
+            Answer::Poll(id, result) => scheduler.on_hold(now, &id, sent, &result, &mut effects),
             Answer::Start(id, task, run, result) => {
                 scheduler.on_start(now, &id, task, run, result, &mut effects);
             }
@@ -450,11 +465,11 @@
             Answer::Upkeep(wave, vm, result) => {
                 scheduler.on_upkeep(now, wave, &vm, result, &mut effects);
             }
-            Answer::Told(wave, state) => scheduler.on_told(wave, state, true),
+            Answer::WaveReported(wave, state) => scheduler.on_told(wave, state, true),
             Answer::Pace(id, task, run, result) => {
                 scheduler.on_pace(now, &id, task, run, result, &mut effects);
             }
         }
-        node.wish(effects, wishes);
+        node.enqueue(effects, actions);
     }
 }
--- a/crates/workflow/tests/support/mod.rs
+++ b/crates/workflow/tests/support/mod.rs
@@ -5,7 +5,7 @@
 
 pub mod advisor;
 pub mod checker;
-pub mod culprits;
+pub mod crashing_tasks;
 pub mod fleet;
 pub mod lines;
 pub mod messages;
@@ -36,10 +36,10 @@
 }
 
 /// A step of `count` lasting tasks of `cores` each.
-pub fn lasting(count: u32, cores: u32) -> Step {
+pub fn long_running(count: u32, cores: u32) -> Step {
     let mut step = step(count, 0);
     step.resources.cpu = MilliCores(cores * 1_000);
-    step.lasting = true;
+    step.long_running = true;
     step
 }
 
@@ -53,7 +53,7 @@
         stretch_permille: 2_000,
         slack_ms: 1_000,
         advice: None,
-        taken_ms: 0,
+        accepted_ms: 0,
         workflow: Workflow { payload: CompactString::const_new("work"), steps, repeat: None },
     }
 }
--- a/crates/workflow/tests/support/node.rs
+++ b/crates/workflow/tests/support/node.rs
@@ -3,8 +3,8 @@
 use {
     egretlb_types::{Epoch, Offset, Seq, Time},
     egretlb_workflow::{
-        Change, DirectoryChange, Effect, Leadership, LeadershipEffect, Ledger, Limits, Scheduler,
-        WorkerInfo,
+        DirectoryChange, Effect, Leadership, LeadershipEffect, Ledger, LedgerChange, Limits,
+        Scheduler, WorkerInfo,
     },
 };
 
@@ -21,9 +21,9 @@
     /// While it can't reach the store its calls hang, and arrive once it can.
     pub calls_hang: bool,
     /// Workers that it can't reach.
-    pub cut_from: Vec<usize>,
+    pub unreachable: Vec<usize>,
     /// Workers that take its orders and whose answers are lost.
-    pub deaf_to: Vec<usize>,
+    pub answers_lost_from: Vec<usize>,
     /// Workers that are well and whose network turns its connections away.
     pub refused_by: Vec<usize>,
     pub elections: u32,
@@ -33,7 +33,7 @@
 }
 
 /// What a node wants done.
-pub enum Wish {
+pub enum Action {
     Claim { epoch: Epoch, seq: Seq, records: Vec<egretlb_workflow::Record> },
     Effect(Epoch, Effect),
 }
@@ -55,8 +55,8 @@
             next: Offset(0),
             reaches_store: true,
             calls_hang: false,
-            cut_from: Vec::new(),
-            deaf_to: Vec::new(),
+            unreachable: Vec::new(),
+            answers_lost_from: Vec::new(),
             refused_by: Vec::new(),
             elections: 0,
             directory: Vec::new(),
@@ -74,38 +74,40 @@
     }
 
     /// Takes a record in.
-    pub fn read(&mut self, now: Time, offset: Offset, key: &[u8], value: &[u8]) -> Vec<Wish> {
+    pub fn read(&mut self, now: Time, offset: Offset, key: &[u8], value: &[u8]) -> Vec<Action> {
         self.next = offset.next();
         let change = self.ledger.apply(offset, key, value).expect("a record of this crate");
-        let mut wishes = Vec::new();
+        let mut actions = Vec::new();
         let mut out = Vec::new();
         match change {
-            Change::Leader => {
+            LedgerChange::Leader => {
                 let leader = self.ledger.leader().cloned().expect("it was just read");
-                self.leadership.on_leader(now, &leader, &mut out);
+                self.leadership.on_leader_record(now, &leader, &mut out);
+            }
+            LedgerChange::Progressed(_) | LedgerChange::Roster => {
+                self.leadership.on_leader_activity(now)
             }
-            Change::Progressed(_) | Change::Roster => self.leadership.on_life(now),
             _ => {}
         }
-        self.apply(now, out, &mut wishes);
+        self.apply(now, out, &mut actions);
         let mut effects = Vec::new();
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.on_change(now, &self.ledger, change, &mut effects);
         }
-        self.wish(effects, &mut wishes);
-        wishes
+        self.enqueue(effects, &mut actions);
+        actions
     }
 
-    pub fn wish(&mut self, effects: Vec<Effect>, wishes: &mut Vec<Wish>) {
+    pub fn enqueue(&mut self, effects: Vec<Effect>, actions: &mut Vec<Action>) {
         let Some(epoch) = self.leadership.term() else { return };
-        wishes.extend(effects.into_iter().map(|effect| Wish::Effect(epoch, effect)));
+        actions.extend(effects.into_iter().map(|effect| Action::Effect(epoch, effect)));
     }
 
-    pub fn apply(&mut self, now: Time, out: Vec<LeadershipEffect>, wishes: &mut Vec<Wish>) {
+    pub fn apply(&mut self, now: Time, out: Vec<LeadershipEffect>, actions: &mut Vec<Action>) {
         for effect in out {
             match effect {
                 LeadershipEffect::Claim { epoch, seq, records } => {
-                    wishes.push(Wish::Claim { epoch, seq, records });
+                    actions.push(Action::Claim { epoch, seq, records });
                 }
                 LeadershipEffect::Elected { epoch, succession } => {
                     self.elections += 1;
--- a/crates/workflow/tests/support/services.rs
+++ b/crates/workflow/tests/support/services.rs
@@ -2,19 +2,19 @@
 
 use {
     super::{
-        messages::{Answer, Msg, TERMS},
+        messages::{ADVICE_TERMS, Answer, Msg},
         worker::Worker,
         world::{STEP, World},
     },
     egretlb_types::{Epoch, Time},
-    egretlb_workflow::{Effect, UpkeepResult, VmList},
+    egretlb_workflow::{Effect, MaintenanceResult, VmList},
     rand::Rng,
     std::time::Duration,
 };
 
 impl World {
     /// Calls about VMs, which may get no answer and be carried out seconds later, as orders may.
-    pub fn keep_up(
+    pub fn call_vms(
         &mut self,
         node: usize,
         incarnation: u64,
@@ -23,21 +23,21 @@
         effect: Effect,
     ) {
         let now = self.now;
-        let late = self.rng.random_range(0..1_000) < self.late_orders;
+        let late = self.rng.random_range(0..1_000) < self.late_commands;
         let answer = match &effect {
             Effect::ListVms => {
-                Answer::Vms((!late).then(|| VmList { vms: self.fleet.list(), whole: true }))
+                Answer::Vms((!late).then(|| VmList { vms: self.fleet.list(), complete: true }))
             }
             Effect::TellWave { wave, state } => {
-                self.fleet.told.push(*state);
-                Answer::Told(*wave, *state)
+                self.fleet.reported.push(*state);
+                Answer::WaveReported(*wave, *state)
             }
             Effect::Upkeep { vm, wave, epoch } => {
-                let mut result = UpkeepResult::Unknown;
+                let mut result = MaintenanceResult::Unknown;
                 if late && now.since(sent) < Duration::from_millis(100) {
                     let wait = Duration::from_millis(self.rng.random_range(2_000..12_000));
                     let effect = effect.clone();
-                    let lost = Msg::Order { node, incarnation, epoch: *epoch, sent, effect };
+                    let lost = Msg::Command { node, incarnation, epoch: *epoch, sent, effect };
                     self.messages.push((now + wait, lost));
                 } else {
                     let (known, ended) = self.fleet.begin(now, *epoch, vm);
@@ -61,7 +61,7 @@
         let now = self.now;
         let entry = self.nodes[node].ledger.get(step.workflow);
         let submission = entry.and_then(|entry| entry.submission.clone());
-        let terms = submission.and_then(|submission| submission.advice).unwrap_or(TERMS);
+        let terms = submission.and_then(|submission| submission.advice).unwrap_or(ADVICE_TERMS);
         let (result, takes) = self.advisor.answer(now, step, &workers, terms);
         let answer = Answer::Advice(step, result);
         let msg = Msg::Answer { node, incarnation, epoch, sent: now, answer };
--- a/crates/workflow/tests/support/worker.rs
+++ b/crates/workflow/tests/support/worker.rs
@@ -36,7 +36,7 @@
     }
 }
 
-pub struct StartOrder {
+pub struct StartCommand {
     pub epoch: Epoch,
     pub task: TaskId,
     pub run: RunId,
@@ -52,7 +52,7 @@
     /// Its entry is in the directory while it is up.
     pub listed: bool,
     /// Its entry is in the directory although it is gone.
-    pub lingers: bool,
+    pub stale_entry: bool,
     /// The worker's clock runs at this share of real time, in thousandths.
     pub rate: u64,
     pub running: BTreeMap<TaskId, Run>,
@@ -63,11 +63,11 @@
     pub stopped: BTreeMap<TaskId, RunId>,
     pub fails_all: bool,
     /// Orders get no answer and aren't carried out; polls are answered.
-    pub mute: bool,
+    pub ignores_commands: bool,
     /// Tail latency that serving tasks have alone, in milliseconds.
     pub tail_ms: u32,
     /// What each filler at full pace adds to it.
-    pub pressure_ms: u32,
+    pub interference_ms: u32,
     /// Work takes so many times as long, in percent.
     pub slowness: u64,
     /// How long a stop takes, in milliseconds.
@@ -75,13 +75,13 @@
     /// Paces that were set.
     pub paces: Vec<u32>,
     /// Rows of its runs can't be read.
-    pub blurred: bool,
+    pub unreadable_runs: bool,
     /// Ends with these numbers can't be read.
-    pub lost_ends: RangeInclusive<u64>,
+    pub unreadable_ends: RangeInclusive<u64>,
     /// So many of the next runs that are done end in an unknown way.
     pub unknown_ends: u32,
     /// Its entry in the directory can't be read.
-    pub entry_lost: bool,
+    pub unreadable_entry: bool,
 }
 
 /// The longest lease that is granted, in milliseconds.
@@ -107,7 +107,7 @@
             up: true,
             vm_up: true,
             listed: true,
-            lingers: false,
+            stale_entry: false,
             rate: 1_000,
             running: BTreeMap::new(),
             ended: Vec::new(),
@@ -116,16 +116,16 @@
             lease_until: 0,
             stopped: BTreeMap::new(),
             fails_all: false,
-            mute: false,
+            ignores_commands: false,
             tail_ms: 1,
-            pressure_ms: 0,
+            interference_ms: 0,
             slowness: 100,
             stop_ms: 0,
             paces: Vec::new(),
-            blurred: false,
-            lost_ends: 0..=0,
+            unreadable_runs: false,
+            unreadable_ends: 0..=0,
             unknown_ends: 0,
-            entry_lost: false,
+            unreadable_entry: false,
         }
     }
 
@@ -179,7 +179,7 @@
         }
     }
 
-    pub fn hold(
+    pub fn poll(
         &mut self,
         now: Time,
         epoch: Epoch,
@@ -198,15 +198,15 @@
         }
         let clock_ms = self.clock_ms(now);
         let percent = |run: &Run| {
-            if run.step.lasting {
+            if run.step.long_running {
                 return 100;
             }
             let worked = run.whole_ms - run.left_at(clock_ms, self.slowness);
             u32::try_from(worked * 100 / run.whole_ms.max(1)).unwrap_or(100)
         };
-        let fillers = self.running.values().filter(|run| run.step.fills);
+        let fillers = self.running.values().filter(|run| run.step.best_effort);
         let tail_ms =
-            self.tail_ms + fillers.map(|run| self.pressure_ms * run.pace / 100).sum::<u32>();
+            self.tail_ms + fillers.map(|run| self.interference_ms * run.pace / 100).sum::<u32>();
         let figure = |run: &Run| if run.step.target_ms > 0 { tail_ms } else { 1_000 };
         let running = self.running.iter().map(|(task, run)| RunningTask {
             task: *task,
@@ -217,18 +217,23 @@
         });
         let mut running: Vec<RunningTask> = running.collect();
         let (ended, lost): (Vec<End>, Vec<End>) =
-            self.ended.iter().cloned().partition(|end| !self.lost_ends.contains(&end.number));
+            self.ended.iter().cloned().partition(|end| !self.unreadable_ends.contains(&end.number));
         let ends = lost.iter().map(|end| end.number).collect();
         let mut odd = OddRows { ends, ..OddRows::default() };
-        if self.blurred {
+        if self.unreadable_runs {
             odd.runs = u32::try_from(running.len()).unwrap_or(u32::MAX);
             running.clear();
         }
         HoldResult::Lists(HoldReply { clock_ms, running, ended, odd })
     }
 
-    pub fn start(&mut self, now: Time, order: &StartOrder, checker: &mut Checker) -> StartResult {
-        let StartOrder { epoch, task, run, until_ms, submission } = order;
+    pub fn start(
+        &mut self,
+        now: Time,
+        command: &StartCommand,
+        checker: &mut Checker,
+    ) -> StartResult {
+        let StartCommand { epoch, task, run, until_ms, submission } = command;
         let (epoch, task, run, until_ms) = (*epoch, *task, *run, *until_ms);
         if epoch < self.token {
             return StartResult::Outranked;
@@ -251,7 +256,7 @@
             return StartResult::NoRoom;
         }
         checker.started(&self.info.id, task, run, submission);
-        let runtime = if step.lasting { u64::MAX / 4 } else { u64::from(step.estimate_ms) };
+        let runtime = if step.long_running { u64::MAX / 4 } else { u64::from(step.estimate_ms) };
         let (left_ms, since, whole_ms) = (runtime, clock_ms, runtime);
         let began = clock_ms;
         let (pace, stops_at) = (100, None);
@@ -315,7 +320,7 @@
     }
 
     /// A task here that crashes its worker so long after its start.
-    pub fn culprit(&self, now: Time, after: &BTreeMap<TaskId, Duration>) -> Option<TaskId> {
+    pub fn crashing_task(&self, now: Time, after: &BTreeMap<TaskId, Duration>) -> Option<TaskId> {
         let due = |(task, run): &(&TaskId, &Run)| {
             after.get(*task).is_some_and(|after| self.waited(now, run) >= *after)
         };
@@ -323,7 +328,7 @@
     }
 
     /// What runs doesn't get on for so many milliseconds.
-    pub fn stand_still(&mut self, span_ms: u64) {
+    pub fn stall_runs(&mut self, span_ms: u64) {
         for run in self.running.values_mut() {
             run.since += span_ms;
         }
@@ -342,10 +347,10 @@
         for (task, run) in std::mem::take(&mut self.running) {
             checker.vanished(&self.info.id, task, run.run);
         }
-        checker.forgotten(&self.info.id);
+        checker.discard_ends(&self.info.id);
     }
 }
 
 fn counted(step: &Step) -> u32 {
-    if step.fills { 0 } else { step.resources.cpu.0 }
+    if step.best_effort { 0 } else { step.resources.cpu.0 }
 }
--- a/crates/workflow/tests/support/world.rs
+++ b/crates/workflow/tests/support/world.rs
@@ -2,13 +2,13 @@
 
 use {
     super::{
-        advisor::Advisor, checker::Checker, culprits::Culprits, fleet::Fleet, messages::Msg,
-        node::Node, store::Store, worker::Worker,
+        advisor::Advisor, checker::Checker, crashing_tasks::CrashingTasks, fleet::Fleet,
+        messages::Msg, node::Node, store::Store, worker::Worker,
     },
     egretlb_types::{Offset, Time},
     egretlb_workflow::{
-        DirectoryChange, Key, LeadershipEffect, Limits, Outcome, Record, State, Submission, Wave,
-        WorkerId, WorkerInfo, WorkflowId,
+        DirectoryChange, Key, LeadershipEffect, Limits, Outcome, Record, Submission, Wave,
+        WorkerId, WorkerInfo, WorkflowId, WorkflowState,
     },
     rand::{SeedableRng, rngs::SmallRng},
     std::{collections::BTreeMap, time::Duration},
@@ -33,13 +33,13 @@
     /// Appends that get no answer and arrive at the store 0.1 to 3 s later, in thousandths.
     pub late_appends: u32,
     /// Orders that get no answer and are carried out 2 to 12 s later, in thousandths.
-    pub late_orders: u32,
+    pub late_commands: u32,
     /// How long orders wait at the node before they are sent, as on a VM that is too weak for its load.
-    pub order_wait: Duration,
+    pub command_wait: Duration,
     /// Whether orders wait while so many at the same worker have no answer; none if they don't wait.
-    pub orders_at_once: Option<usize>,
+    pub max_concurrent_commands: Option<usize>,
     /// When the last orders at each worker are answered or given up.
-    pub turns: BTreeMap<WorkerId, Vec<Time>>,
+    pub busy_until: BTreeMap<WorkerId, Vec<Time>>,
     pub advisor: Advisor,
     pub fleet: Fleet,
     /// Waves that the operator asks for; nodes read them at once.
@@ -47,7 +47,7 @@
     pub nodes: Vec<Node>,
     pub workers: Vec<Worker>,
     pub checker: Checker,
-    pub culprits: Culprits,
+    pub crashing_tasks: CrashingTasks,
     pub submitted: Vec<WorkflowId>,
     limits: Limits,
     incarnations: u64,
@@ -66,17 +66,17 @@
             store_down: false,
             lost_appends: 0,
             late_appends: 0,
-            late_orders: 0,
-            order_wait: Duration::ZERO,
-            orders_at_once: None,
-            turns: BTreeMap::new(),
+            late_commands: 0,
+            command_wait: Duration::ZERO,
+            max_concurrent_commands: None,
+            busy_until: BTreeMap::new(),
             advisor: Advisor::default(),
             fleet: Fleet::default(),
             waves: Vec::new(),
             nodes: Vec::new(),
             workers: Vec::new(),
             checker: Checker::default(),
-            culprits: Culprits::default(),
+            crashing_tasks: CrashingTasks::default(),
             submitted: Vec::new(),
             limits,
             incarnations: 0,
@@ -147,7 +147,7 @@
     }
 
     /// What clients are told of a workflow, by the records.
-    pub fn state(&self, id: WorkflowId) -> Option<State> {
+    pub fn state(&self, id: WorkflowId) -> Option<WorkflowState> {
         let mut ledger = egretlb_workflow::Ledger::default();
         for (offset, record) in self.store.from(Offset(0)) {
             ledger.apply(offset, &record.key, &record.value).expect("a record of this crate");
@@ -156,7 +156,7 @@
     }
 
     pub fn completed(&self, id: WorkflowId) -> bool {
-        self.state(id) == Some(State::Ended(Outcome::Completed))
+        self.state(id) == Some(WorkflowState::Ended(Outcome::Completed))
     }
 
     pub fn run(&mut self, span: Duration) {
@@ -188,8 +188,8 @@
         for worker in &mut self.workers {
             worker.advance(self.now, &mut self.checker);
         }
-        self.crash_by_culprits();
-        self.end_lonely_gangs();
+        self.run_crashing_tasks();
+        self.end_incomplete_gangs();
         self.end_upkeep();
         self.deliver();
         for index in 0..self.nodes.len() {
@@ -209,7 +209,7 @@
     }
 
     /// Puts each worker on a VM of its number.
-    pub fn house(&mut self) {
+    pub fn assign_vms(&mut self) {
         for (number, worker) in self.workers.iter().enumerate() {
             self.fleet.vms.insert(super::fleet::vm(number), Some(worker.info.id.clone()));
         }
@@ -217,7 +217,7 @@
 
     fn step_node(&mut self, index: usize) {
         let now = self.now;
-        let mut wishes = Vec::new();
+        let mut actions = Vec::new();
         let readable = self.nodes[index].reaches_store && !self.store_down;
         let node = &self.nodes[index];
         let leads = node.scheduler.is_some();
@@ -237,7 +237,7 @@
                     .map(|(offset, record)| (offset, record.clone()))
                     .collect();
                 for (offset, record) in records {
-                    wishes.extend(self.nodes[index].read(now, offset, &record.key, &record.value));
+                    actions.extend(self.nodes[index].read(now, offset, &record.key, &record.value));
                 }
                 self.nodes[index].leadership.on_read(now);
             } else if !self.nodes[index].calls_hang {
@@ -247,7 +247,7 @@
         let node = &mut self.nodes[index];
         let mut out: Vec<LeadershipEffect> = Vec::new();
         node.leadership.tick(now, readable || node.calls_hang, &mut out);
-        node.apply(now, out, &mut wishes);
+        node.apply(now, out, &mut actions);
         let mut effects = Vec::new();
         let leads = node.leads(now);
         if let Some(scheduler) = &mut node.scheduler {
@@ -260,26 +260,26 @@
                 scheduler.sign_only(now, &mut effects);
             }
         }
-        node.wish(effects, &mut wishes);
-        self.perform(index, wishes);
+        node.enqueue(effects, &mut actions);
+        self.perform(index, actions);
     }
 
     fn read_directory(&mut self, index: usize) {
         let now = self.now;
-        let listed = |w: &&Worker| (w.up && w.listed) || w.lingers;
+        let listed = |w: &&Worker| (w.up && w.listed) || w.stale_entry;
         let mut present: Vec<_> =
             self.workers.iter().filter(listed).map(|w| w.info.clone()).collect();
         let lost: Vec<WorkerId> = self
             .workers
             .iter()
-            .filter(|worker| worker.entry_lost)
+            .filter(|worker| worker.unreadable_entry)
             .map(|worker| worker.info.id.clone())
             .collect();
         let node = &mut self.nodes[index];
         present.retain(|info| !lost.contains(&info.id));
         let mut kept = node.directory.clone();
         kept.retain(|known| lost.contains(&known.id));
-        kept.iter_mut().for_each(WorkerInfo::lose_entry);
+        kept.iter_mut().for_each(WorkerInfo::mark_unreadable);
         let gone: Vec<WorkerId> = node
             .directory
             .iter()
--- a/crates/workflow/tests/suspended_orders.rs
+++ b/crates/workflow/tests/suspended_orders.rs
@@ -34,7 +34,7 @@
     let mut ledger = egretlb_workflow::Ledger::default();
     ledger.apply(egretlb_types::Offset(0), &record.key, &record.value).expect("a record");
     let leader = ledger.leader().expect("it was just read").clone();
-    leadership.on_leader(now + 3 * SECOND, &leader, &mut out);
+    leadership.on_leader_record(now + 3 * SECOND, &leader, &mut out);
     assert_eq!(leadership.term(), Some(Epoch(1)));
     leadership
 }
--- a/crates/workflow/tests/tickets_needed.rs
+++ b/crates/workflow/tests/tickets_needed.rs
@@ -6,7 +6,7 @@
     egretlb_types::MilliCores,
     egretlb_workflow::{Limits, Submission, WorkerId, WorkflowId},
     std::time::Duration,
-    support::{messages::TERMS, step, submission, world::World},
+    support::{messages::ADVICE_TERMS, step, submission, world::World},
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -21,7 +21,7 @@
 }
 
 fn advised(count: u32, ms: u32) -> Submission {
-    Submission { advice: Some(TERMS), ..submission(vec![step(count, ms)]) }
+    Submission { advice: Some(ADVICE_TERMS), ..submission(vec![step(count, ms)]) }
 }
 
 fn placed(world: &World, id: WorkflowId) -> Vec<usize> {
@@ -37,7 +37,7 @@
     world.run(SECOND);
     assert!(placed(&world, id).iter().all(|number| [2, 5, 9].contains(number)));
     assert!(world.run_until(6 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// What isn't allowed stays so: each worker is asked about once as long as tickets hold.
@@ -46,20 +46,20 @@
     let mut world = world(42, &[1, 3]);
     let id = world.submit(1, &advised(30, 500));
     assert!(world.run_until(3 * SECOND, |world| world.completed(id)).is_some());
-    assert!(world.advisor.named <= 12, "{}", world.advisor.named);
+    assert!(world.advisor.asked_workers <= 12, "{}", world.advisor.asked_workers);
 }
 
 /// The service takes 2 s for an answer that never comes. Work without a policy doesn't wait for it.
 #[test]
 fn others_go_on() {
     let mut world = world(43, &[1]);
-    world.advisor.silent = true;
+    world.advisor.unresponsive = true;
     let held = world.submit(1, &advised(4, 300));
     world.run(Duration::from_millis(100));
     let id = world.submit(2, &submission(vec![step(8, 300)]));
     let took = world.run_until(2 * SECOND, |world| world.completed(id));
     assert!(took.is_some_and(|took| took < Duration::from_millis(600)), "{took:?}");
-    world.advisor.silent = false;
+    world.advisor.unresponsive = false;
     assert!(world.run_until(6 * SECOND, |world| world.completed(held)).is_some());
 }
 
@@ -84,7 +84,7 @@
     let id = world.submit(1, &slow);
     assert!(world.run_until(30 * SECOND, |world| world.completed(id)).is_some());
     assert!(world.advisor.calls >= 3);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// The leader dies with its tickets. Its successor asks for its own.
@@ -96,7 +96,7 @@
     let leader = world.leader().expect("somebody leads");
     world.kill(leader);
     assert!(world.run_until(15 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A gang needs a ticket for each member's worker before any is started.
@@ -107,7 +107,7 @@
     gang.workflow.steps[0].gang = true;
     let id = world.submit(1, &gang);
     assert!(world.run_until(4 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// An allowed worker crashes; its ticket is for that life only. The worker that comes back has another id
@@ -121,5 +121,5 @@
     let number = world.add_worker(8);
     world.advisor.allowed.insert(world.workers[number].info.id.clone());
     assert!(world.run_until(15 * SECOND, |world| world.completed(id)).is_some());
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
--- a/crates/workflow/tests/upkeep_waves.rs
+++ b/crates/workflow/tests/upkeep_waves.rs
@@ -15,27 +15,27 @@
 /// Eight workers, each on a VM.
 fn world(seed: u64) -> World {
     let mut world = World::new(seed, 3, 8, Limits::default());
-    world.house();
+    world.assign_vms();
     world.run(2 * SECOND);
     world
 }
 
-fn wave(vms: std::ops::Range<usize>, cap: u32, seconds: u64) -> Wave {
-    Wave { vms: vms.map(vm).collect(), within: Duration::from_secs(seconds), cap }
+fn wave(vms: std::ops::Range<usize>, max_down: u32, seconds: u64) -> Wave {
+    Wave { vms: vms.map(vm).collect(), within: Duration::from_secs(seconds), max_down }
 }
 
 fn lasting(count: u32, may_miss: Option<u32>) -> Step {
     let mut step = step(count, 0);
     step.resources.cpu = MilliCores(2_000);
-    step.lasting = true;
+    step.long_running = true;
     step.per_worker = 1;
     step.image = CompactString::const_new("serving");
-    step.may_miss = may_miss;
+    step.max_unavailable = may_miss;
     step
 }
 
 fn completed(world: &World) -> bool {
-    world.fleet.told.contains(&WaveState::Completed)
+    world.fleet.reported.contains(&WaveState::Completed)
 }
 
 /// Tasks of a guarded step that run, by the checker's view of the workers.
@@ -53,9 +53,9 @@
     let took = world.run_until(40 * SECOND, completed);
     assert!(took.is_some(), "{:?}", world.fleet.done);
     assert_eq!(world.fleet.done.len(), 8);
-    assert_eq!(world.fleet.most_down, 2);
+    assert_eq!(world.fleet.max_down, 2);
     assert!(world.fleet.down.is_empty());
-    assert_eq!(world.fleet.told.first(), Some(&WaveState::Running));
+    assert_eq!(world.fleet.reported.first(), Some(&WaveState::Running));
 }
 
 /// Tasks of a second's work are under way all the time. None is lost with its VM: each is waited for.
@@ -71,7 +71,7 @@
     world.run(3 * SECOND);
     assert!((1..40).all(|id| world.completed(WorkflowId(id))));
     assert_eq!(world.checker.starts, 39 * 6);
-    assert_eq!(world.checker.faults, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
 /// A serving step allows one of its tasks to be away. The wave would take two VMs at a time; it moves one
@@ -115,12 +115,12 @@
 fn late_orders() {
     for seed in 70..78 {
         let mut world = world(seed);
-        world.late_orders = 400;
+        world.late_commands = 400;
         world.waves.push((1, wave(0..8, 2, 60)));
         assert!(world.run_until(120 * SECOND, completed).is_some(), "seed {seed}");
-        assert!(world.fleet.most_down <= 2, "seed {seed}");
+        assert!(world.fleet.max_down <= 2, "seed {seed}");
         assert_eq!(world.fleet.done.len(), 8);
-        assert_eq!(world.checker.faults, Vec::<String>::new());
+        assert_eq!(world.checker.violations, Vec::<String>::new());
     }
 }
 
@@ -130,7 +130,7 @@
 fn leaders_killed() {
     for seed in 80..90 {
         let mut world = world(seed);
-        world.late_orders = 250;
+        world.late_commands = 250;
         world.waves.push((1, wave(0..8, 2, 60)));
         for _ in 0..8 {
             world.run(1_700 * SECOND / 1_000);
@@ -140,7 +140,7 @@
             world.restart(leader);
         }
         assert!(world.run_until(120 * SECOND, completed).is_some(), "seed {seed}");
-        assert!(world.fleet.most_down <= 2, "seed {seed}: {}", world.fleet.most_down);
+        assert!(world.fleet.max_down <= 2, "seed {seed}: {}", world.fleet.max_down);
         assert_eq!(world.fleet.done.len(), 8);
     }
 }
@@ -178,7 +178,7 @@
     world.run(2 * SECOND);
     let leader = world.leader().expect("somebody leads");
     for node in &mut world.nodes {
-        node.cut_from = vec![2];
+        node.unreachable = vec![2];
     }
     world.kill(leader);
     world.waves.push((1, wave(0..8, 2, 10)));
--- a/crates/workflow/tests/wait_lines.rs
+++ b/crates/workflow/tests/wait_lines.rs
@@ -7,9 +7,8 @@
     egretlb_workflow::{Limits, WorkerState},
     std::time::Duration,
     support::{
-        lasting,
         lines::{self, Line},
-        step, submission,
+        long_running, step, submission,
         world::World,
     },
 };
@@ -32,7 +31,7 @@
 #[test]
 fn no_room() {
     let mut world = world(31);
-    world.submit(1, &submission(vec![lasting(6, 8)]));
+    world.submit(1, &submission(vec![long_running(6, 8)]));
     world.run(Duration::from_millis(1_500));
     assert!(lines::of(&lines::take(), "tasks_waiting").is_empty(), "too early");
     world.run(10 * SECOND);
@@ -52,7 +51,7 @@
 #[test]
 fn workers_counted() {
     let mut world = world(38);
-    world.submit(1, &submission(vec![lasting(6, 8)]));
+    world.submit(1, &submission(vec![long_running(6, 8)]));
     world.run(SECOND);
     world.workers[0].info.state = WorkerState::Draining;
     world.run(4 * SECOND);
@@ -82,7 +81,7 @@
 #[test]
 fn silent_worker() {
     let mut world = world(33);
-    world.submit(1, &submission(vec![lasting(4, 2)]));
+    world.submit(1, &submission(vec![long_running(4, 2)]));
     world.run(2 * SECOND);
     let busy = world.workers.iter().position(|worker| !worker.running.is_empty());
     let busy = busy.expect("four tasks run");
@@ -102,14 +101,14 @@
 #[test]
 fn inherited_work_held() {
     let mut world = world(34);
-    world.submit(1, &submission(vec![lasting(8, 2)]));
+    world.submit(1, &submission(vec![long_running(8, 2)]));
     let mut later = step(4, 300);
     later.after.push(0);
     world.submit(2, &submission(vec![step(4, 500), later]));
     world.run(Duration::from_millis(100));
     let leader = world.leader().expect("somebody leads");
     for node in &mut world.nodes {
-        node.cut_from = vec![1];
+        node.unreachable = vec![1];
     }
     world.kill(leader);
     world.run(15 * SECOND);
@@ -133,7 +132,7 @@
 #[test]
 fn quick_survey() {
     let mut world = world(35);
-    world.submit(1, &submission(vec![lasting(4, 2)]));
+    world.submit(1, &submission(vec![long_running(4, 2)]));
     world.run(SECOND);
     let leader = world.leader().expect("somebody leads");
     world.kill(leader);
@@ -150,7 +149,7 @@
 fn flood_is_bounded() {
     let mut world = world(36);
     for id in 1..400 {
-        world.submit(id, &submission(vec![lasting(20, 8)]));
+        world.submit(id, &submission(vec![long_running(20, 8)]));
     }
     world.run(3 * SECOND);
     lines::take();
@@ -180,7 +179,7 @@
         world.add_worker(8);
     }
     world.run(2 * SECOND);
-    let id = world.submit(1, &submission(vec![lasting(600, 1)]));
+    let id = world.submit(1, &submission(vec![long_running(600, 1)]));
     let mut started = 0;
     for _ in 0..4 {
         world.run(SECOND);
--- a/crates/workflow/tests/why_waiting.rs
+++ b/crates/workflow/tests/why_waiting.rs
@@ -7,7 +7,7 @@
     egretlb_types::MilliCores,
     egretlb_workflow::{Limits, Reason, Step, Submission, WaitingStep, WorkerId, WorkflowId},
     std::time::Duration,
-    support::{messages::TERMS, step, submission, world::World},
+    support::{messages::ADVICE_TERMS, step, submission, world::World},
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -53,7 +53,8 @@
 #[test]
 fn no_ticket() {
     let mut world = world(92);
-    let id = world.submit(1, &Submission { advice: Some(TERMS), ..submission(vec![step(2, 300)]) });
+    let id = world
+        .submit(1, &Submission { advice: Some(ADVICE_TERMS), ..submission(vec![step(2, 300)]) });
     world.run(SECOND);
     assert_eq!(reason(&mut world, id), Some(Reason::NoTicket));
 }
@@ -87,7 +88,7 @@
     world.run(Duration::from_millis(100));
     let leader = world.leader().expect("somebody leads");
     for node in &mut world.nodes {
-        node.cut_from = vec![1];
+        node.unreachable = vec![1];
     }
     world.kill(leader);
     world.run(3 * SECOND);
@@ -106,7 +107,7 @@
     let at = world.workers.iter().position(|worker| !worker.running.is_empty());
     let at = at.expect("the task runs");
     for node in &mut world.nodes {
-        node.cut_from = vec![at];
+        node.unreachable = vec![at];
     }
     world.run(4 * SECOND);
     let waiting = waiting(&mut world, id).expect("it waits");
@@ -124,7 +125,7 @@
         worker.stop_ms = 2_000;
     }
     let mut lasting = large(4);
-    lasting.lasting = true;
+    lasting.long_running = true;
     let id = world.submit(1, &submission(vec![lasting]));
     world.run(4 * SECOND);
     world.submit(2, &submission(vec![step(1, 300)]));
@@ -180,12 +181,12 @@
     }
     let mut serving = step(4, 0);
     serving.resources.cpu = MilliCores(4_000);
-    (serving.lasting, serving.target_ms, serving.per_worker) = (true, 50, 1);
+    (serving.long_running, serving.target_ms, serving.per_worker) = (true, 50, 1);
     serving.image = CompactString::const_new("serving");
     world.submit(1, &submission(vec![serving]));
     world.run(3 * SECOND);
     let mut filler = step(4, 500);
-    filler.fills = true;
+    filler.best_effort = true;
     filler.image = CompactString::const_new("filler");
     let id = world.submit(2, &submission(vec![filler]));
     world.run(Duration::from_millis(300));
