--- a/crates/relay/src/codec.rs
+++ b/crates/relay/src/codec.rs
@@ -11,8 +11,8 @@
     compact_str::CompactString,
     egretlb_types::Epoch,
     egretlb_workflow::{
-        End, HoldReply, HoldResult, OddRows, PaceResult, RunId, RunningTask, StartResult,
-        StopResult, TaskId, WorkerId, WorkflowId,
+        End, PaceResult, PollReply, PollResult, RunId, RunningTask, StartResult, StopResult,
+        TaskId, UnreadableRows, WorkerId, WorkflowId,
     },
     serde::{Deserialize, Serialize},
     std::{
@@ -102,7 +102,13 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 enum Report {
-    Lists { worker: WorkerNo, clock_ms: u64, rows: Vec<Row>, ended: Vec<End>, odd: Option<OddRows> },
+    Lists {
+        worker: WorkerNo,
+        clock_ms: u64,
+        rows: Vec<Row>,
+        ended: Vec<End>,
+        odd: Option<UnreadableRows>,
+    },
     NoLists(NoLists),
     Start(StartResult),
     Stop(StopResult),
@@ -240,18 +246,18 @@
             Report::Stop(result) => Answer::Stop(result),
             Report::Pace(result) => Answer::Pace(result),
             Report::NoLists(kind) => Answer::Hold(match kind {
-                NoLists::Outranked => HoldResult::Outranked,
-                NoLists::OtherIncarnation => HoldResult::OtherIncarnation,
-                NoLists::Refused => HoldResult::Refused,
-                NoLists::Failed => HoldResult::Failed,
+                NoLists::Outranked => PollResult::Outranked,
+                NoLists::OtherIncarnation => PollResult::OtherIncarnation,
+                NoLists::Refused => PollResult::Refused,
+                NoLists::Failed => PollResult::Failed,
             }),
             Report::Lists { worker, clock_ms, rows, ended, odd } => {
                 let before =
                     self.lists.get_mut(worker.0 as usize).ok_or(CodecError::UnknownName)?;
                 let running = rows::follow(before, rows).ok_or(CodecError::UnknownName)?;
                 before.clone_from(&running);
-                let odd = odd.unwrap_or_default();
-                Answer::Hold(HoldResult::Lists(HoldReply { clock_ms, running, ended, odd }))
+                let unreadable = odd.unwrap_or_default();
+                Answer::Hold(PollResult::Lists(PollReply { clock_ms, running, ended, unreadable }))
             }
         })
     }
@@ -324,23 +330,23 @@
         self.reports.push((number, report));
     }
 
-    fn polled_report(&mut self, number: CallNo, result: HoldResult) -> Report {
+    fn polled_report(&mut self, number: CallNo, result: PollResult) -> Report {
         let worker = self.polled.remove(&number);
         let reply = match result {
-            HoldResult::Lists(reply) => reply,
-            HoldResult::Outranked => return Report::NoLists(NoLists::Outranked),
-            HoldResult::OtherIncarnation => return Report::NoLists(NoLists::OtherIncarnation),
-            HoldResult::Refused => return Report::NoLists(NoLists::Refused),
-            HoldResult::Failed => return Report::NoLists(NoLists::Failed),
+            PollResult::Lists(reply) => reply,
+            PollResult::Outranked => return Report::NoLists(NoLists::Outranked),
+            PollResult::OtherIncarnation => return Report::NoLists(NoLists::OtherIncarnation),
+            PollResult::Refused => return Report::NoLists(NoLists::Refused),
+            PollResult::Failed => return Report::NoLists(NoLists::Failed),
         };
         let before = worker.and_then(|worker| self.lists.get_mut(worker.0 as usize));
         let (Some(worker), Some(before)) = (worker, before) else {
             return Report::NoLists(NoLists::Failed);
         };
-        let HoldReply { clock_ms, running, ended, odd } = reply;
+        let PollReply { clock_ms, running, ended, unreadable } = reply;
         let rows = rows::changes(before, &running);
         *before = running;
-        let odd = (odd != OddRows::default()).then_some(odd);
+        let odd = (unreadable != UnreadableRows::default()).then_some(unreadable);
         Report::Lists { worker, clock_ms, rows, ended, odd }
     }
 
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -4,7 +4,7 @@
     crate::codec::{CallNo, CodecError},
     compact_str::CompactString,
     egretlb_types::Epoch,
-    egretlb_workflow::{HoldResult, PaceResult, RunId, StartResult, StopResult, TaskId, WorkerId},
+    egretlb_workflow::{PaceResult, PollResult, RunId, StartResult, StopResult, TaskId, WorkerId},
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
 };
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Answer {
     /// Of a poll.
-    Hold(HoldResult),
+    Hold(PollResult),
     /// Of a start.
     Start(StartResult),
     /// Of a stop.
@@ -114,7 +114,7 @@
     /// Whether the worker itself said something.
     pub fn is_heard(&self) -> bool {
         match self {
-            Answer::Hold(result) => !matches!(result, HoldResult::Failed | HoldResult::Refused),
+            Answer::Hold(result) => !matches!(result, PollResult::Failed | PollResult::Refused),
             Answer::Start(result) => !matches!(result, StartResult::Unknown | StartResult::NotSent),
             Answer::Stop(result) => *result != StopResult::Unknown,
             Answer::Pace(result) => *result != PaceResult::Unknown,
@@ -126,7 +126,7 @@
     /// The answer to a call that a relay didn't carry out.
     pub fn withheld(&self) -> Answer {
         match self {
-            Call::Hold { .. } => Answer::Hold(HoldResult::Failed),
+            Call::Hold { .. } => Answer::Hold(PollResult::Failed),
             Call::Start { .. } => Answer::Start(StartResult::Withheld),
             Call::Stop { .. } => Answer::Stop(StopResult::Unknown),
             Call::Pace { .. } => Answer::Pace(PaceResult::Unknown),
--- a/crates/relay/tests/codec_ends.rs
+++ b/crates/relay/tests/codec_ends.rs
@@ -5,8 +5,8 @@
     egretlb_relay::{Answer, Call, CodecError, Hello, LeaderCodec, RelayCodec},
     egretlb_types::Epoch,
     egretlb_workflow::{
-        End, EndKind, HoldReply, HoldResult, OddRows, RunId, RunningTask, StartResult, TaskId,
-        WorkerId, WorkflowId,
+        End, EndKind, PollReply, PollResult, RunId, RunningTask, StartResult, TaskId,
+        UnreadableRows, WorkerId, WorkflowId,
     },
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::net::SocketAddr,
@@ -51,9 +51,9 @@
         kind: EndKind::Done,
         saved: "".into(),
     };
-    let odd = OddRows { foreign_ends: vec![4], ..OddRows::default() };
-    let reply = HoldReply { clock_ms: 482_113, running: runs, ended: vec![end], odd };
-    Answer::Hold(HoldResult::Lists(reply))
+    let unreadable = UnreadableRows { foreign_ends: vec![4], ..UnreadableRows::default() };
+    let reply = PollReply { clock_ms: 482_113, running: runs, ended: vec![end], unreadable };
+    Answer::Hold(PollResult::Lists(reply))
 }
 
 #[test]
@@ -131,8 +131,8 @@
         let polled = leader.add(&id, addr, hold());
         relay.read(&leader.frame(EPOCH, 0)).expect("a frame");
         let running = (0..8).map(|index| running(index, percent)).collect();
-        let reply = HoldReply { clock_ms: 482_113, running, ..HoldReply::default() };
-        relay.add(polled, Answer::Hold(HoldResult::Lists(reply)));
+        let reply = PollReply { clock_ms: 482_113, running, ..PollReply::default() };
+        relay.add(polled, Answer::Hold(PollResult::Lists(reply)));
         lengths.push(relay.frame(77).len());
     }
     assert!(lengths[1] <= 64, "{lengths:?}");
--- a/crates/runtime/src/border.rs
+++ b/crates/runtime/src/border.rs
@@ -5,7 +5,7 @@
     compact_str::CompactString,
     egretlb_types::{Epoch, Offset, Seq},
     egretlb_workflow::{
-        AdviceResult, AdviceTerms, AppendResult, DirectoryChange, HoldResult, PaceResult, Record,
+        AdviceResult, AdviceTerms, AppendResult, DirectoryChange, PaceResult, PollResult, Record,
         RouteTable, RunId, SpecError, StartResult, State, StepId, StopResult, TaskId, UpkeepResult,
         VmId, VmList, Wave, WaveState, WorkerId, Workflow,
     },
@@ -205,7 +205,7 @@
 /// The workers.
 pub trait Workers {
     /// Asks what runs and what ended.
-    fn hold(&self, call: HoldCall) -> LocalBoxFuture<'_, Decoded<HoldResult>>;
+    fn hold(&self, call: HoldCall) -> LocalBoxFuture<'_, Decoded<PollResult>>;
 
     /// Starts a task.
     fn start<'a>(&'a self, call: StartCall<'a>) -> LocalBoxFuture<'a, StartResult>;
--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -189,10 +189,10 @@
         let authority = self.leadership.authority(now);
         let Some(scheduler) = &mut self.scheduler else { return };
         if authority.is_some() {
-            scheduler.set_behind(behind);
+            scheduler.set_lagging(behind);
             scheduler.tick(now, wall_ms, &mut out.scheduler);
         } else {
-            scheduler.sign_only(now, &mut out.scheduler);
+            scheduler.send_heartbeat(now, &mut out.scheduler);
         }
     }
 
--- a/crates/runtime/src/dump.rs
+++ b/crates/runtime/src/dump.rs
@@ -95,7 +95,7 @@
             more_waiting: false,
         };
         if let Some(scheduler) = &mut core.scheduler {
-            dump.unaccounted = scheduler.unaccounted();
+            dump.unaccounted = scheduler.unreconciled_count();
             let stranded = scheduler.stranded().into_iter().take(MOST_STRANDED);
             dump.stranded = stranded.map(|task| task.to_string()).collect();
             let mut steps = scheduler.waiting_steps(now, MOST_STEPS + 1);
@@ -105,13 +105,13 @@
                 step: waiting.step.to_string(),
                 tasks: waiting.tasks,
                 indices: waiting.indices,
-                lasting: waiting.lasting,
+                lasting: waiting.long_running,
                 waited_ms: ms(waiting.waited),
                 reason: waiting.reason.to_string(),
                 workers: waiting.workers.iter().map(ToString::to_string).collect(),
                 at_most_ms: waiting.until.map(ms),
-                service_workers: waiting.fleet.map(|fleet| fleet.all),
-                fit_workers: waiting.fleet.map(|fleet| fleet.fit),
+                service_workers: waiting.service_workers.map(|fleet| fleet.all),
+                fit_workers: waiting.service_workers.map(|fleet| fleet.eligible),
             };
             dump.waiting = steps.into_iter().map(row).collect();
         }
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -212,7 +212,7 @@
         self.waiting.borrow_mut().push(waiting);
         self.step(|core, _, _| {
             if let Some(scheduler) = &mut core.scheduler {
-                scheduler.clients_wait();
+                scheduler.request_append();
             }
         });
         true
@@ -253,20 +253,20 @@
             metrics.set_load(false, 0, 0);
             return;
         };
-        metrics.set_load(true, scheduler.active(), scheduler.waiting());
-        let measures = scheduler.take_measures();
-        metrics.runs(RunEvent::Started, measures.waits.len() as u64);
+        metrics.set_load(true, scheduler.active_workflow_count(), scheduler.waiting_step_count());
+        let measures = scheduler.take_stats();
+        metrics.runs(RunEvent::Started, measures.start_waits.len() as u64);
         metrics.runs(RunEvent::Done, measures.done);
         metrics.runs(RunEvent::Failed, measures.failed);
         metrics.runs(RunEvent::Stopped, measures.stopped);
         metrics.runs(RunEvent::Lost, measures.lost);
         metrics.runs(RunEvent::GivenUp, measures.given_up);
         metrics.runs(RunEvent::Preempted, measures.preempted);
-        metrics.runs(RunEvent::Relieved, measures.relieved);
+        metrics.runs(RunEvent::Relieved, measures.evicted);
         metrics.runs(RunEvent::Paced, measures.paced);
         metrics.runs(RunEvent::Regrouped, measures.regrouped);
-        metrics.looked_at(measures.looked_at);
-        measures.waits.into_iter().for_each(|wait| metrics.started_after(wait));
+        metrics.looked_at(measures.workers_scanned);
+        measures.start_waits.into_iter().for_each(|wait| metrics.started_after(wait));
     }
 
     /// Takes an event in, and has a pass over what waits follow soon.
@@ -372,8 +372,8 @@
         let mut scheduler =
             Scheduler::new(now, wall_ms, term, core.limits, &core.ledger, directory);
         log::info!(
-            epoch:% = epoch, workers = core.directory.len(), workflows = scheduler.active(),
-            unaccounted = scheduler.unaccounted();
+            epoch:% = epoch, workers = core.directory.len(), workflows = scheduler.active_workflow_count(),
+            unaccounted = scheduler.unreconciled_count();
             "elected"
         );
         for (number, (asked, wave)) in &core.waves {
--- a/crates/runtime/src/orders.rs
+++ b/crates/runtime/src/orders.rs
@@ -7,7 +7,7 @@
     },
     egretlb_types::{Epoch, Time},
     egretlb_workflow::{
-        AppendResult, Effect, HoldResult, PaceResult, RunId, Scheduler, StartResult, StepId,
+        AppendResult, Effect, PaceResult, PollResult, RunId, Scheduler, StartResult, StepId,
         StopResult, TaskId, UpkeepResult, VmId, WaveState, WorkerId,
     },
     std::{
@@ -47,7 +47,7 @@
     /// Performs what the scheduler decided.
     pub(crate) fn perform(self: &Rc<Self>, effect: Effect) {
         match effect {
-            Effect::Hold { worker, addr, epoch, recorded, until_ms, wait_ms } => {
+            Effect::Poll { worker, addr, epoch, recorded, until_ms, wait_ms } => {
                 let call = HoldCall { worker, addr, epoch, recorded, until_ms, wait_ms };
                 spawn_local(Rc::clone(self).hold(call));
             }
@@ -68,10 +68,10 @@
             Effect::ListVms => {
                 spawn_local(Rc::clone(self).list_vms());
             }
-            Effect::Upkeep { vm, wave, epoch } => {
+            Effect::BeginMaintenance { vm, wave, epoch } => {
                 spawn_local(Rc::clone(self).upkeep(vm, wave, epoch));
             }
-            Effect::TellWave { wave, state } => {
+            Effect::ReportWave { wave, state } => {
                 spawn_local(Rc::clone(self).tell_wave(wave, state));
             }
             Effect::Record { records } => {
@@ -110,10 +110,10 @@
         let result = if self.may_order(epoch) {
             self.heed(self.workers.hold(call).await)
         } else {
-            HoldResult::Failed
+            PollResult::Failed
         };
         self.with_scheduler(epoch, |scheduler, now, out| {
-            scheduler.on_hold(now, &worker, sent, &result, out);
+            scheduler.on_poll(now, &worker, sent, &result, out);
         });
     }
 
@@ -121,7 +121,7 @@
     fn may_start(&self, epoch: Epoch, worker: &WorkerId, task: TaskId, run: RunId) -> bool {
         let core = self.core.borrow();
         let now = self.clock.now();
-        let wanted = |scheduler: &Scheduler| scheduler.wants(now, worker, task, run);
+        let wanted = |scheduler: &Scheduler| scheduler.wants_start(now, worker, task, run);
         self.may_order(epoch) && core.scheduler.as_ref().is_some_and(wanted)
     }
 
@@ -194,7 +194,7 @@
             UpkeepResult::Unknown
         };
         self.with_scheduler(epoch, |scheduler, now, out| {
-            scheduler.on_upkeep(now, wave, &vm, result, out);
+            scheduler.on_maintenance(now, wave, &vm, result, out);
         });
     }
 
@@ -209,6 +209,8 @@
         if !stored {
             sleep(TELL_RETRY).await;
         }
-        self.with_scheduler(epoch, |scheduler, _, _| scheduler.on_told(wave, state, stored));
+        self.with_scheduler(epoch, |scheduler, _, _| {
+            scheduler.on_wave_reported(wave, state, stored)
+        });
     }
 }
--- a/crates/runtime/src/relays/leader.rs
+++ b/crates/runtime/src/relays/leader.rs
@@ -15,7 +15,7 @@
         relays_wanted,
     },
     egretlb_types::{Epoch, Time},
-    egretlb_workflow::{HoldResult, PaceResult, StartResult, StopResult, WorkerId},
+    egretlb_workflow::{PaceResult, PollResult, StartResult, StopResult, WorkerId},
     futures::{SinkExt, StreamExt, future::LocalBoxFuture},
     std::{
         cell::{Cell, RefCell},
@@ -402,13 +402,13 @@
 }
 
 impl Workers for Relays {
-    fn hold(&self, call: HoldCall) -> LocalBoxFuture<'_, Decoded<HoldResult>> {
+    fn hold(&self, call: HoldCall) -> LocalBoxFuture<'_, Decoded<PollResult>> {
         Box::pin(async move {
             let HoldCall { recorded, until_ms, wait_ms, .. } = call;
             let carried = Call::Hold { recorded, until_ms, wait_ms };
             match self.carry(&call.worker, call.addr, carried).await {
                 Ok(Answer::Hold(result)) => result.into(),
-                Ok(_) => HoldResult::Failed.into(),
+                Ok(_) => PollResult::Failed.into(),
                 Err(_) => self.direct.hold(call).await,
             }
         })
--- a/crates/workflow/src/lib.rs
+++ b/crates/workflow/src/lib.rs
@@ -37,9 +37,9 @@
     },
     routes::{AdviceTerms, Route, RouteTable},
     scheduler::{
-        AdviceResult, Effect, End, EndKind, HoldReply, HoldResult, Measures, OddRows, PaceResult,
-        Reason, RunningTask, Scheduler, ServiceWorkers, StartResult, StartWindow, StopResult,
-        WaitingStep,
+        AdviceResult, Effect, End, EndKind, PaceResult, PollReply, PollResult, Reason, RunningTask,
+        Scheduler, SchedulerStats, ServiceWorkers, StartResult, StartWindow, StopResult,
+        UnreadableRows, WaitingStep,
     },
     spec::{MAX_PAYLOAD_BYTES, MAX_STEPS, MAX_TASKS_PER_STEP, Repeat, SpecError, Step, Workflow},
     upkeep::{UpkeepResult, VmEntry, VmId, VmList, VmState, Wave, WaveProgress, WaveState},
--- a/crates/workflow/src/scheduler/flow.rs
+++ b/crates/workflow/src/scheduler/active_workflow.rs
@@ -25,27 +25,27 @@
     /// A run that is recorded before its outcome is known: the next one, or one that may have crashed its worker.
     pub(crate) announced: Option<Announced>,
     /// Runs that may be under way, and where.
-    pub(crate) copies: SmallVec<[(WorkerId, RunId); 1]>,
+    pub(crate) attempts: SmallVec<[(WorkerId, RunId); 1]>,
     pub(crate) last_run: RunId,
     /// This leader has found it running: no run of it that a predecessor started can be under way elsewhere.
-    pub(crate) found: bool,
+    pub(crate) found_running: bool,
     pub(crate) saved: CompactString,
     /// Where it failed or was slow last: the next run goes elsewhere if it can.
     pub(crate) avoid: Option<Avoided>,
     /// Since when it hasn't run; none if it never did, as far as this leader knows.
     pub(crate) down_since: Option<Time>,
     /// How often it left a worker where it was slow.
-    pub(crate) left: u8,
+    pub(crate) slow_moves: u8,
 }
 
 impl TaskState {
     /// Whether it isn't done and runs nowhere.
-    pub(crate) fn waits(&self) -> bool {
-        !self.done && self.copies.is_empty()
+    pub(crate) fn is_pending(&self) -> bool {
+        !self.done && self.attempts.is_empty()
     }
 
     /// Whether it is given up: it has failed as often as its queue allows, or crashes its workers.
-    pub(crate) fn is_spent(&self, max_attempts: u32) -> bool {
+    pub(crate) fn is_exhausted(&self, max_attempts: u32) -> bool {
         self.failed.len() >= max_attempts.max(1) as usize || is_given_up(&self.crashes)
     }
 
@@ -88,7 +88,7 @@
 pub(crate) struct Searched {
     pub(crate) at: Time,
     /// How many times workers had been heard of.
-    pub(crate) heard: u64,
+    pub(crate) contacts: u64,
 }
 
 impl StepState {
@@ -105,7 +105,7 @@
 
 /// A workflow that hasn't ended.
 #[derive(Clone, Debug)]
-pub(crate) struct Flow {
+pub(crate) struct ActiveWorkflow {
     pub(crate) submission: Arc<Submission>,
     pub(crate) outcome: Option<Outcome>,
     pub(crate) started: bool,
@@ -120,15 +120,15 @@
     pub(crate) due_ms: u64,
 }
 
-impl Flow {
+impl ActiveWorkflow {
     /// The workflow as the records have it; none if its submission isn't held any more.
-    pub(crate) fn new(entry: &Entry, inherited: bool) -> Option<Flow> {
+    pub(crate) fn new(entry: &Entry, inherited: bool) -> Option<ActiveWorkflow> {
         let submission = Arc::clone(entry.submission.as_ref()?);
         let Progress { started, complete_below, complete, occurrences, .. } = &entry.progress;
         let objective = submission.workflow.chain_ms() * u64::from(submission.stretch_permille)
             / 1_000
             + u64::from(submission.slack_ms);
-        let mut flow = Flow {
+        let mut flow = ActiveWorkflow {
             due_ms: submission.taken_ms + objective,
             submission,
             outcome: None,
@@ -140,14 +140,14 @@
             next: *complete_below,
         };
         for progress in occurrences {
-            let occurrence = flow.begin(Some(progress));
+            let occurrence = flow.new_occurrence(Some(progress));
             flow.occurrences.insert(progress.number, occurrence);
         }
         Some(flow)
     }
 
     /// The state of an occurrence, as recorded or at its beginning.
-    pub(crate) fn begin(&self, progress: Option<&OccurrenceProgress>) -> Occurrence {
+    pub(crate) fn new_occurrence(&self, progress: Option<&OccurrenceProgress>) -> Occurrence {
         let mut occurrence = Occurrence::default();
         for (number, step) in self.submission.workflow.steps.iter().enumerate() {
             let mut state = StepState {
@@ -253,7 +253,7 @@
         progress
             .announced
             .extend(task.announced.iter().map(|announced| (index, announced.clone())));
-        if !task.saved.is_empty() && task.copies.is_empty() {
+        if !task.saved.is_empty() && task.attempts.is_empty() {
             progress.saved.push((index, task.saved.clone()));
         }
     }
--- a/crates/workflow/src/scheduler/advice.rs
+++ b/crates/workflow/src/scheduler/advice.rs
@@ -91,7 +91,7 @@
 
 impl Scheduler {
     pub(super) fn needs_ticket(&self, step: StepId) -> Option<AdviceTerms> {
-        self.flows.get(&step.workflow).and_then(|flow| flow.submission.advice)
+        self.workflows.get(&step.workflow).and_then(|flow| flow.submission.advice)
     }
 
     /// Whether a worker may run tasks of a step, as far as is known.
@@ -142,7 +142,7 @@
         let task =
             TaskId { workflow: id.workflow, occurrence: id.occurrence, step: id.step, index: 0 };
         let Some(step) = self.step(task).cloned() else { return Vec::new() };
-        let Some(flow) = self.flows.get(&id.workflow) else { return Vec::new() };
+        let Some(flow) = self.workflows.get(&id.workflow) else { return Vec::new() };
         let service = flow.submission.service.clone();
         let occurrence = flow.occurrences.get(&id.occurrence);
         let state = occurrence.and_then(|occurrence| occurrence.steps.get(usize::from(id.step)));
@@ -152,7 +152,7 @@
         let mut open: Vec<((bool, u32), &WorkerId)> = Vec::new();
         for (worker_id, worker) in &self.workers {
             let suits = worker.info.service == service
-                && worker.takes_work(now, &self.limits)
+                && worker.accepts_work(now, &self.limits)
                 && step.label.as_ref().is_none_or(|label| worker.info.has_label(label));
             if suits && known.is_open(now, worker_id) {
                 let free = worker.free();
@@ -173,7 +173,7 @@
         };
         match result {
             AdviceResult::Allowed { tickets, validity_ms } => {
-                if !self.flows.contains_key(&step.workflow) {
+                if !self.workflows.contains_key(&step.workflow) {
                     return;
                 }
                 let known = self.advice.steps.entry(step).or_default();
--- a/crates/workflow/src/scheduler/audit.rs
+++ b/crates/workflow/src/scheduler/audit.rs
@@ -7,7 +7,7 @@
 use {
     super::{
         Ready, Scheduler,
-        flow::{Flow, StepState, TaskState},
+        active_workflow::{ActiveWorkflow, StepState, TaskState},
     },
     crate::{StepId, TaskId},
 };
@@ -17,13 +17,13 @@
     /// scheduler has a fault.
     pub fn stranded(&self) -> Vec<TaskId> {
         let mut stranded = Vec::new();
-        for (id, flow) in self.flows.iter().filter(|(_, flow)| flow.outcome.is_none()) {
+        for (id, flow) in self.workflows.iter().filter(|(_, flow)| flow.outcome.is_none()) {
             for (number, occurrence) in &flow.occurrences {
                 for (step, state) in (0u16..).zip(&occurrence.steps) {
                     let id = StepId { workflow: *id, occurrence: *number, step };
                     let turn = state.open || has_turn(flow, &occurrence.steps, step);
                     // One that is spent ends with the next tick.
-                    if turn && !self.spent.contains(&id.workflow) {
+                    if turn && !self.exhausted.contains(&id.workflow) {
                         stranded.extend(self.stranded_of(flow, id, state));
                     }
                 }
@@ -34,13 +34,13 @@
 
     fn stranded_of<'a>(
         &'a self,
-        flow: &Flow,
+        flow: &ActiveWorkflow,
         id: StepId,
         state: &'a StepState,
     ) -> impl Iterator<Item = TaskId> + 'a {
         let key = Ready {
             priority: flow.submission.priority,
-            lasting: flow.submission.workflow.steps[usize::from(id.step)].lasting,
+            long_running: flow.submission.workflow.steps[usize::from(id.step)].lasting,
             due_ms: flow.due_ms,
             workflow: id.workflow,
             occurrence: id.occurrence,
@@ -52,21 +52,21 @@
             let id = TaskId { workflow, occurrence, step, index };
             let queued = ready && state.queue.contains(&index);
             let settles =
-                if task.waits() { queued } else { task.done || self.is_held_by(id, task) };
+                if task.is_pending() { queued } else { task.done || self.is_held_by(id, task) };
             (!settles).then_some(id)
         })
     }
 
     /// Whether all runs of a task are known at their workers.
     fn is_held_by(&self, id: TaskId, task: &TaskState) -> bool {
-        task.copies.iter().all(|(at, run)| {
-            self.workers.get(at).is_some_and(|worker| worker.copies.contains_key(&(id, *run)))
+        task.attempts.iter().all(|(at, run)| {
+            self.workers.get(at).is_some_and(|worker| worker.attempts.contains_key(&(id, *run)))
         })
     }
 }
 
 /// Whether all steps before this one are done.
-fn has_turn(flow: &Flow, states: &[StepState], step: u16) -> bool {
+fn has_turn(flow: &ActiveWorkflow, states: &[StepState], step: u16) -> bool {
     let after = &flow.submission.workflow.steps[usize::from(step)].after;
     after.iter().all(|after| states[usize::from(*after)].is_done())
 }
--- a/crates/workflow/src/scheduler/orders.rs
+++ b/crates/workflow/src/scheduler/commands.rs
@@ -27,11 +27,11 @@
     /// Not run: it arrived after its lease had ended.
     Late,
     /// Not run: the worker has no room for it.
-    NoRoom,
+    NoCapacity,
     /// Not run: its ticket isn't valid.
     BadTicket,
     /// Not run: the worker is unwell or overloaded.
-    Unwell,
+    Unhealthy,
     /// Not run: the worker can't read it.
     Invalid,
     /// Not run: another incarnation answers at this address.
@@ -78,14 +78,14 @@
 
 impl Worker {
     /// Whether it gets no start since it has left one unanswered.
-    pub(super) fn is_doubted(&self, now: Time) -> bool {
-        let tried = || self.copies.values().any(|copy| copy.phase == Phase::Starting);
-        self.doubted.is_some_and(|since| now.since(since) < DOUBT_PAUSE || tried())
+    pub(super) fn is_backing_off(&self, now: Time) -> bool {
+        let tried = || self.attempts.values().any(|copy| copy.phase == Phase::Starting);
+        self.unconfirmed_start.is_some_and(|since| now.since(since) < DOUBT_PAUSE || tried())
     }
 
     /// Whether a start was decided before the worker left another one unanswered.
     fn is_outdated(&self, copy: &Copy) -> bool {
-        self.doubted.is_some_and(|since| copy.placed <= since)
+        self.unconfirmed_start.is_some_and(|since| copy.placed <= since)
     }
 }
 
@@ -93,14 +93,14 @@
     /// Whether a start that was decided is still wanted. It is asked right before the start is sent:
     /// while it waited for its turn, its workflow may have been cancelled, another copy of its task may be
     /// done, or the worker may have stopped answering.
-    pub fn wants(&self, now: Time, id: &WorkerId, task: TaskId, run: RunId) -> bool {
+    pub fn wants_start(&self, now: Time, id: &WorkerId, task: TaskId, run: RunId) -> bool {
         let Some(worker) = self.workers.get(id) else { return false };
-        let Some(copy) = worker.copies.get(&(task, run)) else { return false };
+        let Some(copy) = worker.attempts.get(&(task, run)) else { return false };
         // A gang without one of its members does nothing, so all of them are tried.
         let gang = self.step(task).is_some_and(|step| step.gang);
         let goes_elsewhere = worker.is_outdated(copy) && !gang;
-        let timely = !copy.again || self.may_repeat(now);
-        !self.behind && copy.phase == Phase::Starting && !goes_elsewhere && timely
+        let timely = !copy.again || self.may_restart(now);
+        !self.lagging && copy.phase == Phase::Starting && !goes_elsewhere && timely
     }
 
     /// Whether a task may be started that was started before.
@@ -109,19 +109,19 @@
     /// lasts. The successor renews runs that this leader takes for lapsed, and notes ends that it hasn't
     /// heard of; started again at a worker that the successor hasn't reached yet, such tasks would run twice.
     /// Nobody takes over before [`crate::Limits::takeover_after`] has passed since the last sign of life.
-    pub(super) fn may_repeat(&self, now: Time) -> bool {
-        self.proven.is_some_and(|sent| now < sent + self.limits.takeover_after)
+    pub(super) fn may_restart(&self, now: Time) -> bool {
+        self.last_acked_append.is_some_and(|sent| now < sent + self.limits.takeover_after)
     }
 
     /// Whether more starts may be decided now.
     pub(super) fn may_start(&self) -> bool {
-        !self.behind && self.starts.is_open()
+        !self.lagging && self.start_window.is_open()
     }
 
     /// Tells whether the records are read too late to start anything: what was cancelled since isn't
     /// known.
-    pub fn set_behind(&mut self, behind: bool) {
-        if std::mem::replace(&mut self.behind, behind) != behind {
+    pub fn set_lagging(&mut self, behind: bool) {
+        if std::mem::replace(&mut self.lagging, behind) != behind {
             log::warn!(behind; "records_read_late");
         }
     }
@@ -138,8 +138,8 @@
     ) {
         let answered =
             !matches!(result, StartResult::Unknown | StartResult::NotSent | StartResult::Withheld);
-        self.starts.settle(now, answered);
-        self.heard.note(id);
+        self.start_window.settle(now, answered);
+        self.contacts.note(id);
         if answered {
             self.on_answered(id);
         }
@@ -151,8 +151,8 @@
                 self.on_other_incarnation(now, id);
             }
             StartResult::Unknown => self.on_start_unknown(now, id, task, run),
-            StartResult::NoRoom => self.reject_start(now, id, task, run, NO_ROOM_PAUSE),
-            StartResult::Unwell | StartResult::NotSent => {
+            StartResult::NoCapacity => self.reject_start(now, id, task, run, NO_ROOM_PAUSE),
+            StartResult::Unhealthy | StartResult::NotSent => {
                 self.reject_start(now, id, task, run, UNWELL_PAUSE);
             }
             StartResult::BadTicket => {
@@ -170,8 +170,8 @@
 
     fn on_started(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId, clock_ms: u64) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        worker.heard(now, clock_ms);
-        if let Some(copy) = worker.copies.get_mut(&(task, run))
+        worker.note_contact(now, clock_ms);
+        if let Some(copy) = worker.attempts.get_mut(&(task, run))
             && matches!(copy.phase, Phase::Starting | Phase::Doubtful { .. })
         {
             copy.begin(now, clock_ms);
@@ -181,15 +181,15 @@
     /// The worker has answered an order.
     fn on_answered(&mut self, id: &WorkerId) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.doubted = None;
+            worker.unconfirmed_start = None;
         }
     }
 
     fn on_start_unknown(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        worker.poll_at = now;
-        worker.doubted = Some(now);
-        if let Some(copy) = worker.copies.get_mut(&(task, run))
+        worker.next_poll_at = now;
+        worker.unconfirmed_start = Some(now);
+        if let Some(copy) = worker.attempts.get_mut(&(task, run))
             && copy.phase == Phase::Starting
         {
             copy.phase = Phase::Doubtful { since: now };
@@ -199,7 +199,7 @@
 
     fn reject_start(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId, bar: Duration) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.barred_until = worker.barred_until.max(now + bar);
+            worker.backoff_until = worker.backoff_until.max(now + bar);
         }
         self.drop_copy(now, id, task, run);
     }
@@ -209,19 +209,19 @@
         &mut self,
         now: Time,
         id: &WorkerId,
-        why: StopReason,
+        reason: StopReason,
         out: &mut Vec<Effect>,
         chosen: impl Fn(TaskId, RunId) -> bool,
     ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let addr = worker.info.addr;
-        worker.poll_at = worker.poll_at.min(now + self.limits.poll_gap);
-        for ((task, run), copy) in &mut worker.copies {
+        worker.next_poll_at = worker.next_poll_at.min(now + self.limits.poll_gap);
+        for ((task, run), copy) in &mut worker.attempts {
             if !chosen(*task, *run) {
                 continue;
             }
             copy.phase = Phase::Stopping { sent: now, confirmed_ms: None };
-            copy.stop.get_or_insert(Stop { why, since: now });
+            copy.stop.get_or_insert(Stop { reason, since: now });
             out.push(Effect::Stop {
                 worker: id.clone(),
                 addr,
@@ -246,8 +246,8 @@
             StopResult::Confirmed { clock_ms } => {
                 self.on_answered(id);
                 let Some(worker) = self.workers.get_mut(id) else { return };
-                worker.heard(now, clock_ms);
-                if let Some(copy) = worker.copies.get_mut(&(task, run))
+                worker.note_contact(now, clock_ms);
+                if let Some(copy) = worker.attempts.get_mut(&(task, run))
                     && let Phase::Stopping { confirmed_ms, .. } = &mut copy.phase
                 {
                     *confirmed_ms = Some(clock_ms);
@@ -260,11 +260,11 @@
     }
 
     /// Sends stops again that weren't confirmed.
-    pub(super) fn repeat_stops(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn resend_stops(&mut self, now: Time, out: &mut Vec<Effect>) {
         let epoch = self.epoch;
         for (id, worker) in &mut self.workers {
             let addr = worker.info.addr;
-            for ((task, run), copy) in &mut worker.copies {
+            for ((task, run), copy) in &mut worker.attempts {
                 let Phase::Stopping { sent, confirmed_ms: None } = &mut copy.phase else {
                     continue;
                 };
@@ -293,7 +293,7 @@
     fn forget_worker(&mut self, now: Time, id: &WorkerId, loss: Loss) {
         self.lose_runs(now, id, loss);
         self.workers.remove(id);
-        self.unaccounted.remove(id);
+        self.unreconciled.remove(id);
         self.roster_dirty = true;
     }
 }
--- a/crates/workflow/src/scheduler/effect.rs
+++ b/crates/workflow/src/scheduler/effect.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Ask a worker what runs and what ended there, and renew the leases there.
-    Hold {
+    Poll {
         /// The worker.
         worker: WorkerId,
         /// Where it takes orders.
@@ -84,7 +84,7 @@
     /// List the platform's VMs.
     ListVms,
     /// Begin a VM's upkeep.
-    Upkeep {
+    BeginMaintenance {
         /// The VM.
         vm: VmId,
         /// The wave.
@@ -93,7 +93,7 @@
         epoch: Epoch,
     },
     /// Tell the operator how far a wave is.
-    TellWave {
+    ReportWave {
         /// The wave.
         wave: u64,
         /// How far it is.
--- a/crates/workflow/src/scheduler/ends.rs
+++ b/crates/workflow/src/scheduler/ends.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Copy, Effect, End, EndKind, HoldReply, Need, Phase, RunningTask, Scheduler,
+        Copy, Effect, End, EndKind, Need, Phase, PollReply, RunningTask, Scheduler,
         losses::CLEARED_AFTER, polls::POLL_RETRY, unclear::Absent, waits::StopReason,
     },
     crate::{RunId, TaskId, WorkerId},
@@ -18,22 +18,22 @@
         now: Time,
         id: &WorkerId,
         sent: Time,
-        reply: &HoldReply,
+        reply: &PollReply,
         out: &mut Vec<Effect>,
     ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        worker.heard(now, reply.clock_ms);
+        worker.note_contact(now, reply.clock_ms);
         self.clear_crashes_at(id);
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let before = worker.unclear.clone();
-        let unclear = worker.unclear.note(now, reply);
-        let first = !worker.surveyed;
+        let before = worker.unreadable_rows.clone();
+        let unclear = worker.unreadable_rows.note(now, reply);
+        let first = !worker.reconciled;
         // What its predecessor started there isn't known from such an answer. Nothing is renewed before the
         // survey, so by the bound all of that has lapsed.
-        worker.surveyed |= !unclear || now >= worker.lease_bound;
-        if !worker.surveyed {
-            worker.poll_at = now + POLL_RETRY;
-        } else if first && self.unaccounted.remove(id).is_some() && self.unaccounted.is_empty() {
+        worker.reconciled |= !unclear || now >= worker.lease_bound;
+        if !worker.reconciled {
+            worker.next_poll_at = now + POLL_RETRY;
+        } else if first && self.unreconciled.remove(id).is_some() && self.unreconciled.is_empty() {
             log::info!(epoch:% = self.epoch; "survey_complete");
         }
         if first {
@@ -41,38 +41,42 @@
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
         self.roster_dirty |= first && !worker.in_roster;
-        let taken = worker.taken;
+        let taken = worker.ends_processed;
         let numbers = reply.ended.iter().map(|end| end.number);
-        worker.taken = numbers.chain(worker.unclear.passed_over(reply)).fold(taken, u64::max);
+        worker.ends_processed =
+            numbers.chain(worker.unreadable_rows.passed_over(reply)).fold(taken, u64::max);
         let news = |end: &&End| end.number > taken || before.is_open(end.number);
         for end in reply.ended.iter().filter(news) {
             self.on_end(now, id, end, out);
         }
         self.reconcile(now, id, sent, reply, out);
         self.watch(now, id, out);
-        self.pace_fillers(now, id, out);
+        self.pace_best_effort(now, id, out);
         self.chase(now, id, reply, out);
     }
 
     fn on_end(&mut self, now: Time, id: &WorkerId, end: &End, out: &mut Vec<Effect>) {
         log::debug!(task:% = end.task, run:% = end.run, worker:% = id, end:? = end.kind; "task_ended");
-        self.tell_end(now, id, end.task, end.run, end.kind);
+        self.log_end(now, id, end.task, end.run, end.kind);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.remove(end.task, end.run);
             match end.kind {
                 EndKind::Done => worker.failures = 0,
                 EndKind::Failed | EndKind::Unknown => self.on_failure(now, id),
-                EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
+                EndKind::Stopped
+                | EndKind::Lapsed
+                | EndKind::GangBroken
+                | EndKind::GangTimedOut => {}
             }
         }
         match end.kind {
-            EndKind::Done => self.measures.done += 1,
-            EndKind::Failed => self.measures.failed += 1,
-            _ => self.measures.stopped += 1,
+            EndKind::Done => self.stats.done += 1,
+            EndKind::Failed => self.stats.failed += 1,
+            _ => self.stats.stopped += 1,
         }
         self.clear_crash(end.task, end.run);
         let Some(state) = self.task_mut(end.task) else { return };
-        state.copies.retain(|(_, run)| *run != end.run);
+        state.attempts.retain(|(_, run)| *run != end.run);
         state.last_run = state.last_run.max(end.run);
         if !end.saved.is_empty() {
             state.saved.clone_from(&end.saved);
@@ -86,13 +90,13 @@
             // Only a failure that is known as one uses up an attempt.
             EndKind::Stopped
             | EndKind::Lapsed
-            | EndKind::Broken
-            | EndKind::Alone
+            | EndKind::GangBroken
+            | EndKind::GangTimedOut
             | EndKind::Unknown => {
                 if !end.saved.is_empty() {
                     self.dirty.insert(end.task.workflow);
                 }
-                self.queue(now, end.task);
+                self.enqueue(now, end.task);
             }
         }
     }
@@ -113,7 +117,7 @@
         let Some(step) = self.step(task) else { return };
         let gang = step.gang;
         self.dirty.insert(task.workflow);
-        let Some(flow) = self.flows.get_mut(&task.workflow) else { return };
+        let Some(flow) = self.workflows.get_mut(&task.workflow) else { return };
         let Some(occurrence) = flow.occurrences.get_mut(&task.occurrence) else { return };
         let Some(state) = occurrence.steps.get_mut(usize::from(task.step)) else { return };
         // One member's end stands for its whole gang.
@@ -126,13 +130,13 @@
             member.done = true;
             let id = TaskId { index: u32::try_from(index).unwrap_or(u32::MAX), ..task };
             if !gang {
-                spare.extend(member.copies.drain(..).map(|(worker, run)| (worker, id, run)));
+                spare.extend(member.attempts.drain(..).map(|(worker, run)| (worker, id, run)));
             }
         }
         let complete = state.is_done();
-        let all = occurrence.steps.iter().all(super::flow::StepState::is_done);
+        let all = occurrence.steps.iter().all(super::active_workflow::StepState::is_done);
         for (worker, id, run) in spare {
-            self.stop_runs(now, &worker, StopReason::CopyDone, out, |of, number| {
+            self.stop_runs(now, &worker, StopReason::OtherAttemptDone, out, |of, number| {
                 of == id && number == run
             });
         }
@@ -144,7 +148,7 @@
     }
 
     fn complete(&mut self, task: TaskId) {
-        let Some(flow) = self.flows.get_mut(&task.workflow) else { return };
+        let Some(flow) = self.workflows.get_mut(&task.workflow) else { return };
         flow.complete(task.occurrence);
         if flow.outcome.is_some() {
             log::info!(workflow:% = task.workflow, outcome = "Completed"; "workflow_ended");
@@ -162,7 +166,7 @@
         let attempts = state.failed.len();
         log::info!(task:% = end.task, run:% = end.run, worker:% = id, attempts; "task_failed");
         self.dirty.insert(end.task.workflow);
-        self.queue(now, end.task);
+        self.enqueue(now, end.task);
     }
 
     /// Compares what should run at a worker with what it lists.
@@ -174,7 +178,7 @@
         now: Time,
         id: &WorkerId,
         sent: Time,
-        reply: &HoldReply,
+        reply: &PollReply,
         out: &mut Vec<Effect>,
     ) {
         let mut listed = BTreeSet::new();
@@ -182,7 +186,7 @@
             listed.insert((running.task, running.run));
             self.on_running(now, id, reply.clock_ms, running, out);
         }
-        for (task, run) in &reply.odd.seen {
+        for (task, run) in &reply.unreadable.partial_runs {
             listed.insert((*task, *run));
             self.on_seen(now, id, reply.clock_ms, (*task, *run), out);
         }
@@ -194,15 +198,15 @@
         let mut gone = Vec::new();
         let mut doubtful = Vec::new();
         let mut never_began = Vec::new();
-        for (key, copy) in worker.copies.iter().filter(|(key, _)| !listed.contains(*key)) {
+        for (key, copy) in worker.attempts.iter().filter(|(key, _)| !listed.contains(*key)) {
             // It can't begin any more, whether or not a stop is ever answered.
             let late = copy.starts_until_ms.is_some_and(|until| reply.clock_ms > until);
             let unanswered = matches!(copy.phase, Phase::Doubtful { .. } | Phase::Stopping { .. });
-            if late && unanswered && worker.unclear.is_clear() {
+            if late && unanswered && worker.unreadable_rows.is_clear() {
                 never_began.push(*key);
                 continue;
             }
-            match worker.unclear.absent(now, copy.phase, sent, reply.clock_ms, lease) {
+            match worker.unreadable_rows.absent(now, copy.phase, sent, reply.clock_ms, lease) {
                 Absent::Gone => gone.push(*key),
                 Absent::Doubtful => doubtful.push(*key),
                 Absent::Unsettled => {}
@@ -220,7 +224,7 @@
         }
         // The start may still be carried out; a stop keeps it from that.
         for (task, run) in doubtful {
-            self.stop_runs(now, id, StopReason::Doubtful, out, |of, number| {
+            self.stop_runs(now, id, StopReason::StartUnconfirmed, out, |of, number| {
                 of == task && number == run
             });
         }
@@ -236,7 +240,7 @@
     ) {
         let RunningTask { task, run, percent, .. } = *running;
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let Some(copy) = worker.copies.get_mut(&(task, run)) else {
+        let Some(copy) = worker.attempts.get_mut(&(task, run)) else {
             self.adopt(now, id, clock_ms, running, out);
             return;
         };
@@ -252,7 +256,7 @@
             Phase::Running { .. } => {}
             Phase::Stopping { sent, .. } => {
                 if now.since(sent) > self.limits.order_timeout * 2 {
-                    self.stop_runs(now, id, StopReason::NotWanted, out, |of, number| {
+                    self.stop_runs(now, id, StopReason::Duplicate, out, |of, number| {
                         of == task && number == run
                     });
                 }
@@ -287,7 +291,7 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        match worker.copies.get_mut(&(task, run)) {
+        match worker.attempts.get_mut(&(task, run)) {
             Some(copy) if matches!(copy.phase, Phase::Starting | Phase::Doubtful { .. }) => {
                 copy.begin(now, clock_ms);
             }
@@ -318,7 +322,7 @@
             Some(state) => {
                 state.last_run = state.last_run.max(run);
                 !state.done
-                    && (state.copies.is_empty()
+                    && (state.attempts.is_empty()
                         || step.as_ref().is_some_and(|s| s.speculative || s.gang))
             }
             None => false,
@@ -336,15 +340,15 @@
         // Also what isn't wanted holds its task until its end is listed: another copy may turn out not to
         // run at all, and the task must not start anew while this one is being stopped.
         if let Some(state) = self.task_mut(task) {
-            state.copies.push((id.clone(), run));
-            state.found |= wanted;
+            state.attempts.push((id.clone(), run));
+            state.found_running |= wanted;
             if wanted && !running.saved.is_empty() {
                 state.saved.clone_from(&running.saved);
             }
         }
         self.unqueue(task);
         if !wanted {
-            self.stop_runs(now, id, StopReason::NotWanted, out, |of, number| {
+            self.stop_runs(now, id, StopReason::Duplicate, out, |of, number| {
                 of == task && number == run
             });
         }
@@ -359,7 +363,7 @@
                 worker.remove(*task, *run);
             }
             if let Some(state) = self.task_mut(*task) {
-                state.copies.retain(|(at, number)| at != id || number != run);
+                state.attempts.retain(|(at, number)| at != id || number != run);
             }
         }
     }
@@ -369,20 +373,20 @@
     fn drop_supposed(&mut self, task: TaskId, found: RunId) {
         let Some(state) = self.task_mut(task) else { return };
         let older: Vec<(WorkerId, RunId)> =
-            state.copies.iter().filter(|(_, run)| *run < found).cloned().collect();
+            state.attempts.iter().filter(|(_, run)| *run < found).cloned().collect();
         for (id, run) in older {
-            let Some(worker) = self.workers.get_mut(&id).filter(|worker| !worker.surveyed) else {
+            let Some(worker) = self.workers.get_mut(&id).filter(|worker| !worker.reconciled) else {
                 continue;
             };
             worker.remove(task, run);
             if let Some(state) = self.task_mut(task) {
-                state.copies.retain(|(at, number)| *at != id || *number != run);
+                state.attempts.retain(|(at, number)| *at != id || *number != run);
             }
         }
     }
 
     fn unqueue(&mut self, task: TaskId) {
-        let Some(flow) = self.flows.get_mut(&task.workflow) else { return };
+        let Some(flow) = self.workflows.get_mut(&task.workflow) else { return };
         flow.started = true;
         let Some(occurrence) = flow.occurrences.get_mut(&task.occurrence) else { return };
         let Some(step) = occurrence.steps.get_mut(usize::from(task.step)) else { return };
@@ -391,16 +395,16 @@
 
     /// Forgets a run that is certainly not under way, and queues its task.
     pub(super) fn drop_copy(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
-        self.tell_drop(now, id, task, run);
-        self.heard.note(id);
+        self.log_dropped(now, id, task, run);
+        self.contacts.note(id);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.remove(task, run);
         }
         let Some(state) = self.task_mut(task) else { return };
-        let before = state.copies.len();
-        state.copies.retain(|(at, number)| at != id || *number != run);
-        if state.copies.len() != before {
-            self.queue(now, task);
+        let before = state.attempts.len();
+        state.attempts.retain(|(at, number)| at != id || *number != run);
+        if state.attempts.len() != before {
+            self.enqueue(now, task);
         }
     }
 }
--- a/crates/workflow/src/scheduler/fallback.rs
+++ b/crates/workflow/src/scheduler/fallback.rs
@@ -5,7 +5,7 @@
 //! which the only room is at a worker under quarantine, where two failures in a row may be chance.
 
 use {
-    super::{Need, Ready, Scheduler, flow::Avoided, places::Places},
+    super::{Need, Ready, Scheduler, active_workflow::Avoided, places::Places},
     crate::{TaskId, WorkerId},
     compact_str::CompactString,
     egretlb_types::Time,
@@ -68,7 +68,7 @@
             return None;
         }
         let again = self.workers.get_key_value(&avoided);
-        let again = again.filter(|(_, worker)| worker.takes_work(now, &self.limits));
+        let again = again.filter(|(_, worker)| worker.accepts_work(now, &self.limits));
         self.best(now, task, service, need, again.into_iter())
     }
 
@@ -88,10 +88,10 @@
         let avoid = avoid.filter(|avoid| now.since(avoid.since) < LAST_RESORT);
         let missed = self.is_missed(now, task);
         let quarantined = self.quarantined.iter().filter(|_| self.waits_long(now, task));
-        let workers = quarantined.chain(self.kept.iter().filter(|_| missed));
+        let workers = quarantined.chain(self.reserved.iter().filter(|_| missed));
         let workers = workers.filter_map(|id| self.workers.get_key_value(id));
         let workers = workers.filter(|(id, worker)| {
-            worker.takes_any_work(now, &self.limits)
+            worker.accepts_as_last_resort(now, &self.limits)
                 && (missed || !worker.is_kept(now))
                 && avoid.as_ref().is_none_or(|avoid| avoid.worker != **id)
         });
@@ -102,7 +102,7 @@
     /// it has waited long enough.
     pub(super) fn is_last_resort(&self, now: Time, task: TaskId) -> bool {
         (!self.quarantined.is_empty() && self.waits_long(now, task))
-            || (!self.kept.is_empty() && self.is_missed(now, task))
+            || (!self.reserved.is_empty() && self.is_missed(now, task))
     }
 
     fn waits_long(&self, now: Time, task: TaskId) -> bool {
@@ -117,7 +117,7 @@
     /// Forgets workers that aren't kept from other tasks any more.
     pub(super) fn release_workers(&mut self, now: Time) {
         let workers = &self.workers;
-        self.kept.retain(|id| workers.get(id).is_some_and(|worker| worker.is_kept(now)));
+        self.reserved.retain(|id| workers.get(id).is_some_and(|worker| worker.is_kept(now)));
         let held = |id: &WorkerId| workers.get(id).is_some_and(|w| now < w.quarantined_until);
         self.quarantined.retain(held);
         self.quarantined.sort_unstable();
--- a/crates/workflow/src/scheduler/gangs.rs
+++ b/crates/workflow/src/scheduler/gangs.rs
@@ -27,7 +27,7 @@
         out: &mut Vec<Effect>,
     ) -> bool {
         let Some(first) = self.front(key) else { return true };
-        if self.was_started(key.task(first)) && !self.may_repeat(now) {
+        if self.was_started(key.task(first)) && !self.may_restart(now) {
             return false;
         }
         let waiting = self.queue_of(key).map_or(0, |queue| queue.len());
@@ -86,8 +86,8 @@
         let mut places: BTreeMap<&str, u32> = BTreeMap::new();
         for (id, worker) in &self.workers {
             let suits = worker.info.service == *service
-                && worker.takes_work(now, &self.limits)
-                && !self.is_held(id)
+                && worker.accepts_work(now, &self.limits)
+                && !self.is_in_maintenance(id)
                 && self.allows(now, task, id)
                 && has_room(worker, task, need);
             let Some(rack) = worker.info.rack().filter(|_| suits) else { continue };
--- a/crates/workflow/src/scheduler/lists.rs
+++ b/crates/workflow/src/scheduler/lists.rs
@@ -21,9 +21,9 @@
     /// Its lease lapsed.
     Lapsed,
     /// Another member of its gang ended.
-    Broken,
+    GangBroken,
     /// It waited too long for the other members of its gang.
-    Alone,
+    GangTimedOut,
     /// In a way that isn't known here: not with success, as far as anybody can say.
     Unknown,
 }
@@ -60,7 +60,7 @@
 
 /// A worker's answer to a poll.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct HoldReply {
+pub struct PollReply {
     /// The worker's clock in milliseconds.
     pub clock_ms: u64,
     /// What runs.
@@ -68,30 +68,31 @@
     /// Ends that aren't acknowledged, in order.
     pub ended: Vec<End>,
     /// What else stands in the two lists.
-    pub odd: OddRows,
+    pub unreadable: UnreadableRows,
 }
 
-impl HoldReply {
+impl PollReply {
     /// Whether more ends may follow than fit into one answer.
     pub(super) fn is_full(&self) -> bool {
-        let rows = self.ended.len() + self.odd.ends.len() + self.odd.foreign_ends.len();
+        let rows =
+            self.ended.len() + self.unreadable.ends.len() + self.unreadable.foreign_ends.len();
         rows >= ENDS_PER_ANSWER
     }
 
     /// Whether a run may get on without this answer showing it: its row can't be read.
-    pub(super) fn hides(&self, task: TaskId, run: RunId) -> bool {
-        let odd = self.odd.runs > 0 || !self.odd.seen.is_empty();
+    pub(super) fn may_omit(&self, task: TaskId, run: RunId) -> bool {
+        let odd = self.unreadable.unidentified_runs > 0 || !self.unreadable.partial_runs.is_empty();
         odd && !self.running.iter().any(|running| (running.task, running.run) == (task, run))
     }
 }
 
 /// Rows of a worker's lists that aren't whole.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct OddRows {
+pub struct UnreadableRows {
     /// Runs of which no more can be read than that they are under way.
-    pub seen: Vec<(TaskId, RunId)>,
+    pub partial_runs: Vec<(TaskId, RunId)>,
     /// How many rows stand for runs that can't be told.
-    pub runs: u32,
+    pub unidentified_runs: u32,
     /// Numbers of ends that can't be read, in order.
     pub ends: Vec<u64>,
     /// Numbers of ends of tasks that aren't this system's.
--- a/crates/workflow/src/scheduler/losses.rs
+++ b/crates/workflow/src/scheduler/losses.rs
@@ -98,7 +98,7 @@
 
 impl Losses {
     pub(super) fn tell_left_out(&mut self, now: Time) {
-        self.lines.tell_left_out(now);
+        self.lines.log_suppressed(now);
     }
 
     /// Whether one more line may be written.
@@ -142,7 +142,7 @@
 impl Worker {
     /// How long a run here is known to have been at work; none if it may never have begun.
     fn worked(&self, copy: &Copy) -> Option<Duration> {
-        let heard = self.last_heard.unwrap_or(copy.began);
+        let heard = self.last_contact.unwrap_or(copy.began);
         copy.confirmed.then(|| heard.max(copy.began).since(copy.began))
     }
 
@@ -159,7 +159,7 @@
     pub(super) fn unproved_runs(&self) -> impl Iterator<Item = (TaskId, RunId)> {
         let unproved =
             |copy: &Copy| self.is_unproved(copy) && (copy.confirmed || copy.inherited_unproved);
-        self.copies.iter().filter(move |(_, copy)| unproved(copy)).map(|(key, _)| *key)
+        self.attempts.iter().filter(move |(_, copy)| unproved(copy)).map(|(key, _)| *key)
     }
 
     /// What the loss of this worker says of a run here; `alone` if nothing else that had just begun can be the cause.
@@ -182,7 +182,7 @@
 
     /// Whether no run here has just begun.
     pub(super) fn is_settled(&self) -> bool {
-        !self.copies.values().any(|copy| self.is_unproved(copy))
+        !self.attempts.values().any(|copy| self.is_unproved(copy))
     }
 }
 
@@ -193,12 +193,12 @@
         self.note_lost(now, id, loss);
         let beside = runs.len().saturating_sub(1);
         for LostRun { task, run, worked, evidence } in runs {
-            self.measures.lost += 1;
+            self.stats.lost += 1;
             let crashes = evidence.map_or(0, |evidence| self.note_crash(task, run, evidence));
             if evidence.is_some() && loss == Loss::Lapsed {
                 self.may_clear(now, id, task, run);
             }
-            if self.losses.may_tell(now) {
+            if self.lost_workers.may_tell(now) {
                 let in_doubt = worked.is_none();
                 let worked_ms = worked.unwrap_or_default().as_millis() as u64;
                 let evidence = evidence.map_or_else(|| "-".to_owned(), |e| e.to_string());
@@ -214,12 +214,12 @@
 
     /// Remembers a lost worker.
     fn note_lost(&mut self, now: Time, id: &WorkerId, loss: Loss) {
-        let lately = &mut self.losses.lately;
+        let lately = &mut self.lost_workers.lately;
         while lately.front().is_some_and(|lost| now.since(lost.at) >= REMEMBERED) {
             lately.pop_front();
         }
         let Some(worker) = self.workers.get(id) else { return };
-        let Some(heard) = worker.last_heard.filter(|_| loss != Loss::Left) else { return };
+        let Some(heard) = worker.last_contact.filter(|_| loss != Loss::Left) else { return };
         let service = worker.info.service.clone();
         let rack = worker.info.rack().map(CompactString::new);
         lately.push_back(LostWorker { id: id.clone(), at: now, heard, service, rack });
@@ -227,17 +227,17 @@
 
     /// Whether so many workers were lost at the same moment that a common cause is likely.
     fn has_common_cause(&self, now: Time, id: &WorkerId, worker: &Worker) -> bool {
-        let Some(heard) = worker.last_heard else { return true };
+        let Some(heard) = worker.last_contact else { return true };
         // It was replaced before others that were lost with it can be known to be silent.
         if now.since(heard) < UNHEARD {
             return true;
         }
         let near =
             |other: Time| heard.since(other) <= HEARD_BEFORE && other.since(heard) <= HEARD_AFTER;
-        let lately = &self.losses.lately;
+        let lately = &self.lost_workers.lately;
         let unheard = self.workers.iter().filter_map(|(other, known)| {
             let counted = other == id || lately.iter().any(|lost| lost.id == *other);
-            let since = known.last_heard.filter(|at| !counted && now.since(*at) >= UNHEARD)?;
+            let since = known.last_contact.filter(|at| !counted && now.since(*at) >= UNHEARD)?;
             (known.info.service == worker.info.service && near(since)).then(|| known.info.rack())
         });
         let lost =
@@ -251,19 +251,19 @@
 
     fn lost_runs(&self, now: Time, id: &WorkerId, loss: Loss) -> Vec<LostRun> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
-        let announced = loss == Loss::Left || self.is_held(id);
+        let announced = loss == Loss::Left || self.is_in_maintenance(id);
         let alone = self.unproved_groups(worker) == 1 && !self.has_common_cause(now, id, worker);
         let lost = |((task, run), copy): (&(TaskId, RunId), &Copy)| {
             let evidence = worker.evidence(copy, loss, alone).filter(|_| !announced);
             LostRun { task: *task, run: *run, worked: worker.worked(copy), evidence }
         };
-        worker.copies.iter().map(lost).collect()
+        worker.attempts.iter().map(lost).collect()
     }
 
     /// How many tasks have just begun at a worker. Members of a gang count as one, since they are started and
     /// given up together.
     fn unproved_groups(&self, worker: &Worker) -> usize {
-        let unproved = worker.copies.iter().filter(|(_, copy)| worker.is_unproved(copy));
+        let unproved = worker.attempts.iter().filter(|(_, copy)| worker.is_unproved(copy));
         let gang = |task: TaskId| self.step(task).is_some_and(|step| step.gang);
         let groups: BTreeSet<(StepId, Option<u32>)> = unproved
             .map(|((task, _), _)| (task.step_id(), (!gang(*task)).then_some(task.index)))
@@ -275,7 +275,7 @@
     /// became of such a worker would otherwise take the first crash along.
     pub(super) fn announce_unheard(&mut self, now: Time) {
         let unheard =
-            |worker: &Worker| worker.last_heard.is_some_and(|at| now.since(at) >= SILENT_AFTER);
+            |worker: &Worker| worker.last_contact.is_some_and(|at| now.since(at) >= SILENT_AFTER);
         let silent = self.workers.iter().filter(|(_, worker)| unheard(worker));
         let runs: Vec<(WorkerId, TaskId, RunId)> = silent
             .flat_map(|(id, worker)| {
@@ -300,20 +300,20 @@
         }
         let crashes = state.crashes.len();
         self.dirty.insert(task.workflow);
-        self.losses.note_unrecorded(task.workflow);
+        self.lost_workers.note_unrecorded(task.workflow);
         crashes
     }
 
     /// Keeps in mind which run was counted as lost with a worker that may only be cut off.
     fn may_clear(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
-        self.losses.silent.retain(|_, (at, _)| now.since(*at) < MAY_RETURN);
-        let (_, runs) = self.losses.silent.entry(id.clone()).or_insert((now, Vec::new()));
+        self.lost_workers.silent.retain(|_, (at, _)| now.since(*at) < MAY_RETURN);
+        let (_, runs) = self.lost_workers.silent.entry(id.clone()).or_insert((now, Vec::new()));
         runs.push((task, run));
     }
 
     /// A worker that was taken for lost answers: nothing crashed it.
     pub(super) fn clear_crashes_at(&mut self, id: &WorkerId) {
-        let Some((_, runs)) = self.losses.silent.remove(id) else { return };
+        let Some((_, runs)) = self.lost_workers.silent.remove(id) else { return };
         for (task, run) in runs {
             self.clear_crash(task, run);
         }
@@ -344,7 +344,9 @@
 
     /// Tells which task of a workflow that is given up has crashed its workers, if one has.
     pub(super) fn tell_given_up(&mut self, id: WorkflowId) {
-        let Some(flow) = self.flows.get(&id).filter(|flow| flow.outcome.is_none()) else { return };
+        let Some(flow) = self.workflows.get(&id).filter(|flow| flow.outcome.is_none()) else {
+            return;
+        };
         for (number, occurrence) in &flow.occurrences {
             for (step, state) in (0u16..).zip(&occurrence.steps) {
                 let tasks = (0u32..).zip(&state.tasks);
@@ -352,7 +354,7 @@
                     let task = TaskId { workflow: id, occurrence: *number, step, index };
                     let crashes = state.crashes.len();
                     log::warn!(task:%, crashes; "task_given_up");
-                    self.measures.given_up += 1;
+                    self.stats.given_up += 1;
                 }
             }
         }
--- a/crates/workflow/src/scheduler/upkeep/mod.rs
+++ b/crates/workflow/src/scheduler/maintenance/mod.rs
@@ -8,7 +8,7 @@
 
 mod stages;
 
-pub(super) use self::stages::Upkeep;
+pub(super) use self::stages::Maintenance;
 
 use {
     self::stages::{Stage, WaveRun},
@@ -35,14 +35,15 @@
     /// The operator asks for a wave of upkeep, or takes it back.
     pub fn on_wave(&mut self, now: Time, number: u64, wave: Option<Wave>, ledger: &Ledger) {
         let Some(wave) = wave else {
-            self.upkeep.runs.remove(&number);
+            self.maintenance.runs.remove(&number);
             return;
         };
-        if self.upkeep.runs.contains_key(&number) {
+        if self.maintenance.runs.contains_key(&number) {
             return;
         }
         log::info!(wave = number, vms = wave.vms.len(), cap = wave.cap; "wave_begins");
-        let mut run = WaveRun { due: now + wave.within, wave, stages: BTreeMap::new(), told: None };
+        let mut run =
+            WaveRun { due: now + wave.within, wave, stages: BTreeMap::new(), reported: None };
         if let Some(progress) = ledger.wave(number) {
             for (vm, worker) in &progress.ordered {
                 let stage = Stage::Ordered { worker: worker.clone(), sent: None, again: now };
@@ -52,27 +53,27 @@
                 run.stages.insert(vm.clone(), Stage::Finished);
             }
         }
-        self.upkeep.runs.insert(number, run);
+        self.maintenance.runs.insert(number, run);
     }
 
     /// The VMs as listed by a call that was sent at `sent`; none if it failed.
     pub fn on_vms(&mut self, sent: Time, listed: Option<VmList>) {
-        self.upkeep.listing = None;
+        self.maintenance.listing = None;
         if let Some(listed) = listed {
             // A VM whose row can't be read is still what it was; taken as gone, its wave would be said to be
             // complete without it.
             if listed.whole {
-                self.upkeep.vms.clear();
+                self.maintenance.vms.clear();
             }
-            self.upkeep.whole = listed.whole;
+            self.maintenance.whole = listed.whole;
             let entries = listed.vms.into_iter().map(|entry| (entry.vm.clone(), entry));
-            self.upkeep.vms.extend(entries);
-            self.upkeep.listed = Some(sent);
+            self.maintenance.vms.extend(entries);
+            self.maintenance.listed = Some(sent);
         }
     }
 
     /// What became of an order to begin a VM's upkeep.
-    pub fn on_upkeep(
+    pub fn on_maintenance(
         &mut self,
         now: Time,
         number: u64,
@@ -80,7 +81,7 @@
         result: UpkeepResult,
         out: &mut Vec<Effect>,
     ) {
-        let Some(run) = self.upkeep.runs.get_mut(&number) else { return };
+        let Some(run) = self.maintenance.runs.get_mut(&number) else { return };
         let Some(stage @ Stage::Ordered { .. }) = run.stages.get_mut(vm) else { return };
         let Stage::Ordered { worker, .. } = stage else { return };
         let worker = worker.clone();
@@ -95,7 +96,7 @@
             }
             UpkeepResult::NotOfWave => {
                 *stage = Stage::Finished;
-                self.upkeep.dirty.insert(number);
+                self.maintenance.dirty.insert(number);
             }
             UpkeepResult::Outranked => out.push(Effect::Outranked),
             UpkeepResult::Busy | UpkeepResult::Throttled | UpkeepResult::Unknown => {
@@ -105,28 +106,28 @@
     }
 
     /// What the operator was told of a wave is stored, or not.
-    pub fn on_told(&mut self, number: u64, state: WaveState, stored: bool) {
-        if let Some(run) = self.upkeep.runs.get_mut(&number)
-            && run.told == Some((state, false))
+    pub fn on_wave_reported(&mut self, number: u64, state: WaveState, stored: bool) {
+        if let Some(run) = self.maintenance.runs.get_mut(&number)
+            && run.reported == Some((state, false))
         {
-            run.told = stored.then_some((state, true));
+            run.reported = stored.then_some((state, true));
         }
     }
 
     /// Whether a worker gets no new work since its VM is about to go down.
-    pub(in crate::scheduler) fn is_held(&self, id: &WorkerId) -> bool {
-        !self.upkeep.runs.is_empty() && self.upkeep.is_held(id)
+    pub(in crate::scheduler) fn is_in_maintenance(&self, id: &WorkerId) -> bool {
+        !self.maintenance.runs.is_empty() && self.maintenance.is_in_maintenance(id)
     }
 
     /// Does what is due for the waves.
-    pub(in crate::scheduler) fn keep_up(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if self.upkeep.runs.is_empty() {
+    pub(in crate::scheduler) fn advance_waves(&mut self, now: Time, out: &mut Vec<Effect>) {
+        if self.maintenance.runs.is_empty() {
             return;
         }
         let mut order: Vec<(Time, u64)> =
-            self.upkeep.runs.iter().map(|(number, run)| (run.due, *number)).collect();
+            self.maintenance.runs.iter().map(|(number, run)| (run.due, *number)).collect();
         order.sort_unstable();
-        let open = self.upkeep.runs.values().any(|run| !run.is_finished());
+        let open = self.maintenance.runs.values().any(|run| !run.is_finished());
         self.list(now, open, out);
         for (_, number) in order {
             self.find_finished(number);
@@ -138,16 +139,16 @@
     }
 
     fn list(&mut self, now: Time, open: bool, out: &mut Vec<Effect>) {
-        let fresh = self.upkeep.listed.is_some_and(|at| now.since(at) < LIST_EVERY);
-        if open && !fresh && self.upkeep.listing.is_none() {
-            self.upkeep.listing = Some(now);
+        let fresh = self.maintenance.listed.is_some_and(|at| now.since(at) < LIST_EVERY);
+        if open && !fresh && self.maintenance.listing.is_none() {
+            self.maintenance.listing = Some(now);
             out.push(Effect::ListVms);
         }
     }
 
     /// VMs that are back with another worker, or that aren't there any more.
     fn find_finished(&mut self, number: u64) {
-        let Upkeep { runs, vms, whole, listed, dirty, .. } = &mut self.upkeep;
+        let Maintenance { runs, vms, whole, listed, dirty, .. } = &mut self.maintenance;
         let whole = *whole;
         let (Some(listed), Some(run)) = (*listed, runs.get_mut(&number)) else { return };
         for vm in &run.wave.vms {
@@ -156,7 +157,7 @@
             let done = match (stage, entry) {
                 (Some(Stage::Finished), _) => false,
                 // An order that isn't confirmed may still take one down that isn't listed just now.
-                (None | Some(Stage::Emptying { .. }), None) => whole && !vms.is_empty(),
+                (None | Some(Stage::Draining { .. }), None) => whole && !vms.is_empty(),
                 (Some(Stage::Down { since, .. }), None) => whole && listed > *since,
                 (Some(Stage::Down { worker, since }), Some(entry)) => {
                     let back = entry.state == VmState::Up && entry.worker.is_some();
@@ -174,32 +175,32 @@
 
     /// Picks the VMs that go next, as many as may be down.
     fn begin_emptying(&mut self, now: Time, number: u64) {
-        let Upkeep { runs, vms, .. } = &mut self.upkeep;
+        let Maintenance { runs, vms, .. } = &mut self.maintenance;
         let Some(run) = runs.get_mut(&number) else { return };
-        let room = (run.wave.cap as usize).saturating_sub(run.down() + run.emptying());
+        let room = (run.wave.cap as usize).saturating_sub(run.down() + run.draining());
         let mut next: Vec<(usize, VmId, WorkerId)> = Vec::new();
         for vm in run.wave.vms.iter().filter(|vm| !run.stages.contains_key(*vm)) {
             let Some(entry) = vms.get(vm).filter(|entry| entry.state == VmState::Up) else {
                 continue;
             };
             let Some(worker) = &entry.worker else { continue };
-            let copies = self.workers.get(worker).map_or(0, |worker| worker.copies.len());
+            let copies = self.workers.get(worker).map_or(0, |worker| worker.attempts.len());
             next.push((copies, vm.clone(), worker.clone()));
         }
         next.sort();
         for (_, vm, worker) in next.into_iter().take(room) {
             log::info!(wave = number, vm:%, worker:%; "vm_emptied");
-            run.stages.insert(vm, Stage::Emptying { worker, since: now });
+            run.stages.insert(vm, Stage::Draining { worker, since: now });
         }
     }
 
     fn empty(&mut self, now: Time, number: u64, out: &mut Vec<Effect>) {
-        let Some(run) = self.upkeep.runs.get(&number) else { return };
+        let Some(run) = self.maintenance.runs.get(&number) else { return };
         let emptying: Vec<(VmId, WorkerId, Time)> = run
             .stages
             .iter()
             .filter_map(|(vm, stage)| match stage {
-                Stage::Emptying { worker, since } => Some((vm.clone(), worker.clone(), *since)),
+                Stage::Draining { worker, since } => Some((vm.clone(), worker.clone(), *since)),
                 _ => None,
             })
             .collect();
@@ -210,10 +211,10 @@
             let share = due.since(since) / left;
             let waited = now.since(since) >= EMPTY_WITHIN.min(share);
             if self.may_go_down(now, &worker, waited)
-                && let Some(run) = self.upkeep.runs.get_mut(&number)
+                && let Some(run) = self.maintenance.runs.get_mut(&number)
             {
                 run.stages.insert(vm, Stage::Recording { worker: Some(worker) });
-                self.upkeep.dirty.insert(number);
+                self.maintenance.dirty.insert(number);
             }
         }
     }
@@ -223,10 +224,10 @@
         let Some(worker) = self.workers.get(id) else { return };
         let moves = |copy: &Copy| copy.moves && matches!(copy.phase, Phase::Running { .. });
         let moving: Vec<(TaskId, RunId)> =
-            worker.copies.iter().filter(|(_, copy)| moves(copy)).map(|(key, _)| *key).collect();
+            worker.attempts.iter().filter(|(_, copy)| moves(copy)).map(|(key, _)| *key).collect();
         for (task, run) in moving {
             if self.may_be_away(task) {
-                self.stop_runs(now, id, StopReason::Upkeep, out, |of, number| {
+                self.stop_runs(now, id, StopReason::Maintenance, out, |of, number| {
                     of == task && number == run
                 });
             }
@@ -241,7 +242,10 @@
             let (first, last) = (RunId(0), RunId(u64::MAX));
             let task = TaskId { index, ..task };
             self.workers.values().any(|worker| {
-                worker.copies.range((task, first)..=(task, last)).any(|(_, copy)| copy.is_at_work())
+                worker
+                    .attempts
+                    .range((task, first)..=(task, last))
+                    .any(|(_, copy)| copy.is_at_work())
             })
         };
         let away = (0..count).filter(|index| !at_work(*index)).count();
@@ -253,35 +257,35 @@
     fn may_go_down(&self, now: Time, id: &WorkerId, waited: bool) -> bool {
         let Some(worker) = self.workers.get(id) else { return waited };
         // What runs at a worker that hasn't answered this leader isn't known, until it must have lapsed.
-        if !worker.surveyed && now < worker.lease_bound {
+        if !worker.reconciled && now < worker.lease_bound {
             return false;
         }
         let guarded = |copy: &Copy| copy.lasts && !copy.yields;
-        let guards = worker.copies.values().any(guarded);
+        let guards = worker.attempts.values().any(guarded);
         let responsive = worker.is_responsive(now, &self.limits);
-        (worker.copies.is_empty() && (responsive || waited)) || (waited && !guards && responsive)
+        (worker.attempts.is_empty() && (responsive || waited)) || (waited && !guards && responsive)
     }
 
     /// Gives the orders that are recorded.
     fn order(&mut self, now: Time, number: u64, out: &mut Vec<Effect>) {
         let epoch = self.epoch;
-        let Some(run) = self.upkeep.runs.get_mut(&number) else { return };
+        let Some(run) = self.maintenance.runs.get_mut(&number) else { return };
         for (vm, stage) in &mut run.stages {
             let Stage::Ordered { sent, again, .. } = stage else { continue };
             if sent.is_none() && now >= *again {
                 *sent = Some(now);
-                out.push(Effect::Upkeep { vm: vm.clone(), wave: number, epoch });
+                out.push(Effect::BeginMaintenance { vm: vm.clone(), wave: number, epoch });
             }
         }
     }
 
     fn tell(&mut self, number: u64, out: &mut Vec<Effect>) {
-        let Some(run) = self.upkeep.runs.get_mut(&number) else { return };
-        let finished = run.is_finished() && !self.upkeep.dirty.contains(&number);
+        let Some(run) = self.maintenance.runs.get_mut(&number) else { return };
+        let finished = run.is_finished() && !self.maintenance.dirty.contains(&number);
         let state = if finished { WaveState::Completed } else { WaveState::Running };
-        if run.told.is_none_or(|(told, _)| told != state) {
-            run.told = Some((state, false));
-            out.push(Effect::TellWave { wave: number, state });
+        if run.reported.is_none_or(|(told, _)| told != state) {
+            run.reported = Some((state, false));
+            out.push(Effect::ReportWave { wave: number, state });
         }
     }
 }
--- a/crates/workflow/src/scheduler/upkeep/stages.rs
+++ b/crates/workflow/src/scheduler/maintenance/stages.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
     /// It gets no new work and is emptied.
-    Emptying {
+    Draining {
         /// The worker on it.
         worker: WorkerId,
         /// Since when.
@@ -48,7 +48,7 @@
     pub(super) due: Time,
     pub(super) stages: BTreeMap<VmId, Stage>,
     /// What the operator was last told, and whether that is stored.
-    pub(super) told: Option<(WaveState, bool)>,
+    pub(super) reported: Option<(WaveState, bool)>,
 }
 
 impl WaveRun {
@@ -60,8 +60,8 @@
         self.stages.values().filter(away).count()
     }
 
-    pub(super) fn emptying(&self) -> usize {
-        self.stages.values().filter(|stage| matches!(stage, Stage::Emptying { .. })).count()
+    pub(super) fn draining(&self) -> usize {
+        self.stages.values().filter(|stage| matches!(stage, Stage::Draining { .. })).count()
     }
 
     pub(super) fn is_finished(&self) -> bool {
@@ -72,7 +72,7 @@
         let mut progress = WaveProgress::default();
         for (vm, stage) in &self.stages {
             match stage {
-                Stage::Emptying { .. } => {}
+                Stage::Draining { .. } => {}
                 Stage::Recording { worker }
                 | Stage::Ordered { worker, .. }
                 | Stage::Down { worker, .. } => progress.ordered.push((vm.clone(), worker.clone())),
@@ -85,7 +85,7 @@
 
 /// All waves, and the VMs as last listed.
 #[derive(Debug, Default)]
-pub(in crate::scheduler) struct Upkeep {
+pub(in crate::scheduler) struct Maintenance {
     pub(super) runs: BTreeMap<u64, WaveRun>,
     pub(super) vms: BTreeMap<VmId, VmEntry>,
     /// The last listing could be read as a whole: what isn't in it isn't there.
@@ -97,11 +97,11 @@
     pub(super) dirty: BTreeSet<u64>,
 }
 
-impl Upkeep {
+impl Maintenance {
     /// Workers that get no new work.
-    pub(super) fn is_held(&self, id: &WorkerId) -> bool {
+    pub(super) fn is_in_maintenance(&self, id: &WorkerId) -> bool {
         let held = |stage: &Stage| match stage {
-            Stage::Emptying { worker, .. } => worker == id,
+            Stage::Draining { worker, .. } => worker == id,
             Stage::Recording { worker }
             | Stage::Ordered { worker, .. }
             | Stage::Down { worker, .. } => worker.as_ref() == Some(id),
@@ -124,7 +124,7 @@
         }
     }
 
-    pub(in crate::scheduler) fn has_news(&self) -> bool {
+    pub(in crate::scheduler) fn is_dirty(&self) -> bool {
         !self.dirty.is_empty()
     }
 
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -9,40 +9,40 @@
 //!
 //! An end is acknowledged to the worker after it is recorded, so that it can't be lost between the two.
 
+mod active_workflow;
 mod advice;
 mod audit;
+mod commands;
 mod copy;
 mod effect;
 mod ends;
 mod fallback;
-mod flow;
 mod gangs;
 mod lists;
 mod losses;
-mod orders;
+mod maintenance;
 mod pacing;
 mod place;
 mod places;
 mod polls;
 mod preempt;
 mod queue;
+mod reconciliation;
 mod recording;
 mod regroup;
 mod restore;
 mod serving;
 mod start_window;
 mod stragglers;
-mod survey;
 mod trials;
 mod unclear;
-mod upkeep;
 mod waits;
 mod worker;
 
 use {
     self::{
+        active_workflow::ActiveWorkflow,
         copy::{Copy, Need, Phase},
-        flow::Flow,
         waits::StopReason,
         worker::{Inherited, Worker},
     },
@@ -60,11 +60,11 @@
 
 pub use self::{
     advice::AdviceResult,
+    commands::{StartResult, StopResult},
     effect::Effect,
-    lists::{End, EndKind, HoldReply, OddRows, RunningTask},
-    orders::{StartResult, StopResult},
+    lists::{End, EndKind, PollReply, RunningTask, UnreadableRows},
     pacing::PaceResult,
-    polls::HoldResult,
+    polls::PollResult,
     start_window::StartWindow,
     waits::{Reason, ServiceWorkers, WaitingStep},
 };
@@ -78,7 +78,7 @@
 struct Ready {
     priority: u8,
     /// Tasks that last go behind those that end soon: they would hold the room for minutes.
-    lasting: bool,
+    long_running: bool,
     due_ms: u64,
     workflow: WorkflowId,
     occurrence: u32,
@@ -92,64 +92,64 @@
     succession: Succession,
     limits: Limits,
     workers: BTreeMap<WorkerId, Worker>,
-    flows: BTreeMap<WorkflowId, Flow>,
+    workflows: BTreeMap<WorkflowId, ActiveWorkflow>,
     ready: BTreeSet<Ready>,
     /// Workers of the predecessor that haven't answered, and when all that runs there has lapsed.
-    unaccounted: BTreeMap<WorkerId, Time>,
+    unreconciled: BTreeMap<WorkerId, Time>,
     dirty: BTreeSet<WorkflowId>,
     /// Workflows of which a task has no attempt left and none under way.
-    spent: BTreeSet<WorkflowId>,
+    exhausted: BTreeSet<WorkflowId>,
     roster_dirty: bool,
     /// Records that another writer replaced, to be recorded anew.
-    restored: Vec<Record>,
-    clients_wait: bool,
-    recording: Option<recording::Recording>,
-    recorded_at: Time,
+    records_to_rewrite: Vec<Record>,
+    append_requested: bool,
+    pending_append: Option<recording::PendingAppend>,
+    append_sent_at: Time,
     /// When the last append that was acknowledged had been sent.
-    proven: Option<Time>,
+    last_acked_append: Option<Time>,
     ended: Vec<(Time, WorkflowId)>,
     /// What is believed of tasks that share workers.
     colocation: Colocation,
     /// When what was learned was last recorded, and whether there is more.
-    learned_at: Time,
-    learned_news: bool,
+    learned_recorded_at: Time,
+    learned_dirty: bool,
     /// When a task that ends soon last found no room.
-    crowded_at: Option<Time>,
+    batch_blocked_at: Option<Time>,
     /// Workers under quarantine, and maybe some that have just left it.
     quarantined: Vec<WorkerId>,
     /// Workers kept for trials, and maybe some that have just been released.
-    kept: Vec<WorkerId>,
+    reserved: Vec<WorkerId>,
     advice: advice::Advice,
-    upkeep: upkeep::Upkeep,
+    maintenance: maintenance::Maintenance,
     /// How long the filler that waits longest has waited, as of the last pass over what waits.
-    fillers_wait: Duration,
+    best_effort_wait: Duration,
     /// When serving tasks were last considered for a better place.
     regrouped_at: Time,
     /// Which of the workers were considered then.
     regroup_turn: usize,
-    starts: StartWindow,
+    start_window: StartWindow,
     /// Workers of which something was heard, for steps that found no place.
-    heard: places::Heard,
-    nowhere: places::Nowhere,
+    contacts: places::Heard,
+    failed_searches: places::Nowhere,
     /// Processor time, in thousandths of a core, that stops will free, by service; summed up once in a pass.
-    freed: Vec<(CompactString, u64)>,
+    cpu_being_freed: Vec<(CompactString, u64)>,
     /// When workers were last looked through for what time alone changes.
-    kept_at: Time,
+    swept_at: Time,
     /// The records are read too late to start anything.
-    behind: bool,
-    losses: losses::Losses,
+    lagging: bool,
+    lost_workers: losses::Losses,
     /// Whether this pass looks for workers for suspected tasks: each takes a look at all of them.
-    trials_due: bool,
-    measures: Measures,
+    isolated_starts_due: bool,
+    stats: SchedulerStats,
     waits: waits::Waits,
     wall_ms: u64,
 }
 
 /// What happened since it was last asked for, for metrics.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Measures {
+pub struct SchedulerStats {
     /// How long the tasks that were started had waited.
-    pub waits: Vec<Duration>,
+    pub start_waits: Vec<Duration>,
     /// Runs that were done.
     pub done: u64,
     /// Runs that failed.
@@ -163,13 +163,13 @@
     /// Lasting tasks stopped for tasks that end soon.
     pub preempted: u64,
     /// Fillers stopped for a serving task over its target.
-    pub relieved: u64,
+    pub evicted: u64,
     /// Changes of fillers' paces.
     pub paced: u64,
     /// Serving tasks moved to better company.
     pub regrouped: u64,
     /// Workers looked at to place tasks.
-    pub looked_at: u64,
+    pub workers_scanned: u64,
 }
 
 impl Ready {
@@ -199,38 +199,38 @@
             succession,
             limits,
             workers: BTreeMap::new(),
-            flows: BTreeMap::new(),
+            workflows: BTreeMap::new(),
             ready: BTreeSet::new(),
-            unaccounted: BTreeMap::new(),
+            unreconciled: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            spent: BTreeSet::new(),
+            exhausted: BTreeSet::new(),
             roster_dirty: ledger.roster().is_some(),
-            restored: Vec::new(),
-            clients_wait: false,
-            recording: None,
-            recorded_at: now,
-            proven: None,
+            records_to_rewrite: Vec::new(),
+            append_requested: false,
+            pending_append: None,
+            append_sent_at: now,
+            last_acked_append: None,
             ended: Vec::new(),
             colocation: Colocation::new(now, ledger.learned().cloned().unwrap_or_default()),
-            learned_at: now,
-            learned_news: false,
-            crowded_at: None,
+            learned_recorded_at: now,
+            learned_dirty: false,
+            batch_blocked_at: None,
             quarantined: Vec::new(),
-            kept: Vec::new(),
+            reserved: Vec::new(),
             advice: advice::Advice::default(),
-            upkeep: upkeep::Upkeep::default(),
-            fillers_wait: Duration::ZERO,
+            maintenance: maintenance::Maintenance::default(),
+            best_effort_wait: Duration::ZERO,
             regrouped_at: now,
             regroup_turn: 0,
-            starts: StartWindow::new(now),
-            heard: places::Heard::default(),
-            nowhere: places::Nowhere::default(),
-            freed: Vec::new(),
-            kept_at: Time::ZERO,
-            behind: false,
-            losses: losses::Losses::default(),
-            trials_due: false,
-            measures: Measures::default(),
+            start_window: StartWindow::new(now),
+            contacts: places::Heard::default(),
+            failed_searches: places::Nowhere::default(),
+            cpu_being_freed: Vec::new(),
+            swept_at: Time::ZERO,
+            lagging: false,
+            lost_workers: losses::Losses::default(),
+            isolated_starts_due: false,
+            stats: SchedulerStats::default(),
             waits: waits::Waits::default(),
             wall_ms,
         };
@@ -239,7 +239,7 @@
             scheduler.on_directory(now, change);
         }
         for (id, entry) in ledger.iter() {
-            scheduler.add_flow(now, id, entry, true);
+            scheduler.add_workflow(now, id, entry, true);
         }
         scheduler.inherit_runs(now, ledger);
         scheduler.inherit_announced(now);
@@ -248,13 +248,13 @@
 
     /// The worker's directory entry changed.
     pub fn on_directory(&mut self, now: Time, change: DirectoryChange) {
-        self.heard.note(change.worker());
+        self.contacts.note(change.worker());
         match change {
             DirectoryChange::Present(info) => self.on_present(now, info),
             DirectoryChange::Absent(id) => {
                 if let Some(worker) = self.workers.get_mut(&id) {
-                    worker.present = false;
-                    worker.poll_at = now;
+                    worker.in_directory = false;
+                    worker.next_poll_at = now;
                 }
             }
             DirectoryChange::Unreadable(id) => {
@@ -288,7 +288,7 @@
         match change {
             Change::Submitted(id) => {
                 if let Some(entry) = ledger.get(id) {
-                    self.add_flow(now, id, entry, false);
+                    self.add_workflow(now, id, entry, false);
                 }
             }
             Change::Cancelled(id) => self.cancel(now, id, out),
@@ -299,23 +299,23 @@
     /// Time has passed: begins what is due, places tasks, polls workers, records.
     pub fn tick(&mut self, now: Time, wall_ms: u64, out: &mut Vec<Effect>) {
         self.wall_ms = wall_ms;
-        self.starts.follow(now);
-        let keeps = now.since(self.kept_at) >= KEEP_GAP;
+        self.start_window.follow(now);
+        let keeps = now.since(self.swept_at) >= KEEP_GAP;
         if keeps {
-            self.kept_at = now;
+            self.swept_at = now;
             self.expire(now);
             self.announce_unheard(now);
         }
-        self.trials_due = keeps;
-        while let Some(id) = self.spent.pop_first() {
+        self.isolated_starts_due = keeps;
+        while let Some(id) = self.exhausted.pop_first() {
             self.tell_given_up(id);
-            self.end_flow(now, id, Outcome::Failed, out);
+            self.end_workflow(now, id, Outcome::Failed, out);
         }
         self.begin_due(now);
         if keeps {
             self.evacuate(now, out);
-            self.repeat_stops(now, out);
-            self.keep_up(now, out);
+            self.resend_stops(now, out);
+            self.advance_waves(now, out);
         }
         self.learn(now);
         self.place_ready(now, out);
@@ -323,8 +323,8 @@
         self.ask_advice(now, out);
         self.poll(now, out);
         self.record(now, out);
-        self.tell_waits(now);
-        self.losses.tell_left_out(now);
+        self.log_waits(now);
+        self.lost_workers.tell_left_out(now);
     }
 
     /// Stops what can go on elsewhere on workers that are about to leave: when they go, all that still
@@ -333,10 +333,10 @@
         let moves = |copy: &Copy| copy.moves && matches!(copy.phase, Phase::Running { .. });
         let mut leaving: Vec<(WorkerId, Vec<(TaskId, RunId)>)> = Vec::new();
         for (id, worker) in &self.workers {
-            if worker.info.state != WorkerState::Draining || !worker.present {
+            if worker.info.state != WorkerState::Draining || !worker.in_directory {
                 continue;
             }
-            let moving = worker.copies.iter().filter(|(_, copy)| moves(copy));
+            let moving = worker.attempts.iter().filter(|(_, copy)| moves(copy));
             let moving: Vec<(TaskId, RunId)> = moving.map(|(key, _)| *key).collect();
             if !moving.is_empty() {
                 leaving.push((id.clone(), moving));
@@ -350,22 +350,22 @@
     }
 
     /// What happened since the last call.
-    pub fn take_measures(&mut self) -> Measures {
-        std::mem::take(&mut self.measures)
+    pub fn take_stats(&mut self) -> SchedulerStats {
+        std::mem::take(&mut self.stats)
     }
 
     /// How many workflows haven't ended.
-    pub fn active(&self) -> usize {
-        self.flows.len()
+    pub fn active_workflow_count(&self) -> usize {
+        self.workflows.len()
     }
 
     /// How many steps have tasks that wait for a worker.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_step_count(&self) -> usize {
         self.ready.len()
     }
 
     /// How many workers of the predecessor haven't answered yet.
-    pub fn unaccounted(&self) -> usize {
-        self.unaccounted.len()
+    pub fn unreconciled_count(&self) -> usize {
+        self.unreconciled.len()
     }
 }
--- a/crates/workflow/src/scheduler/pacing.rs
+++ b/crates/workflow/src/scheduler/pacing.rs
@@ -62,7 +62,8 @@
             PaceResult::OtherIncarnation => self.on_other_incarnation(now, id),
             PaceResult::Unknown => {
                 let worker = self.workers.get_mut(id);
-                if let Some(copy) = worker.and_then(|worker| worker.copies.get_mut(&(task, run))) {
+                if let Some(copy) = worker.and_then(|worker| worker.attempts.get_mut(&(task, run)))
+                {
                     copy.pace_told = None;
                 }
             }
@@ -70,19 +71,19 @@
     }
 
     /// Sets the paces of a worker's fillers by what its serving tasks can bear.
-    pub(super) fn pace_fillers(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
+    pub(super) fn pace_best_effort(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
         self.note_own_headrooms(id);
         let Some(worker) = self.workers.get(id) else { return };
-        if worker.filling == 0 {
+        if worker.best_effort == 0 {
             return;
         }
         let changes = self.changes_of_pace(worker);
         let (epoch, addr) = (self.epoch, worker.info.addr);
-        self.measures.paced += changes.len() as u64;
+        self.stats.paced += changes.len() as u64;
         let Some(worker) = self.workers.get_mut(id) else { return };
         for (task, run, percent) in changes {
             worker.set_pace(task, run, percent);
-            if let Some(copy) = worker.copies.get_mut(&(task, run)) {
+            if let Some(copy) = worker.attempts.get_mut(&(task, run)) {
                 copy.pace_told = Some(percent);
                 copy.moved_at = now;
                 let slowed = percent <= SLOWED;
@@ -96,18 +97,18 @@
 
     /// Notes at a worker the own headrooms of the tasks that serve there.
     fn note_own_headrooms(&mut self, id: &WorkerId) {
-        let Some(Worker { copies, neighbours, .. }) = self.workers.get_mut(id) else { return };
-        let serving = copies.iter().filter(|(_, copy)| copy.serves);
+        let Some(Worker { attempts, neighbours, .. }) = self.workers.get_mut(id) else { return };
+        let serving = attempts.iter().filter(|(_, copy)| copy.serves);
         let serving = serving.map(|((task, _), copy)| (task.workflow, copy.image));
         self.colocation.note_own(neighbours, serving);
     }
 
     /// The fillers of a worker that are to work at another pace, in percent.
     fn changes_of_pace(&self, worker: &Worker) -> Vec<(TaskId, RunId, u32)> {
-        let fillers = worker.copies.values().filter(|copy| copy.fills).map(Copy::filler);
+        let fillers = worker.attempts.values().filter(|copy| copy.fills).map(Copy::filler);
         let bearable = self.colocation.bearable_shares(&worker.neighbours, fillers);
         let mut changes: Vec<(TaskId, RunId, u32)> = Vec::new();
-        for ((task, run), copy) in &worker.copies {
+        for ((task, run), copy) in &worker.attempts {
             if copy.fills && matches!(copy.phase, Phase::Running { .. }) {
                 let share =
                     self.colocation.fitting_share(&worker.neighbours, &bearable, copy.filler());
@@ -129,12 +130,12 @@
             running && worth && copy.slowed_since.is_some_and(|at| now.since(at) >= SLOWED_FOR)
         };
         let slowed: Vec<(TaskId, RunId)> =
-            worker.copies.iter().filter(|(_, copy)| long(copy)).map(|(key, _)| *key).collect();
+            worker.attempts.iter().filter(|(_, copy)| long(copy)).map(|(key, _)| *key).collect();
         for (task, run) in slowed {
             if self.fits_elsewhere(now, id, task) {
-                self.measures.relieved += 1;
+                self.stats.evicted += 1;
                 log::info!(task:%, run:%, worker:% = id; "slowed_filler_moved");
-                self.stop_runs(now, id, StopReason::HeldBack, out, |of, number| {
+                self.stop_runs(now, id, StopReason::Throttled, out, |of, number| {
                     of == task && number == run
                 });
             }
--- a/crates/workflow/src/scheduler/place.rs
+++ b/crates/workflow/src/scheduler/place.rs
@@ -1,7 +1,10 @@
 //! Where tasks go.
 
 use {
-    super::{Copy, Effect, Need, Phase, Ready, Scheduler, Worker, flow::TaskState, trials::Trial},
+    super::{
+        Copy, Effect, Need, Phase, Ready, Scheduler, Worker, active_workflow::TaskState,
+        trials::Trial,
+    },
     crate::{RunId, Step, StepId, TaskId, WorkerId, colocation::ImageNo},
     compact_str::CompactString,
     egretlb_types::{Resources, Time},
@@ -29,7 +32,7 @@
         let mut unmet: SmallVec<[Unmet; 8]> = SmallVec::new();
         let mut longest = Duration::ZERO;
         let keys: Vec<Ready> = self.ready.iter().copied().collect();
-        self.freed.clear();
+        self.cpu_being_freed.clear();
         for key in keys {
             if !self.may_start() {
                 return;
@@ -40,7 +43,7 @@
                 longest = longest.max(self.step_wait(now, key));
             }
         }
-        self.fillers_wait = longest;
+        self.best_effort_wait = longest;
         self.colocation.fillers_waited(now, longest);
     }
 
@@ -52,8 +55,8 @@
         unmet: &mut SmallVec<[Unmet; 8]>,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let Some(flow) = self.flows.get(&key.workflow) else { return true };
-        let held = flow.inherited && !self.unaccounted.is_empty();
+        let Some(flow) = self.workflows.get(&key.workflow) else { return true };
+        let held = flow.inherited && !self.unreconciled.is_empty();
         let submission = Arc::clone(&flow.submission);
         let service = &submission.service;
         let step = &submission.workflow.steps[usize::from(key.step)];
@@ -86,7 +89,7 @@
             }
             let Some(index) = self.front(key) else { return true };
             let task = key.task(index);
-            let early = self.was_started(task) && !self.may_repeat(now);
+            let early = self.was_started(task) && !self.may_restart(now);
             if early || !self.may_start() {
                 return false;
             }
@@ -118,7 +121,7 @@
             };
             self.pop(key);
             let wait = self.step_wait(now, key);
-            self.measures.waits.push(wait);
+            self.stats.start_waits.push(wait);
             self.start(now, task, &need, &worker, None, out);
             if let Some(places) = &mut places {
                 let next = key.task(self.front(key).unwrap_or(index));
@@ -128,12 +131,12 @@
     }
 
     fn fills(&self, key: Ready) -> bool {
-        let flow = self.flows.get(&key.workflow);
+        let flow = self.workflows.get(&key.workflow);
         flow.is_some_and(|flow| flow.submission.workflow.steps[usize::from(key.step)].fills)
     }
 
     pub(super) fn queue_of(&mut self, key: Ready) -> Option<&mut std::collections::VecDeque<u32>> {
-        let flow = self.flows.get_mut(&key.workflow)?;
+        let flow = self.workflows.get_mut(&key.workflow)?;
         let occurrence = flow.occurrences.get_mut(&key.occurrence)?;
         Some(&mut occurrence.steps.get_mut(usize::from(key.step))?.queue)
     }
@@ -145,7 +148,7 @@
 
     /// The same for the step of this id.
     pub(super) fn waited(&self, now: Time, id: StepId) -> Duration {
-        let flow = self.flows.get(&id.workflow);
+        let flow = self.workflows.get(&id.workflow);
         let occurrence = flow.and_then(|flow| flow.occurrences.get(&id.occurrence));
         let step = occurrence.and_then(|occurrence| occurrence.steps.get(usize::from(id.step)));
         step.map_or(Duration::ZERO, |step| now.since(step.since))
@@ -154,11 +157,11 @@
     /// The first task of a step that waits. What was queued before the survey may turn out to be done
     /// or under way.
     pub(super) fn front(&mut self, key: Ready) -> Option<u32> {
-        let flow = self.flows.get_mut(&key.workflow)?;
+        let flow = self.workflows.get_mut(&key.workflow)?;
         let occurrence = flow.occurrences.get_mut(&key.occurrence)?;
         let step = occurrence.steps.get_mut(usize::from(key.step))?;
         let tasks = &step.tasks;
-        let waits = |index: &u32| tasks.get(*index as usize).is_some_and(TaskState::waits);
+        let waits = |index: &u32| tasks.get(*index as usize).is_some_and(TaskState::is_pending);
         // Nearly always it does, and it is asked for with each task.
         if !step.queue.front().is_some_and(waits) {
             step.queue.retain(waits);
@@ -170,10 +173,11 @@
     /// returns whether one of them waits.
     fn put_found_first(&mut self, key: Ready) -> bool {
         self.front(key);
-        let Some(flow) = self.flows.get_mut(&key.workflow) else { return false };
+        let Some(flow) = self.workflows.get_mut(&key.workflow) else { return false };
         let Some(occurrence) = flow.occurrences.get_mut(&key.occurrence) else { return false };
         let Some(step) = occurrence.steps.get_mut(usize::from(key.step)) else { return false };
-        let found = |index: &u32| step.tasks.get(*index as usize).is_some_and(|task| task.found);
+        let found =
+            |index: &u32| step.tasks.get(*index as usize).is_some_and(|task| task.found_running);
         let Some(place) = step.queue.iter().position(found) else { return false };
         step.queue.swap(0, place);
         true
@@ -215,29 +219,29 @@
             return;
         };
         let addr = worker.info.addr;
-        worker.poll_at = worker.poll_at.min(now + limits.poll_gap);
+        worker.next_poll_at = worker.next_poll_at.min(now + limits.poll_gap);
         let mut copy = Copy::new(now, need, Phase::Starting).on_trial(trial);
         copy.again = again;
         copy.starts_until_ms = Some(until_ms);
         worker.insert(task, run, copy);
         if trial {
-            worker.quiet_until = now;
+            worker.reserved_until = now;
         }
         let Some(state) = self.task_mut(task) else { return };
         state.last_run = run;
-        state.copies.push((id.clone(), run));
+        state.attempts.push((id.clone(), run));
         let saved =
             if need.step.checkpoints { state.saved.clone() } else { CompactString::default() };
-        let Some(flow) = self.flows.get_mut(&task.workflow) else { return };
+        let Some(flow) = self.workflows.get_mut(&task.workflow) else { return };
         if !std::mem::replace(&mut flow.started, true) {
             log::info!(workflow:% = task.workflow, worker:% = id; "workflow_started");
             self.dirty.insert(task.workflow);
         }
         let ticket = self.ticket(now, task, id);
-        self.tell_start(now, task, run, id);
-        let Some(flow) = self.flows.get(&task.workflow) else { return };
+        self.log_start(now, task, run, id);
+        let Some(flow) = self.workflows.get(&task.workflow) else { return };
         log::debug!(task:%, run:%, worker:% = id; "task_started");
-        self.starts.decide();
+        self.start_window.decide();
         out.push(Effect::Start {
             worker: id.clone(),
             addr,
@@ -309,7 +313,7 @@
     ) -> Option<Fitness> {
         let step = need.step;
         let near = step.data_rack.as_ref().is_some_and(|rack| worker.info.has_label(rack));
-        let left = worker.left_over();
+        let left = worker.free_best_effort_cpu();
         let fast = !worker.is_slow(now);
         if step.target_ms > 0 {
             let closed = self.closes(worker, need.image);
@@ -329,7 +333,7 @@
             };
             return Some((near, fast, -open, -i64::from(disturbance), left));
         }
-        Some((near, fast, -open, i64::from(worker.serving > 0), left))
+        Some((near, fast, -open, i64::from(worker.latency_critical > 0), left))
     }
 
     /// Whether a filler of which too little is known is tried at a worker, by itself.
@@ -338,16 +342,16 @@
     /// workers, would keep its tasks waiting for good: as long as none runs, nothing is learned of it. One that is
     /// tried works at the pace that what is feared leaves, and gets faster as more is known.
     fn is_tried(&self, now: Time, worker: &Worker, task: TaskId, need: &Need<'_>) -> bool {
-        worker.filling == 0
+        worker.best_effort == 0
             && self.waited(now, task.step_id()) >= TRY_AFTER
-            && self.task(task).is_some_and(TaskState::waits)
+            && self.task(task).is_some_and(TaskState::is_pending)
             && self.colocation.is_unproved(&worker.neighbours, need.filler())
     }
 
     /// How much room for fillers one more serving task of an image would close at a worker, in steps.
     fn closes(&self, worker: &Worker, image: ImageNo) -> i64 {
         let closed = self.colocation.closed_by(&worker.neighbours, image);
-        (closed * worker.room_for_fillers() as f32 / ROOM_STEP) as i64
+        (closed * worker.best_effort_capacity() as f32 / ROOM_STEP) as i64
     }
 
     /// Whether a serving task would close much room for fillers at a worker, and better waits a little.
@@ -417,7 +421,8 @@
     if need.rack.is_some() && need.rack != worker.info.rack() {
         return false;
     }
-    let crowded = worker.over_target || worker.left_over() < i64::from(step.resources.cpu.0);
+    let crowded =
+        worker.over_target || worker.free_best_effort_cpu() < i64::from(step.resources.cpu.0);
     if step.fills && crowded {
         return false;
     }
@@ -428,5 +433,5 @@
 pub(super) fn siblings(worker: &Worker, task: TaskId) -> usize {
     let first = (TaskId { index: 0, ..task }, RunId(0));
     let last = (TaskId { index: u32::MAX, ..task }, RunId(u64::MAX));
-    worker.copies.range(first..=last).count()
+    worker.attempts.range(first..=last).count()
 }
--- a/crates/workflow/src/scheduler/places.rs
+++ b/crates/workflow/src/scheduler/places.rs
@@ -8,7 +8,7 @@
 use {
     super::{
         Need, Scheduler, Worker,
-        flow::{Searched, StepState},
+        active_workflow::{Searched, StepState},
         place::{Fitness, has_room},
     },
     crate::{Step, TaskId, WorkerId},
@@ -129,10 +129,10 @@
         service: &CompactString,
         need: &Need<'_>,
     ) -> Places {
-        let heard = self.heard.count();
+        let contacts = self.contacts.count();
         let last = self.searched(task).filter(|last| now.since(last.at) < SEARCH_AGAIN);
-        let lately = last.and_then(|last| self.heard_since(last.heard));
-        let (found, looked_at) = match &lately {
+        let lately = last.and_then(|last| self.heard_since(last.contacts));
+        let (found, scanned) = match &lately {
             Some(ids) => {
                 let workers = ids.iter().filter_map(|id| self.workers.get_key_value(id));
                 (self.places_among(now, task, service, need, workers), ids.len())
@@ -142,15 +142,15 @@
                 (self.places_among(now, task, service, need, workers), self.workers.len())
             }
         };
-        self.measures.looked_at += looked_at as u64;
+        self.stats.workers_scanned += scanned as u64;
         let at = last.filter(|_| lately.is_some()).map_or(now, |last| last.at);
-        self.note_searched(task, found.is_empty().then_some(Searched { at, heard }));
+        self.note_searched(task, found.is_empty().then_some(Searched { at, contacts }));
         Places { best_first: found.into(), taken: None }
     }
 
     /// The workers of which something was heard since the count was `count`, if that is remembered.
     fn heard_since(&self, count: u64) -> Option<Vec<WorkerId>> {
-        let mut ids: Vec<WorkerId> = self.heard.since(count)?.cloned().collect();
+        let mut ids: Vec<WorkerId> = self.contacts.since(count)?.cloned().collect();
         ids.sort_unstable();
         ids.dedup();
         Some(ids)
@@ -167,7 +167,7 @@
         let advised = self.needs_ticket(task.step_id()).is_some();
         let place = |(id, worker): (&WorkerId, &Worker)| {
             // Most workers are full, so their room is asked for first.
-            let takes = has_room(worker, task, need) && worker.takes_work(now, &self.limits);
+            let takes = has_room(worker, task, need) && worker.accepts_work(now, &self.limits);
             let takes = takes && (!advised || self.allows(now, task, id));
             let fitness = takes.then(|| self.suits(now, (id, worker), task, service, need))??;
             Some(Place { fitness, id: Reverse(id.clone()) })
@@ -176,7 +176,7 @@
     }
 
     fn step_state(&mut self, task: TaskId) -> Option<&mut StepState> {
-        let flow = self.flows.get_mut(&task.workflow)?;
+        let flow = self.workflows.get_mut(&task.workflow)?;
         let occurrence = flow.occurrences.get_mut(&task.occurrence)?;
         occurrence.steps.get_mut(usize::from(task.step))
     }
@@ -201,7 +201,7 @@
         id: WorkerId,
         places: &mut Places,
     ) {
-        self.measures.looked_at += 1;
+        self.stats.workers_scanned += 1;
         places.forget(&id);
         let Some(worker) = self.workers.get(&id) else { return };
         let place = self.places_among(now, task, service, need, iter::once((&id, worker)));
@@ -218,7 +218,7 @@
         service: &CompactString,
         need: &Need<'_>,
     ) -> Option<Fitness> {
-        let suits = worker.info.service == *service && !self.is_held(id);
+        let suits = worker.info.service == *service && !self.is_in_maintenance(id);
         if suits { self.fitness(now, worker, task, need) } else { None }
     }
 }
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -2,7 +2,7 @@
 //! worker lives.
 
 use {
-    super::{Effect, HoldReply, Phase, Scheduler, losses::Loss},
+    super::{Effect, Phase, PollReply, Scheduler, losses::Loss},
     crate::{WorkerId, WorkerState},
     egretlb_types::Time,
     std::time::Duration,
@@ -10,9 +10,9 @@
 
 /// What became of a poll.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum HoldResult {
+pub enum PollResult {
     /// The worker's lists.
-    Lists(HoldReply),
+    Lists(PollReply),
     /// The worker obeys a higher epoch.
     Outranked,
     /// Another incarnation answers at this address.
@@ -42,27 +42,27 @@
 
 impl Scheduler {
     /// What became of the poll that was sent at `sent`.
-    pub fn on_hold(
+    pub fn on_poll(
         &mut self,
         now: Time,
         id: &WorkerId,
         sent: Time,
-        result: &HoldResult,
+        result: &PollResult,
         out: &mut Vec<Effect>,
     ) {
-        self.heard.note(id);
+        self.contacts.note(id);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.poll_sent = None;
-            worker.poll_at = now + self.limits.poll_gap;
+            worker.next_poll_at = now + self.limits.poll_gap;
         }
         match result {
-            HoldResult::Lists(reply) => self.on_lists(now, id, sent, reply, out),
-            HoldResult::Outranked => out.push(Effect::Outranked),
-            HoldResult::OtherIncarnation => self.on_other_incarnation(now, id),
-            HoldResult::Refused | HoldResult::Failed => {
+            PollResult::Lists(reply) => self.on_lists(now, id, sent, reply, out),
+            PollResult::Outranked => out.push(Effect::Outranked),
+            PollResult::OtherIncarnation => self.on_other_incarnation(now, id),
+            PollResult::Refused | PollResult::Failed => {
                 let Some(worker) = self.workers.get_mut(id) else { return };
-                worker.poll_at = now + POLL_RETRY;
-                worker.refused = *result == HoldResult::Refused;
+                worker.next_poll_at = now + POLL_RETRY;
+                worker.connection_refused = *result == PollResult::Refused;
                 if worker.has_left() {
                     self.on_left(now, id);
                 }
@@ -74,19 +74,20 @@
     pub(super) fn poll(&mut self, now: Time, out: &mut Vec<Effect>) {
         let (epoch, limits) = (self.epoch, self.limits);
         for (id, worker) in &mut self.workers {
-            if worker.poll_sent.is_some() || now < worker.poll_at {
+            if worker.poll_sent.is_some() || now < worker.next_poll_at {
                 continue;
             }
-            let busy = !worker.copies.is_empty() || worker.taken > worker.recorded;
-            let leaving = worker.info.state == WorkerState::Draining && !worker.present;
-            let idle_due = worker.last_heard.is_none_or(|heard| now.since(heard) >= IDLE_POLL);
-            if worker.surveyed && !busy && !(idle_due && (worker.present || leaving)) {
+            let busy = !worker.attempts.is_empty() || worker.ends_processed > worker.ends_recorded;
+            let leaving = worker.info.state == WorkerState::Draining && !worker.in_directory;
+            let idle_due = worker.last_contact.is_none_or(|heard| now.since(heard) >= IDLE_POLL);
+            if worker.reconciled && !busy && !(idle_due && (worker.in_directory || leaving)) {
                 continue;
             }
             // While a worker is silent its leases aren't extended: otherwise polls that arrive without
             // being answered would put off the time at which its tasks have certainly lapsed.
-            let renews =
-                worker.surveyed && !worker.listed_silent && worker.is_responsive(now, &limits);
+            let renews = worker.reconciled
+                && !worker.listed_unresponsive
+                && worker.is_responsive(now, &limits);
             let until_ms = if renews && busy {
                 // What is left on a leaving worker ends with it, and is started again that much sooner.
                 let leaves = worker.info.state == WorkerState::Draining;
@@ -97,10 +98,12 @@
             };
             // In the survey the answer is wanted at once, and so is one that settles an order.
             let unsettled = |phase: &Phase| !matches!(phase, Phase::Running { .. });
-            let hurried = !worker.surveyed || worker.copies.values().any(|c| unsettled(&c.phase));
-            let pressed = worker.serving > 0 && (worker.filling > 0 || worker.over_target);
+            let hurried =
+                !worker.reconciled || worker.attempts.values().any(|c| unsettled(&c.phase));
+            let pressed =
+                worker.latency_critical > 0 && (worker.best_effort > 0 || worker.over_target);
             let fresh =
-                worker.is_kept(now) || worker.copies.values().any(|copy| copy.is_fresh(now));
+                worker.is_kept(now) || worker.attempts.values().any(|copy| copy.is_fresh(now));
             let wait = match (hurried, busy, fresh, pressed) {
                 (true, ..) | (_, false, ..) => Duration::ZERO,
                 (false, true, true, _) => FRESH_WAIT,
@@ -108,11 +111,11 @@
                 (false, true, false, false) => limits.poll_wait,
             };
             worker.poll_sent = Some(now);
-            out.push(Effect::Hold {
+            out.push(Effect::Poll {
                 worker: id.clone(),
                 addr: worker.info.addr,
                 epoch,
-                recorded: worker.recorded,
+                recorded: worker.ends_recorded,
                 until_ms,
                 wait_ms: u64::try_from(wait.as_millis()).unwrap_or(0),
             });
@@ -137,22 +140,23 @@
         // A worker that has fallen silent, is heard again, or leaves or stays after all, changes the roster.
         let changed = |worker: &super::Worker| {
             // What it ran has been moved: a successor that reads so holds nothing back.
-            let emptied = worker.leaving && worker.listed_runs > 0 && worker.copies.is_empty();
+            let emptied =
+                worker.listed_draining && worker.listed_runs > 0 && worker.attempts.is_empty();
             worker.differs_from_roster(now, &limits) || (worker.in_roster && emptied)
         };
         self.roster_dirty |= self.workers.values().any(changed);
-        self.unaccounted.retain(|_, until| now < *until);
+        self.unreconciled.retain(|_, until| now < *until);
         self.release_workers(now);
     }
 
     fn drop_lapsed(&mut self, now: Time, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else { return };
-        let (runs, present) = (worker.copies.len(), worker.present);
+        let (runs, present) = (worker.attempts.len(), worker.in_directory);
         if runs > 0 {
             log::warn!(worker:% = id, runs; "leases_lapsed");
         }
         self.lose_runs(now, id, Loss::Lapsed);
-        if !present && self.unaccounted.get(id).is_none_or(|until| now >= *until) {
+        if !present && self.unreconciled.get(id).is_none_or(|until| now >= *until) {
             self.workers.remove(id);
             self.roster_dirty = true;
         }
--- a/crates/workflow/src/scheduler/preempt.rs
+++ b/crates/workflow/src/scheduler/preempt.rs
@@ -30,10 +30,10 @@
 impl Scheduler {
     /// Whether a step of lasting tasks leaves the room to others for now.
     pub(super) fn gives_way(&mut self, now: Time, key: Ready) -> bool {
-        if self.crowded_at.is_none_or(|at| now.since(at) >= GIVE_WAY) {
+        if self.batch_blocked_at.is_none_or(|at| now.since(at) >= GIVE_WAY) {
             return false;
         }
-        let Some(flow) = self.flows.get(&key.workflow) else { return false };
+        let Some(flow) = self.workflows.get(&key.workflow) else { return false };
         let step = flow.occurrences.get(&key.occurrence);
         let step = step.and_then(|occurrence| occurrence.steps.get(usize::from(key.step)));
         step.is_some_and(|step| now.since(step.since) < GIVE_WAY)
@@ -51,12 +51,12 @@
         if step.lasting || step.fills || step.gang {
             return;
         }
-        self.crowded_at = Some(now);
+        self.batch_blocked_at = Some(now);
         let waiting = self.queue_of(key).map_or(0, |queue| queue.len());
         let needed = u64::from(step.resources.cpu.0) * waiting as u64;
         let Ready { workflow, occurrence, step: number, .. } = key;
         let of_step = TaskId { workflow, occurrence, step: number, index: 0 };
-        let mut freed = match self.freed.iter().find(|(known, _)| known == service) {
+        let mut freed = match self.cpu_being_freed.iter().find(|(known, _)| known == service) {
             Some((_, freed)) => *freed,
             None => self.being_freed(service),
         };
@@ -68,20 +68,20 @@
                 break;
             };
             freed += u64::from(cpu.0);
-            self.measures.preempted += 1;
+            self.stats.preempted += 1;
             log::info!(task:%, run:%, worker:% = id, waiting; "task_preempted");
             self.stop_runs(now, &id, StopReason::Preempted, out, |of, number| {
                 of == task && number == run
             });
         }
-        self.freed.retain(|(known, _)| known != service);
-        self.freed.push((service.clone(), freed));
+        self.cpu_being_freed.retain(|(known, _)| known != service);
+        self.cpu_being_freed.push((service.clone(), freed));
     }
 
     /// Processor time, in thousandths of a core, that stops under way will free.
     fn being_freed(&self, service: &CompactString) -> u64 {
         let workers = self.workers.values().filter(|worker| worker.info.service == *service);
-        let copies = workers.flat_map(|worker| worker.copies.values());
+        let copies = workers.flat_map(|worker| worker.attempts.values());
         let stopping = copies.filter(|copy| matches!(copy.phase, Phase::Stopping { .. }));
         stopping.map(|copy| u64::from(copy.hard.cpu.0)).sum()
     }
@@ -99,7 +99,7 @@
         let mut best: Option<(Yield, WorkerId, TaskId, RunId)> = None;
         for (id, worker) in &self.workers {
             let suits = worker.info.service == *service
-                && worker.takes_work(now, &self.limits)
+                && worker.accepts_work(now, &self.limits)
                 && self.allows(now, task, id)
                 && step.label.as_ref().is_none_or(|label| worker.info.has_label(label));
             if !suits {
@@ -121,7 +121,7 @@
             return 0;
         }
         let opened = self.colocation.opened_without(&worker.neighbours, copy.image);
-        (opened * worker.room_for_fillers() as f32 / ROOM_STEP) as i64
+        (opened * worker.best_effort_capacity() as f32 / ROOM_STEP) as i64
     }
 }
 
@@ -134,7 +134,7 @@
     let free = worker.free();
     let settled = |phase| matches!(phase, Phase::Running { .. });
     worker
-        .copies
+        .attempts
         .iter()
         .filter(move |(_, copy)| {
             copy.yields && settled(copy.phase) && now.since(copy.placed) >= LEAST_STAY
--- a/crates/workflow/src/scheduler/queue.rs
+++ b/crates/workflow/src/scheduler/queue.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         Effect, Ready, Scheduler,
-        flow::{Flow, StepState, TaskState},
+        active_workflow::{ActiveWorkflow, StepState, TaskState},
         waits::StopReason,
     },
     crate::{Entry, Outcome, RunId, Step, TaskId, WorkerId, WorkflowId},
@@ -11,15 +11,21 @@
 };
 
 impl Scheduler {
-    pub(super) fn add_flow(&mut self, now: Time, id: WorkflowId, entry: &Entry, inherited: bool) {
+    pub(super) fn add_workflow(
+        &mut self,
+        now: Time,
+        id: WorkflowId,
+        entry: &Entry,
+        inherited: bool,
+    ) {
         if entry.progress.outcome.is_some() {
             self.ended.push((now, id));
             return;
         }
-        if self.flows.contains_key(&id) {
+        if self.workflows.contains_key(&id) {
             return;
         }
-        let Some(mut flow) = Flow::new(entry, inherited) else { return };
+        let Some(mut flow) = ActiveWorkflow::new(entry, inherited) else { return };
         if entry.cancelled {
             // Nothing of it is wanted any more: what is found running is stopped.
             flow.outcome = Some(Outcome::Cancelled);
@@ -27,7 +33,7 @@
             self.dirty.insert(id);
         }
         let begun: Vec<u32> = flow.occurrences.keys().copied().collect();
-        self.flows.insert(id, flow);
+        self.workflows.insert(id, flow);
         for number in begun {
             self.open_steps(now, id, number);
         }
@@ -35,9 +41,9 @@
     }
 
     pub(super) fn begin_due(&mut self, now: Time) {
-        let due = |flow: &Flow| flow.next < flow.submission.workflow.occurrences();
+        let due = |flow: &ActiveWorkflow| flow.next < flow.submission.workflow.occurrences();
         let ids: Vec<WorkflowId> =
-            self.flows.iter().filter(|(_, flow)| due(flow)).map(|(id, _)| *id).collect();
+            self.workflows.iter().filter(|(_, flow)| due(flow)).map(|(id, _)| *id).collect();
         for id in ids {
             self.begin_occurrences(now, id);
         }
@@ -45,7 +51,7 @@
 
     /// Begins the occurrences of a workflow that are due by the time of day.
     pub(super) fn begin_occurrences(&mut self, now: Time, id: WorkflowId) {
-        while let Some(flow) = self.flows.get_mut(&id) {
+        while let Some(flow) = self.workflows.get_mut(&id) {
             let number = flow.next;
             let more = number < flow.submission.workflow.occurrences();
             if flow.outcome.is_some() || !more || flow.due_at(number) > self.wall_ms {
@@ -55,7 +61,7 @@
             if flow.complete.contains(&number) || flow.occurrences.contains_key(&number) {
                 continue;
             }
-            let occurrence = flow.begin(None);
+            let occurrence = flow.new_occurrence(None);
             flow.occurrences.insert(number, occurrence);
             self.open_steps(now, id, number);
         }
@@ -63,7 +69,7 @@
 
     /// Opens the steps of an occurrence for which all earlier ones are done, and queues their tasks.
     pub(super) fn open_steps(&mut self, now: Time, id: WorkflowId, number: u32) {
-        let Some(flow) = self.flows.get_mut(&id) else { return };
+        let Some(flow) = self.workflows.get_mut(&id) else { return };
         let steps = &flow.submission.workflow.steps;
         let (priority, due_ms) = (flow.submission.priority, flow.due_ms);
         let attempts = flow.submission.max_attempts;
@@ -76,17 +82,17 @@
                 continue;
             }
             state.open = true;
-            if state.tasks.iter().any(|task| task.waits() && task.is_spent(attempts)) {
-                self.spent.insert(id);
+            if state.tasks.iter().any(|task| task.is_pending() && task.is_exhausted(attempts)) {
+                self.exhausted.insert(id);
             }
-            let waiting = (0u32..).zip(&state.tasks).filter(|(_, task)| task.waits());
+            let waiting = (0u32..).zip(&state.tasks).filter(|(_, task)| task.is_pending());
             state.queue = waiting.map(|(index, _)| index).collect();
             if !state.queue.is_empty() {
-                let lasting = steps[usize::from(step_no)].lasting;
+                let long_running = steps[usize::from(step_no)].lasting;
                 state.since = now;
                 self.ready.insert(Ready {
                     priority,
-                    lasting,
+                    long_running,
                     due_ms,
                     workflow: id,
                     occurrence: number,
@@ -97,18 +103,18 @@
     }
 
     pub(super) fn cancel(&mut self, now: Time, id: WorkflowId, out: &mut Vec<Effect>) {
-        self.end_flow(now, id, Outcome::Cancelled, out);
+        self.end_workflow(now, id, Outcome::Cancelled, out);
     }
 
     /// Ends a workflow: what of it runs is stopped, the outcome is recorded.
-    pub(super) fn end_flow(
+    pub(super) fn end_workflow(
         &mut self,
         now: Time,
         id: WorkflowId,
         outcome: Outcome,
         out: &mut Vec<Effect>,
     ) {
-        let Some(flow) = self.flows.get_mut(&id) else { return };
+        let Some(flow) = self.workflows.get_mut(&id) else { return };
         if flow.outcome.is_some() {
             return;
         }
@@ -117,7 +123,7 @@
         self.ready.retain(|ready| ready.workflow != id);
         let tasks = flow.occurrences.values().flat_map(|occurrence| &occurrence.steps);
         let copies: Vec<(WorkerId, RunId)> =
-            tasks.flat_map(|step| &step.tasks).flat_map(|task| task.copies.clone()).collect();
+            tasks.flat_map(|step| &step.tasks).flat_map(|task| task.attempts.clone()).collect();
         flow.occurrences.clear();
         self.colocation.forget(id);
         self.forget_advice(id);
@@ -130,25 +136,25 @@
     }
 
     pub(super) fn step(&self, task: TaskId) -> Option<&Step> {
-        let flow = self.flows.get(&task.workflow)?;
+        let flow = self.workflows.get(&task.workflow)?;
         flow.submission.workflow.steps.get(usize::from(task.step))
     }
 
     pub(super) fn task(&self, task: TaskId) -> Option<&TaskState> {
-        let occurrence = self.flows.get(&task.workflow)?.occurrences.get(&task.occurrence)?;
+        let occurrence = self.workflows.get(&task.workflow)?.occurrences.get(&task.occurrence)?;
         occurrence.steps.get(usize::from(task.step))?.tasks.get(task.index as usize)
     }
 
     pub(super) fn task_mut(&mut self, task: TaskId) -> Option<&mut TaskState> {
-        let flow = self.flows.get_mut(&task.workflow)?;
+        let flow = self.workflows.get_mut(&task.workflow)?;
         let occurrence = flow.occurrences.get_mut(&task.occurrence)?;
         let step = occurrence.steps.get_mut(usize::from(task.step))?;
         step.tasks.get_mut(task.index as usize)
     }
 
     /// Queues a task that isn't done and runs nowhere.
-    pub(super) fn queue(&mut self, now: Time, task: TaskId) {
-        let Some(flow) = self.flows.get_mut(&task.workflow) else { return };
+    pub(super) fn enqueue(&mut self, now: Time, task: TaskId) {
+        let Some(flow) = self.workflows.get_mut(&task.workflow) else { return };
         if flow.outcome.is_some() {
             return;
         }
@@ -156,11 +162,11 @@
         let Some(occurrence) = flow.occurrences.get_mut(&task.occurrence) else { return };
         let Some(step) = occurrence.steps.get_mut(usize::from(task.step)) else { return };
         let Some(state) = step.tasks.get(task.index as usize) else { return };
-        if !step.open || !state.waits() {
+        if !step.open || !state.is_pending() {
             return;
         }
-        if state.is_spent(flow.submission.max_attempts) {
-            self.spent.insert(task.workflow);
+        if state.is_exhausted(flow.submission.max_attempts) {
+            self.exhausted.insert(task.workflow);
             return;
         }
         if step.queue.contains(&task.index) {
@@ -170,10 +176,10 @@
             step.since = now;
         }
         step.queue.push_front(task.index);
-        let lasting = flow.submission.workflow.steps[usize::from(task.step)].lasting;
+        let long_running = flow.submission.workflow.steps[usize::from(task.step)].lasting;
         self.ready.insert(Ready {
             priority,
-            lasting,
+            long_running,
             due_ms,
             workflow: task.workflow,
             occurrence: task.occurrence,
--- a/crates/workflow/src/scheduler/survey.rs
+++ b/crates/workflow/src/scheduler/reconciliation.rs
@@ -8,7 +8,7 @@
 //! of the leader, however long it has been lost.
 
 use {
-    super::{Copy, Inherited, Need, Phase, Scheduler, Worker, flow::TaskState},
+    super::{Copy, Inherited, Need, Phase, Scheduler, Worker, active_workflow::TaskState},
     crate::{
         Announced, Evidence, Ledger, Roster, RosterEntry, RunId, Standing, TaskId, WorkerId,
         WorkerInfo, WorkerState,
@@ -28,17 +28,17 @@
         let Some(roster) = ledger.roster() else { return };
         for entry in &roster.entries {
             let mut worker = Worker::new(now, placeholder(entry));
-            worker.present = false;
+            worker.in_directory = false;
             worker.in_roster = true;
             worker.lease_bound = self.lapses_at(now, roster, &entry.standing);
-            worker.leaving = matches!(entry.standing, Standing::Leaving { .. });
-            worker.listed_silent =
+            worker.listed_draining = matches!(entry.standing, Standing::Leaving { .. });
+            worker.listed_unresponsive =
                 matches!(entry.standing, Standing::Silent { .. } | Standing::Unanswered { .. });
             let known =
                 matches!(entry.standing, Standing::Silent { .. } | Standing::Leaving { .. });
             worker.inherited = Some(if known { Inherited::Listed } else { Inherited::Unlisted });
             if !known {
-                self.unaccounted.insert(entry.id.clone(), worker.lease_bound);
+                self.unreconciled.insert(entry.id.clone(), worker.lease_bound);
             }
             self.workers.insert(entry.id.clone(), worker);
         }
@@ -65,7 +65,7 @@
     /// gone, they may have crashed it.
     pub(super) fn inherit_announced(&mut self, now: Time) {
         for (task, Announced { run, worker: id }) in self.all_announced() {
-            let held = self.task(task).is_some_and(|state| !state.copies.is_empty());
+            let held = self.task(task).is_some_and(|state| !state.attempts.is_empty());
             if !self.workers.contains_key(&id) {
                 self.note_crash(task, run, Evidence::Unsure);
             } else if !held {
@@ -76,7 +76,7 @@
     }
 
     fn suspect_inherited(&mut self, id: &WorkerId, key: (TaskId, RunId)) {
-        let copy = self.workers.get_mut(id).and_then(|worker| worker.copies.get_mut(&key));
+        let copy = self.workers.get_mut(id).and_then(|worker| worker.attempts.get_mut(&key));
         if let Some(copy) = copy {
             copy.inherited_unproved = true;
         }
@@ -84,7 +84,7 @@
 
     fn all_announced(&self) -> Vec<(TaskId, Announced)> {
         let mut found = Vec::new();
-        for (workflow, flow) in &self.flows {
+        for (workflow, flow) in &self.workflows {
             for (occurrence, steps) in &flow.occurrences {
                 for (step, state) in (0u16..).zip(&steps.steps) {
                     let of = |(index, task): (u32, &TaskState)| {
@@ -129,28 +129,28 @@
         if let Some(state) = self.task_mut(task)
             && !state.done
         {
-            state.copies.push((id.clone(), run));
+            state.attempts.push((id.clone(), run));
             state.last_run = state.last_run.max(run);
         }
     }
 
     /// Whether the roster may be written: it must tell which workers haven't answered, and they get a moment.
     pub(super) fn may_write_roster(&self, now: Time) -> bool {
-        self.unaccounted.is_empty() || now.since(self.succession.began) >= SURVEY_GRACE
+        self.unreconciled.is_empty() || now.since(self.succession.began) >= SURVEY_GRACE
     }
 
     /// What the roster says of a worker.
     pub(super) fn standing(&self, now: Time, worker: &Worker) -> Standing {
-        let runs = || worker.copies.keys().copied().collect();
+        let runs = || worker.attempts.keys().copied().collect();
         let lapses_ms = self.succession.term_ms(worker.lease_bound);
-        if worker.inherited == Some(Inherited::Unlisted) && !worker.surveyed {
+        if worker.inherited == Some(Inherited::Unlisted) && !worker.reconciled {
             return Standing::Unanswered { lapses_ms };
         }
-        if worker.lists_silent(now, &self.limits) {
+        if worker.should_list_unresponsive(now, &self.limits) {
             let unproved = worker.unproved_runs().collect();
             return Standing::Silent { runs: runs(), unproved, lapses_ms };
         }
-        if worker.leaves() {
+        if worker.is_draining() {
             return Standing::Leaving { runs: runs() };
         }
         Standing::Open
--- a/crates/workflow/src/scheduler/recording.rs
+++ b/crates/workflow/src/scheduler/recording.rs
@@ -11,7 +11,7 @@
 
 /// An append under way and what it settles.
 #[derive(Debug, Default)]
-pub(super) struct Recording {
+pub(super) struct PendingAppend {
     /// Ends up to here are recorded once it is done.
     ends: Vec<(WorkerId, u64)>,
     roster: Vec<Listed>,
@@ -21,7 +21,7 @@
     crashes: Vec<WorkflowId>,
 }
 
-impl Recording {
+impl PendingAppend {
     pub(super) fn has_crashes_of(&self, id: WorkflowId) -> bool {
         self.crashes.contains(&id)
     }
@@ -53,82 +53,86 @@
     /// Before that nothing is started there. An entry may be read again long after its worker has gone; were
     /// it listed, each successor would wait for that worker until leases must have lapsed.
     fn belongs_in_roster(&self) -> bool {
-        self.in_roster || self.surveyed
+        self.in_roster || self.reconciled
     }
 
     /// Whether the roster has to say something else of it: whether it is silent, or about to leave.
     pub(crate) fn differs_from_roster(&self, now: Time, limits: &Limits) -> bool {
-        let silence = self.lists_silent(now, limits) != self.listed_silent;
-        self.in_roster && (silence || self.leaves() != self.leaving)
+        let silence = self.should_list_unresponsive(now, limits) != self.listed_unresponsive;
+        self.in_roster && (silence || self.is_draining() != self.listed_draining)
     }
 }
 
 impl Scheduler {
     /// Whether the next append has something to say.
     fn has_news(&self, now: Time) -> bool {
-        self.clients_wait
-            || self.proven.is_none()
+        self.append_requested
+            || self.last_acked_append.is_none()
             || (self.roster_dirty && self.may_write_roster(now))
-            || !self.restored.is_empty()
-            || self.upkeep.has_news()
+            || !self.records_to_rewrite.is_empty()
+            || self.maintenance.is_dirty()
             || !self.dirty.is_empty()
-            || self.workers.values().any(|worker| worker.forgettable() > worker.recorded)
+            || self.workers.values().any(|worker| worker.forgettable() > worker.ends_recorded)
     }
 
     /// Sends what is to be recorded, if no append is under way.
     pub(super) fn record(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if self.recording.is_some() {
+        if self.pending_append.is_some() {
             return;
         }
-        let beat = now.since(self.recorded_at) >= self.limits.heartbeat;
-        let due = self.has_news(now) && now.since(self.recorded_at) >= self.limits.record_gap;
+        let beat = now.since(self.append_sent_at) >= self.limits.heartbeat;
+        let due = self.has_news(now) && now.since(self.append_sent_at) >= self.limits.record_gap;
         if !beat && !due {
             return;
         }
-        let mut recording = Recording::default();
+        let mut recording = PendingAppend::default();
         let mut records = Vec::new();
         let partial = self.record_progress(&mut recording, &mut records);
         if !partial {
             recording.ends = self
                 .workers
                 .iter()
-                .filter(|(_, worker)| worker.forgettable() > worker.recorded)
+                .filter(|(_, worker)| worker.forgettable() > worker.ends_recorded)
                 .map(|(id, worker)| (id.clone(), worker.forgettable()))
                 .collect();
         }
-        recording.waves = self.upkeep.take_dirty();
+        recording.waves = self.maintenance.take_dirty();
         for (number, progress) in &recording.waves {
             records.push(Record::new(Key::Wave(*number), progress));
         }
         self.record_roster(now, &mut recording, &mut records);
         self.forget(now, &mut records);
         self.record_learned(now, &mut records);
-        let restored = self.restored.len().min(RESTORED_PER_APPEND);
-        records.extend(self.restored.drain(..restored));
-        self.clients_wait = false;
-        self.recorded_at = now;
-        self.recording = Some(recording);
+        let restored = self.records_to_rewrite.len().min(RESTORED_PER_APPEND);
+        records.extend(self.records_to_rewrite.drain(..restored));
+        self.append_requested = false;
+        self.append_sent_at = now;
+        self.pending_append = Some(recording);
         out.push(Effect::Record { records });
     }
 
     /// Sends a sign of life alone, if one is due and no append is under way. It is what a leader whose
     /// authority has lapsed still does: it hasn't heard of any worker lately, and the roster that it
     /// would record now would list all of them as silent.
-    pub fn sign_only(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if self.recording.is_some() || now.since(self.recorded_at) < self.limits.heartbeat {
+    pub fn send_heartbeat(&mut self, now: Time, out: &mut Vec<Effect>) {
+        if self.pending_append.is_some() || now.since(self.append_sent_at) < self.limits.heartbeat {
             return;
         }
-        self.recorded_at = now;
-        self.recording = Some(Recording::default());
+        self.append_sent_at = now;
+        self.pending_append = Some(PendingAppend::default());
         out.push(Effect::Record { records: Vec::new() });
     }
 
     /// Adds the progress of changed workflows; returns whether some are left for the next append.
-    fn record_progress(&mut self, recording: &mut Recording, records: &mut Vec<Record>) -> bool {
+    fn record_progress(
+        &mut self,
+        recording: &mut PendingAppend,
+        records: &mut Vec<Record>,
+    ) -> bool {
         let mut bytes = 0;
         while let Some(id) = self.dirty.pop_first() {
-            recording.crashes.extend(self.losses.take_unrecorded(id).then_some(id));
-            let Some(flow) = self.flows.get(&id) else { continue };
+            recording.crashes.extend(self.lost_workers.take_unrecorded(id).then_some(id));
+            let Some(flow) = self.workflows.get(&id) else { continue };
             let record = Record::new(Key::Progress(id), &flow.progress());
             if flow.outcome.is_some() {
                 recording.ended.push(id);
@@ -142,7 +146,12 @@
         false
     }
 
-    fn record_roster(&mut self, now: Time, recording: &mut Recording, records: &mut Vec<Record>) {
+    fn record_roster(
+        &mut self,
+        now: Time,
+        recording: &mut PendingAppend,
+        records: &mut Vec<Record>,
+    ) {
         if !self.roster_dirty || !self.may_write_roster(now) {
             return;
         }
@@ -158,9 +167,9 @@
             let silent =
                 matches!(entry.standing, Standing::Silent { .. } | Standing::Unanswered { .. });
             // From here on nothing is started there, since the record may be read before it is confirmed.
-            worker.listed_silent |= silent;
-            let leaving = worker.leaves();
-            worker.leaving |= leaving;
+            worker.listed_unresponsive |= silent;
+            let leaving = worker.is_draining();
+            worker.listed_draining |= leaving;
             worker.listed_runs = match &entry.standing {
                 Standing::Silent { runs, .. } | Standing::Leaving { runs } => runs.len(),
                 Standing::Open | Standing::Unanswered { .. } => 0,
@@ -173,9 +182,9 @@
 
     /// Adds what was learned of images, from time to time.
     fn record_learned(&mut self, now: Time, records: &mut Vec<Record>) {
-        if self.learned_news && now.since(self.learned_at) >= LEARNED_GAP {
-            self.learned_news = false;
-            self.learned_at = now;
+        if self.learned_dirty && now.since(self.learned_recorded_at) >= LEARNED_GAP {
+            self.learned_dirty = false;
+            self.learned_recorded_at = now;
             records.push(Record::new(Key::Learned, self.colocation.learned()));
         }
     }
@@ -192,29 +201,29 @@
     }
 
     /// Clients wait for records that go with the next append.
-    pub fn clients_wait(&mut self) {
-        self.clients_wait = true;
+    pub fn request_append(&mut self) {
+        self.append_requested = true;
     }
 
     /// The append under way is in the store.
     pub fn on_recorded(&mut self, now: Time) {
-        let Some(recording) = self.recording.take() else { return };
-        self.proven = Some(self.recorded_at);
-        self.upkeep.on_recorded(now, &recording.waves);
+        let Some(recording) = self.pending_append.take() else { return };
+        self.last_acked_append = Some(self.append_sent_at);
+        self.maintenance.on_recorded(now, &recording.waves);
         for (id, number) in recording.ends {
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.recorded = worker.recorded.max(number);
+                worker.ends_recorded = worker.ends_recorded.max(number);
             }
         }
         for Listed { id, silent, leaving } in recording.roster {
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.in_roster = true;
-                worker.listed_silent = silent;
-                worker.leaving = leaving;
+                worker.listed_unresponsive = silent;
+                worker.listed_draining = leaving;
             }
         }
         for id in recording.ended {
-            self.flows.remove(&id);
+            self.workflows.remove(&id);
             self.ended.push((now, id));
         }
     }
--- a/crates/workflow/src/scheduler/regroup.rs
+++ b/crates/workflow/src/scheduler/regroup.rs
@@ -40,7 +40,7 @@
     pub(super) fn regroup(&mut self, now: Time, out: &mut Vec<Effect>) {
         let turns = self.workers.len().div_ceil(HOSTS_PER_PASS).max(1);
         let gap = REGROUP_GAP / u32::try_from(turns).unwrap_or(u32::MAX);
-        if now.since(self.regrouped_at) < gap || self.fillers_wait < FILLERS_WAIT {
+        if now.since(self.regrouped_at) < gap || self.best_effort_wait < FILLERS_WAIT {
             return;
         }
         self.regroup_turn = (self.regroup_turn + 1) % turns;
@@ -49,7 +49,7 @@
             self.workers.values().map(|worker| worker.info.service.clone()).collect();
         for service in services {
             for Candidate { worker, task, run } in self.better_elsewhere(now, &service) {
-                self.measures.regrouped += 1;
+                self.stats.regrouped += 1;
                 log::info!(task:%, run:%, worker:% = worker; "serving_regrouped");
                 self.stop_runs(now, &worker, StopReason::Regrouped, out, |of, number| {
                     of == task && number == run
@@ -60,7 +60,7 @@
 
     fn better_elsewhere(&self, now: Time, service: &CompactString) -> Vec<Candidate> {
         let takes = |worker: &Worker| {
-            worker.info.service == *service && worker.takes_work(now, &self.limits)
+            worker.info.service == *service && worker.accepts_work(now, &self.limits)
         };
         let turn =
             self.workers.iter().skip(self.regroup_turn * HOSTS_PER_PASS).take(HOSTS_PER_PASS);
@@ -68,7 +68,7 @@
         let hosts: Vec<Host> = workers.iter().map(|(_, worker)| host(worker)).collect();
         let (mut movable, mut candidates) = (Vec::new(), Vec::new());
         for (place, (id, worker)) in workers.iter().enumerate() {
-            for ((task, run), copy) in &worker.copies {
+            for ((task, run), copy) in &worker.attempts {
                 if self.may_be_moved(now, *task, copy) {
                     movable.push(Movable { host: place, image: copy.image, hard: copy.hard });
                     candidates.push(Candidate { worker: (*id).clone(), task: *task, run: *run });
@@ -104,7 +104,7 @@
     }
 
     fn all_placed(&self, task: TaskId) -> bool {
-        let flow = self.flows.get(&task.workflow);
+        let flow = self.workflows.get(&task.workflow);
         let occurrence = flow.and_then(|flow| flow.occurrences.get(&task.occurrence));
         let step = occurrence.and_then(|of| of.steps.get(usize::from(task.step)));
         step.is_some_and(|step| step.queue.is_empty())
@@ -112,6 +112,6 @@
 }
 
 fn host(worker: &Worker) -> Host {
-    let room = worker.room_for_fillers().max(0) as f32 / 1_000.0;
+    let room = worker.best_effort_capacity().max(0) as f32 / 1_000.0;
     Host { free: worker.free(), room, serving: worker.neighbours.serving().into() }
 }
--- a/crates/workflow/src/scheduler/restore.rs
+++ b/crates/workflow/src/scheduler/restore.rs
@@ -16,18 +16,18 @@
             // A sign of life follows within a quarter of a second.
             Key::Leader => {}
             Key::Roster => self.roster_dirty = true,
-            Key::Learned => self.learned_news = true,
-            Key::Wave(number) => self.upkeep.record_again(number),
-            Key::Submission(id) => self.restored.extend(submission(id, ledger)),
+            Key::Learned => self.learned_dirty = true,
+            Key::Wave(number) => self.maintenance.record_again(number),
+            Key::Submission(id) => self.records_to_rewrite.extend(submission(id, ledger)),
             Key::Cancel(id) => {
                 let cancelled = ledger.get(id).is_some_and(|entry| entry.cancelled);
-                self.restored.extend(cancelled.then(|| Record::new(key, &true)));
+                self.records_to_rewrite.extend(cancelled.then(|| Record::new(key, &true)));
             }
             // What is under way may be further than what was read last.
-            Key::Progress(id) if self.flows.contains_key(&id) => {
+            Key::Progress(id) if self.workflows.contains_key(&id) => {
                 self.dirty.insert(id);
             }
-            Key::Progress(id) => self.restored.extend(final_progress(id, ledger)),
+            Key::Progress(id) => self.records_to_rewrite.extend(final_progress(id, ledger)),
         }
     }
 }
--- a/crates/workflow/src/scheduler/serving.rs
+++ b/crates/workflow/src/scheduler/serving.rs
@@ -53,20 +53,20 @@
 impl Worker {
     /// The processor time that the fillers which run here were listed to use, in cores.
     fn fillers_use(&self) -> impl Iterator<Item = (ImageNo, f32)> {
-        let fillers = self.copies.values().filter(|copy| copy.fills);
+        let fillers = self.attempts.values().filter(|copy| copy.fills);
         fillers.map(|copy| (copy.image, copy.figure as f32 / 1_000.0))
     }
 
     /// The new figures of serving tasks, by workflow.
     fn fresh_figures(&mut self, now: Time, exposure: &Exposure) -> SmallVec<[Seen; 4]> {
         let mut seen: SmallVec<[Seen; 4]> = SmallVec::new();
-        for ((task, _), copy) in self.copies.iter().filter(|(_, copy)| copy.has_news()) {
+        for ((task, _), copy) in self.attempts.iter().filter(|(_, copy)| copy.has_news()) {
             if seen.iter().any(|known| known.workflow == task.workflow) {
                 continue;
             }
             let of_workflow = |(of, _): &&(TaskId, RunId)| of.workflow == task.workflow;
             let news =
-                || self.copies.iter().filter(|(key, copy)| of_workflow(key) && copy.has_news());
+                || self.attempts.iter().filter(|(key, copy)| of_workflow(key) && copy.has_news());
             let sighting = Sighting {
                 headroom: headroom_together(news().map(|(_, copy)| copy.ratio())),
                 count: news().count() as f32,
@@ -75,7 +75,7 @@
             let (workflow, image) = (task.workflow, copy.image);
             seen.push(Seen { workflow, image, at: now, sighting });
         }
-        for copy in self.copies.values_mut().filter(|copy| copy.is_serving()) {
+        for copy in self.attempts.values_mut().filter(|copy| copy.is_serving()) {
             copy.taken_figure = copy.figure;
         }
         seen
@@ -84,7 +84,7 @@
     /// Notes which serving tasks are over their target; returns the one that has been for longest.
     fn note_over_target(&mut self, now: Time) -> Option<OverTarget> {
         let mut worst: Option<OverTarget> = None;
-        for copy in self.copies.values_mut().filter(|copy| copy.is_serving()) {
+        for copy in self.attempts.values_mut().filter(|copy| copy.is_serving()) {
             let ratio = copy.ratio();
             if ratio <= CLEARED {
                 copy.over_since = None;
@@ -106,7 +106,7 @@
     /// Takes in the figures that a worker has just listed, and relieves tasks that are over target.
     pub(super) fn watch(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        if worker.serving == 0 {
+        if worker.latency_critical == 0 {
             return;
         }
         let exposure = self.colocation.exposure(&worker.neighbours, worker.fillers_use());
@@ -122,22 +122,22 @@
 
     fn relieve(&mut self, now: Time, id: &WorkerId, over: OverTarget, out: &mut Vec<Effect>) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        if now.since(over.since) < RELIEF_AFTER || now.since(worker.relieved_at) < RELIEF_GAP {
+        if now.since(over.since) < RELIEF_AFTER || now.since(worker.evicted_at) < RELIEF_GAP {
             return;
         }
         let presses = |copy: &Copy| {
             copy.fills && copy.pace > 0 && !matches!(copy.phase, Phase::Stopping { .. })
         };
-        let pressing = worker.copies.iter().filter(|(_, copy)| presses(copy));
+        let pressing = worker.attempts.iter().filter(|(_, copy)| presses(copy));
         let pressing: Vec<(TaskId, RunId)> = pressing.map(|(key, _)| *key).collect();
         if pressing.is_empty() {
             return;
         }
-        worker.relieved_at = now;
-        self.measures.relieved += pressing.len() as u64;
+        worker.evicted_at = now;
+        self.stats.evicted += pressing.len() as u64;
         let image = self.colocation.learned().name(over.image);
         log::info!(worker:% = id, image:%, stopped = pressing.len(); "serving_relieved");
-        self.stop_runs(now, id, StopReason::Relieved, out, |task, run| {
+        self.stop_runs(now, id, StopReason::Evicted, out, |task, run| {
             pressing.contains(&(task, run))
         });
     }
@@ -149,7 +149,7 @@
         }
         let asked = self.fillers_ask();
         let workers = self.workers.values().map(|worker| &worker.neighbours);
-        self.learned_news |= self.colocation.learn(now, workers, asked);
+        self.learned_dirty |= self.colocation.learn(now, workers, asked);
         for worker in self.workers.values_mut() {
             self.colocation.note_openness(&mut worker.neighbours);
         }
@@ -157,12 +157,12 @@
 
     /// What fillers ask for, by image, in cores, whether they run or wait.
     fn fillers_ask(&mut self) -> Vec<(ImageNo, f32)> {
-        let copies = self.workers.values().flat_map(|worker| worker.copies.values());
+        let copies = self.workers.values().flat_map(|worker| worker.attempts.values());
         let mut asked: Vec<(ImageNo, f32)> =
             copies.filter(|copy| copy.fills).map(Copy::filler).collect();
         for key in &self.ready {
             let Ready { workflow, occurrence, step, .. } = *key;
-            let Some(flow) = self.flows.get(&workflow) else { continue };
+            let Some(flow) = self.workflows.get(&workflow) else { continue };
             let Some(of_step) = flow.submission.workflow.steps.get(usize::from(step)) else {
                 continue;
             };
--- a/crates/workflow/src/scheduler/stragglers.rs
+++ b/crates/workflow/src/scheduler/stragglers.rs
@@ -7,7 +7,7 @@
 
 use {
     super::{
-        Copy, Effect, HoldReply, Need, Phase, Scheduler, Worker, copy::FULL_PACE, waits::StopReason,
+        Copy, Effect, Need, Phase, PollReply, Scheduler, Worker, copy::FULL_PACE, waits::StopReason,
     },
     crate::{RunId, Step, TaskId, WorkerId},
     egretlb_types::Time,
@@ -161,14 +161,14 @@
         &mut self,
         now: Time,
         id: &WorkerId,
-        reply: &HoldReply,
+        reply: &PollReply,
         out: &mut Vec<Effect>,
     ) {
         let Some(worker) = self.workers.get(id) else { return };
         let mut found: Vec<(TaskId, RunId)> = Vec::new();
         let mut standing = 0;
-        for ((task, run), copy) in &worker.copies {
-            if reply.hides(*task, *run) {
+        for ((task, run), copy) in &worker.attempts {
+            if reply.may_omit(*task, *run) {
                 continue;
             }
             let Some(step) = self.step(*task) else { continue };
@@ -183,7 +183,7 @@
         if standing > 0
             && let Some(worker) = self.workers.get_mut(id)
         {
-            worker.barred_until = worker.barred_until.max(now + STANDING_BAR);
+            worker.backoff_until = worker.backoff_until.max(now + STANDING_BAR);
         }
         for (task, run) in found.into_iter().take(MOVES_PER_ANSWER) {
             self.move_straggler(now, id, task, run, out);
@@ -193,16 +193,16 @@
     /// Whether another worker would take a task now.
     pub(super) fn fits_elsewhere(&mut self, now: Time, id: &WorkerId, task: TaskId) -> bool {
         let Some(step) = self.step(task).cloned() else { return false };
-        let Some(flow) = self.flows.get(&task.workflow) else { return false };
+        let Some(flow) = self.workflows.get(&task.workflow) else { return false };
         let service = flow.submission.service.clone();
         self.avoid(now, task, id);
         let need = Need::new(&step, &mut self.colocation);
-        if self.nowhere.knows(now, &service, &step) {
+        if self.failed_searches.knows(now, &service, &step) {
             return false;
         }
         let fits = self.choose_elsewhere(now, task, &service, &need).is_some();
         if !fits {
-            self.nowhere.note(now, service, &step);
+            self.failed_searches.note(now, service, &step);
         }
         fits
     }
@@ -216,10 +216,10 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(step) = self.step(task).cloned() else { return };
-        let Some(flow) = self.flows.get(&task.workflow) else { return };
+        let Some(flow) = self.workflows.get(&task.workflow) else { return };
         let service = flow.submission.service.clone();
         let Some(state) = self.task_mut(task) else { return };
-        if state.copies.len() > 1 || state.left >= MOST_MOVES {
+        if state.attempts.len() > 1 || state.slow_moves >= MOST_MOVES {
             return;
         }
         self.avoid(now, task, id);
@@ -231,7 +231,7 @@
         let Some(other) = self.choose_elsewhere(now, task, &service, &need) else { return };
         log::info!(task:%, run:%, worker:% = id, copied = step.speculative; "straggler_moved");
         if let Some(state) = self.task_mut(task) {
-            state.left += 1;
+            state.slow_moves += 1;
         }
         if step.speculative {
             self.start(now, task, &need, &other, None, out);
--- a/crates/workflow/src/scheduler/trials.rs
+++ b/crates/workflow/src/scheduler/trials.rs
@@ -5,7 +5,8 @@
 
 use {
     super::{
-        Copy, Need, Ready, Scheduler, Worker, flow::TaskState, losses::PROBATION, place::has_room,
+        Copy, Need, Ready, Scheduler, Worker, active_workflow::TaskState, losses::PROBATION,
+        place::has_room,
     },
     crate::{Announced, RunId, TaskId, WorkerId},
     compact_str::CompactString,
@@ -45,22 +46,22 @@
 impl Worker {
     /// Whether it is kept for a trial, or one is under way.
     pub(super) fn is_kept(&self, now: Time) -> bool {
-        self.trials > 0 || now < self.quiet_until
+        self.isolated_starts > 0 || now < self.reserved_until
     }
 
     /// Whether a run that is listed has been at work for long enough to clear it; its trial ends then.
     pub(super) fn prove(&mut self, now: Time, task: TaskId, run: RunId) -> bool {
-        let Some(copy) = self.copies.get_mut(&(task, run)) else { return false };
+        let Some(copy) = self.attempts.get_mut(&(task, run)) else { return false };
         let proved = now.since(copy.began) >= PROBATION;
         if proved && std::mem::take(&mut copy.trial) {
-            self.trials -= 1;
+            self.isolated_starts -= 1;
         }
         proved
     }
 
     fn stakes(&self) -> Stakes {
-        let lasting = self.copies.values().filter(|copy| copy.lasts).count();
-        Stakes { unsettled: !self.is_settled(), lasting, runs: self.copies.len() }
+        let lasting = self.attempts.values().filter(|copy| copy.lasts).count();
+        Stakes { unsettled: !self.is_settled(), lasting, runs: self.attempts.len() }
     }
 }
 
@@ -87,7 +88,7 @@
         service: &CompactString,
         need: &Need<'_>,
     ) -> Trial {
-        if !self.trials_due {
+        if !self.isolated_starts_due {
             return Trial::Later;
         }
         match self.announced_place(now, task, service, need) {
@@ -116,7 +117,7 @@
             self.keep_quiet(now, &id);
             return Some(Trial::Later);
         }
-        match (settled, now < worker.quiet_until) {
+        match (settled, now < worker.reserved_until) {
             (true, _) => Some(Trial::At(id)),
             (false, true) => Some(Trial::Later),
             (false, false) => None,
@@ -125,17 +126,17 @@
 
     /// Whether all crashes under a task and its next run are in the store.
     fn is_recorded(&self, task: TaskId) -> bool {
-        let under_way = self.recording.as_ref();
-        !self.losses.is_unrecorded(task.workflow)
+        let under_way = self.pending_append.as_ref();
+        !self.lost_workers.is_unrecorded(task.workflow)
             && !under_way.is_some_and(|recording| recording.has_crashes_of(task.workflow))
     }
 
     fn keep_quiet(&mut self, now: Time, id: &WorkerId) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.quiet_until = now + QUIET_SPAN;
+            worker.reserved_until = now + QUIET_SPAN;
         }
-        if !self.kept.contains(id) {
-            self.kept.push(id.clone());
+        if !self.reserved.contains(id) {
+            self.reserved.push(id.clone());
         }
     }
 
@@ -151,9 +152,9 @@
         let mut best: Option<(Stakes, &WorkerId)> = None;
         let of_service = |(_, worker): &(&WorkerId, &Worker)| worker.info.service == *service;
         for (id, worker) in self.workers.iter().filter(of_service) {
-            fit += usize::from(worker.is_fit(now, &self.limits));
+            fit += usize::from(worker.is_eligible(now, &self.limits));
             // One that has just crashed is kept until it is found out, and others needn't wait for that.
-            let heard = worker.last_heard.is_some_and(|at| now.since(at) < UNHEARD);
+            let heard = worker.last_contact.is_some_and(|at| now.since(at) < UNHEARD);
             kept += usize::from(worker.is_kept(now) && heard);
             if worker.is_kept(now) || !self.takes_trial(now, id, worker, task, service, need) {
                 continue;
@@ -163,7 +164,7 @@
                 best = Some((stakes, id));
             }
         }
-        self.measures.looked_at += fit as u64;
+        self.stats.workers_scanned += fit as u64;
         let Some(id) = best.map(|(_, id)| id.clone()) else {
             return if kept > 0 { Trial::Later } else { Trial::NoRoom };
         };
@@ -173,7 +174,7 @@
         }
         self.keep_quiet(now, &id);
         let run = self.next_run(task);
-        if self.losses.may_tell(now) {
+        if self.lost_workers.may_tell(now) {
             let crashes = self.task(task).map_or(0, |state| state.crashes.len());
             log::info!(task:%, run:%, worker:% = id, crashes; "start_announced");
         }
@@ -181,7 +182,7 @@
             state.announced = Some(Announced { run, worker: id });
         }
         self.dirty.insert(task.workflow);
-        self.losses.note_unrecorded(task.workflow);
+        self.lost_workers.note_unrecorded(task.workflow);
         Trial::Later
     }
 
@@ -208,10 +209,10 @@
         need: &Need<'_>,
     ) -> bool {
         has_room(worker, task, need)
-            && worker.is_fit(now, &self.limits)
-            && worker.trials == 0
-            && now >= worker.barred_span_end()
-            && !worker.is_doubted(now)
+            && worker.is_eligible(now, &self.limits)
+            && worker.isolated_starts == 0
+            && now >= worker.excluded_until()
+            && !worker.is_backing_off(now)
             && self.allows(now, task, id)
             && self.suits(now, (id, worker), task, service, need).is_some()
     }
--- a/crates/workflow/src/scheduler/unclear.rs
+++ b/crates/workflow/src/scheduler/unclear.rs
@@ -4,7 +4,7 @@
 //! goes on would be started a second time, and one that is done would be run again.
 
 use {
-    super::{HoldReply, Phase, Worker},
+    super::{Phase, PollReply, Worker},
     crate::WorkerState,
     egretlb_types::Time,
     smallvec::SmallVec,
@@ -45,10 +45,12 @@
 
 impl Unclear {
     /// Takes an answer in; returns whether a run that it doesn't list may be one that can't be read.
-    pub(super) fn note(&mut self, now: Time, reply: &HoldReply) -> bool {
-        self.runs_since = (reply.odd.runs > 0).then(|| self.runs_since.unwrap_or(now));
+    pub(super) fn note(&mut self, now: Time, reply: &PollReply) -> bool {
+        self.runs_since =
+            (reply.unreadable.unidentified_runs > 0).then(|| self.runs_since.unwrap_or(now));
         let given_up = self.given_up;
-        self.open_ends = reply.odd.ends.iter().copied().filter(|end| *end > given_up).collect();
+        self.open_ends =
+            reply.unreadable.ends.iter().copied().filter(|end| *end > given_up).collect();
         let Some(last) = self.open_ends.last().copied() else {
             self.ends_since = None;
             return self.runs_since.is_some();
@@ -75,8 +77,8 @@
 
     /// Ends that mean nothing and take up all room of the list. Others are acknowledged with the next end that
     /// means something: a number that another writer made up may be above those of ends to come.
-    pub(super) fn passed_over(&self, reply: &HoldReply) -> impl Iterator<Item = u64> {
-        let (odd, given_up) = (&reply.odd, self.given_up);
+    pub(super) fn passed_over(&self, reply: &PollReply) -> impl Iterator<Item = u64> {
+        let (odd, given_up) = (&reply.unreadable, self.given_up);
         let given_up = odd.ends.iter().copied().filter(move |number| *number <= given_up);
         let nothing = given_up.chain(odd.foreign_ends.iter().copied());
         nothing.filter(|_| reply.is_full())
@@ -125,16 +127,16 @@
 impl Worker {
     /// Its entry in the directory can't be read: it hasn't left, and gets nothing new.
     pub(super) fn lose_entry(&mut self) {
-        if !self.present {
+        if !self.in_directory {
             // That it leaves was only supposed, or its entry was gone.
             self.info.state = WorkerState::Other;
         }
         self.info.lose_entry();
-        self.present = true;
+        self.in_directory = true;
     }
 
     /// Ends up to here may be acknowledged once they are recorded.
     pub(super) fn forgettable(&self) -> u64 {
-        self.unclear.forgettable(self.taken)
+        self.unreadable_rows.forgettable(self.ends_processed)
     }
 }
--- a/crates/workflow/src/scheduler/waits/budget.rs
+++ b/crates/workflow/src/scheduler/waits/budget.rs
@@ -56,7 +56,7 @@
     }
 
     /// Tells what was left out, if it is time.
-    pub(in crate::scheduler) fn tell_left_out(&mut self, now: Time) {
+    pub(in crate::scheduler) fn log_suppressed(&mut self, now: Time) {
         if self.left_out == 0 || now.since(self.told_at) < TOLD_EVERY {
             return;
         }
--- a/crates/workflow/src/scheduler/waits/held.rs
+++ b/crates/workflow/src/scheduler/waits/held.rs
@@ -55,7 +55,7 @@
         let mut steps = HeldSteps::new();
         let mut counted: BTreeSet<TaskId> = BTreeSet::new();
         for (id, worker) in &self.workers {
-            for ((task, run), copy) in &worker.copies {
+            for ((task, run), copy) in &worker.attempts {
                 let Some(mut doubt) = self.doubt(now, worker, copy) else { continue };
                 if !self.is_wanted_and_down(now, *task, (id, *run)) || !counted.insert(*task) {
                     continue;
@@ -75,7 +75,7 @@
     /// None if a run is at work for all that is known.
     fn doubt(&self, now: Time, worker: &Worker, copy: &Copy) -> Option<Doubt> {
         if !worker.is_responsive(now, &self.limits) {
-            let since = worker.last_heard.map_or(copy.placed, |heard| heard.max(copy.placed));
+            let since = worker.last_contact.map_or(copy.placed, |heard| heard.max(copy.placed));
             let until = Some(worker.lease_bound);
             return Some(Doubt { reason: Reason::SilentWorker, since, until });
         }
@@ -95,17 +95,18 @@
         let Some(state) = self.task(task) else { return false };
         let works = |(id, run): &(WorkerId, RunId)| {
             let worker = self.workers.get(id);
-            let copy = worker.and_then(|worker| Some((worker, worker.copies.get(&(task, *run))?)));
+            let copy =
+                worker.and_then(|worker| Some((worker, worker.attempts.get(&(task, *run))?)));
             copy.is_some_and(|(worker, copy)| self.doubt(now, worker, copy).is_none())
         };
-        let mut others = state.copies.iter().filter(|(id, run)| (id, *run) != but);
+        let mut others = state.attempts.iter().filter(|(id, run)| (id, *run) != but);
         !state.done && !others.any(works)
     }
 
     /// Since when a task in a queue hasn't run.
     pub(in crate::scheduler) fn down_since(&self, task: TaskId) -> Option<Time> {
         let StepId { workflow, occurrence, step } = task.step_id();
-        let occurrence = self.flows.get(&workflow)?.occurrences.get(&occurrence)?;
+        let occurrence = self.workflows.get(&workflow)?.occurrences.get(&occurrence)?;
         let step = occurrence.steps.get(usize::from(step))?;
         // What has never run has waited since the queue was filled.
         Some(step.tasks.get(task.index as usize)?.down_since.unwrap_or(step.since))
@@ -120,7 +121,7 @@
         run: RunId,
     ) -> Option<(Reason, Time)> {
         let worker = self.workers.get(id)?;
-        let doubt = self.doubt(now, worker, worker.copies.get(&(task, run))?)?;
+        let doubt = self.doubt(now, worker, worker.attempts.get(&(task, run))?)?;
         Some((doubt.reason, doubt.since))
     }
 
@@ -128,7 +129,7 @@
     /// before.
     pub(super) fn note_down(&mut self, task: TaskId, since: Time) {
         if let Some(state) = self.task_mut(task)
-            && (!state.copies.is_empty() || state.down_since.is_none())
+            && (!state.attempts.is_empty() || state.down_since.is_none())
         {
             state.down_since = Some(since);
         }
--- a/crates/workflow/src/scheduler/waits/mod.rs
+++ b/crates/workflow/src/scheduler/waits/mod.rs
@@ -42,7 +42,7 @@
     /// When it ends at the latest, where that is known.
     until: Option<Time>,
     /// The workers of its service, where room is what it waits for.
-    fleet: Option<ServiceWorkers>,
+    service_workers: Option<ServiceWorkers>,
 }
 
 /// The workers of a service.
@@ -51,12 +51,12 @@
     /// All that are known.
     pub all: usize,
     /// Those that take work: heard lately, well and not about to leave.
-    pub fit: usize,
+    pub eligible: usize,
 }
 
 impl Cause {
     fn plain(reason: Reason) -> Cause {
-        Cause { reason, workers: SmallVec::new(), until: None, fleet: None }
+        Cause { reason, workers: SmallVec::new(), until: None, service_workers: None }
     }
 }
 
@@ -70,7 +70,7 @@
     /// Some of them, by index.
     pub indices: Vec<u32>,
     /// Whether they run until their workflow is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     /// How long the first of them hasn't run, as far as this leader knows.
     pub waited: Duration,
     /// Why; of tasks in a queue, why the next one isn't running.
@@ -80,7 +80,7 @@
     /// How long the reason lasts at most, where that is known.
     pub until: Option<Duration>,
     /// The workers of its service, where room is what it waits for.
-    pub fleet: Option<ServiceWorkers>,
+    pub service_workers: Option<ServiceWorkers>,
 }
 
 /// What was told of waits, and how many lines that took lately.
@@ -105,10 +105,10 @@
     }
 
     /// Writes the lines on waits that are due.
-    pub(super) fn tell_waits(&mut self, now: Time) {
+    pub(super) fn log_waits(&mut self, now: Time) {
         self.tell_term_hold(now);
         self.tell_long_waits(now);
-        self.waits.runs.tell_left_out(now);
+        self.waits.runs.log_suppressed(now);
     }
 
     fn held_row(&self, now: Time, (step, reason): (StepId, Reason), held: Held) -> WaitingStep {
@@ -122,12 +122,12 @@
             step,
             tasks: held.tasks,
             indices: held.indices.to_vec(),
-            lasting: self.is_lasting(task),
+            long_running: self.is_long_running(task),
             waited: now.since(held.since),
             reason,
             workers: held.workers.to_vec(),
             until: held.until.map(|until| until.since(now)),
-            fleet: None,
+            service_workers: None,
         }
     }
 }
--- a/crates/workflow/src/scheduler/waits/queued.rs
+++ b/crates/workflow/src/scheduler/waits/queued.rs
@@ -62,23 +62,23 @@
     /// The waiting tasks of a step in the queue.
     pub(super) fn queued_row(&mut self, now: Time, key: Ready) -> Option<WaitingStep> {
         self.front(key)?;
-        let Cause { reason, workers, until, fleet } = self.cause(now, key)?;
+        let Cause { reason, workers, until, service_workers } = self.cause(now, key)?;
         let queue = self.queue_of(key)?;
         let tasks = queue.len();
         let mut indices: Vec<u32> = queue.iter().copied().take(MOST_NAMED).collect();
         indices.sort_unstable();
-        let Ready { workflow, occurrence, step, lasting, .. } = key;
+        let Ready { workflow, occurrence, step, long_running, .. } = key;
         let step = StepId { workflow, occurrence, step };
         Some(WaitingStep {
             step,
             tasks,
             indices,
-            lasting,
+            long_running,
             waited: now.since(self.queued_since(key)?),
             reason,
             workers: workers.to_vec(),
             until: until.map(|until| until.since(now)),
-            fleet,
+            service_workers,
         })
     }
 
@@ -89,14 +89,19 @@
     }
 
     fn cause(&mut self, now: Time, key: Ready) -> Option<Cause> {
-        let flow = self.flows.get(&key.workflow)?;
+        let flow = self.workflows.get(&key.workflow)?;
         let step = flow.submission.workflow.steps.get(usize::from(key.step))?.clone();
-        if flow.inherited && !self.unaccounted.is_empty() {
-            let workers = self.unaccounted.keys().take(MOST_NAMED).cloned().collect();
-            let until = self.unaccounted.values().copied().max();
-            return Some(Cause { reason: Reason::SurveyUnderWay, workers, until, fleet: None });
+        if flow.inherited && !self.unreconciled.is_empty() {
+            let workers = self.unreconciled.keys().take(MOST_NAMED).cloned().collect();
+            let until = self.unreconciled.values().copied().max();
+            return Some(Cause {
+                reason: Reason::SurveyUnderWay,
+                workers,
+                until,
+                service_workers: None,
+            });
         }
-        if self.behind {
+        if self.lagging {
             return Some(Cause::plain(Reason::RecordsReadLate));
         }
         if !self.may_start() {
@@ -106,7 +111,7 @@
             return Some(Cause::plain(Reason::GivesWay));
         }
         let index = *self.queue_of(key)?.front()?;
-        if self.was_started(key.task(index)) && !self.may_repeat(now) {
+        if self.was_started(key.task(index)) && !self.may_restart(now) {
             return Some(Cause::plain(Reason::Unproven));
         }
         if self.is_suspect(key.task(index)) {
@@ -127,12 +132,12 @@
         let mut best = Stage::NoWorkers;
         let mut workers: SmallVec<[WorkerId; 1]> = SmallVec::new();
         let mut until: Option<Time> = None;
-        let service = self.flows.get(&task.workflow)?.submission.service.clone();
+        let service = self.workflows.get(&task.workflow)?.submission.service.clone();
         let mut fleet = ServiceWorkers::default();
         let of_service = |(_, worker): &(&WorkerId, &Worker)| worker.info.service == service;
         for (id, worker) in self.workers.iter().filter(of_service) {
             fleet.all += 1;
-            fleet.fit += usize::from(worker.is_fit(now, &self.limits));
+            fleet.eligible += usize::from(worker.is_eligible(now, &self.limits));
             let Some(stage) = self.stage(now, &wanted, id, worker) else { continue };
             if stage > best {
                 best = stage;
@@ -147,11 +152,11 @@
             }
             if stage == Stage::Barred {
                 // The first that takes work again ends the wait.
-                let bar = worker.barred_span_end();
+                let bar = worker.excluded_until();
                 until = Some(until.map_or(bar, |known| known.min(bar)));
             }
         }
-        Some(Cause { reason: best.reason(), workers, until, fleet: Some(fleet) })
+        Some(Cause { reason: best.reason(), workers, until, service_workers: Some(fleet) })
     }
 
     /// How far a worker of the service gets; none if it takes no work for now, whatever it is.
@@ -163,7 +168,7 @@
         worker: &Worker,
     ) -> Option<Stage> {
         let Wanted { task, need, alone } = *wanted;
-        if !worker.is_fit(now, &self.limits) {
+        if !worker.is_eligible(now, &self.limits) {
             return None;
         }
         if need.step.label.as_ref().is_some_and(|label| !worker.info.has_label(label)) {
@@ -174,12 +179,12 @@
         }
         let state = self.task(task)?;
         Some(match () {
-            () if now < worker.barred_span_end() => Stage::Barred,
+            () if now < worker.excluded_until() => Stage::Barred,
             () if !has_room(worker, task, &need) => Stage::AntiAffinity,
             () if state.avoid.as_ref().is_some_and(|avoid| avoid.worker == *id) => {
                 Stage::FailedThere
             }
-            () if self.is_held(id) => Stage::Upkeep,
+            () if self.is_in_maintenance(id) => Stage::Upkeep,
             () if !self.allows(now, task, id) => Stage::NoTicket,
             () if need.step.fills
                 && self.colocation.disturbance(&worker.neighbours, need.filler()).is_none() =>
--- a/crates/workflow/src/scheduler/waits/report.rs
+++ b/crates/workflow/src/scheduler/waits/report.rs
@@ -113,7 +113,7 @@
             let step = ready.step_id();
             waiting.insert(step);
             let since = now - self.step_wait(now, *ready);
-            let (group, lasting) = ((step, None), ready.lasting);
+            let (group, lasting) = ((step, None), ready.long_running);
             if self.waits.reports.is_due(now, group, since) {
                 let told_at = self.waits.reports.told_at(group);
                 due.push(Due { group, key: Some(*ready), told_at, lasting, since });
@@ -163,18 +163,20 @@
 }
 
 fn tell(row: &WaitingStep) {
-    let WaitingStep { step, tasks, indices, waited, reason, workers, until, fleet, .. } = row;
+    let WaitingStep {
+        step, tasks, indices, waited, reason, workers, until, service_workers, ..
+    } = row;
     let (indices, workers) = (Joined(indices), Joined(workers));
     let waited_ms = ms(*waited);
     // Pairs that say nothing are left out: there are many lines.
-    match (until, fleet) {
+    match (until, service_workers) {
         (Some(until), _) => log::info!(
             step:%, tasks, indices:%, waited_ms, reason:%, workers:%, at_most_ms = ms(*until);
             "tasks_waiting"
         ),
-        (None, Some(ServiceWorkers { all, fit })) => log::info!(
+        (None, Some(ServiceWorkers { all, eligible })) => log::info!(
             step:%, tasks, indices:%, waited_ms, reason:%, workers:%, service_workers = *all,
-            fit_workers = *fit;
+            fit_workers = *eligible;
             "tasks_waiting"
         ),
         (None, None) => log::info!(
--- a/crates/workflow/src/scheduler/waits/runs.rs
+++ b/crates/workflow/src/scheduler/waits/runs.rs
@@ -31,21 +31,21 @@
     /// Its worker is about to leave.
     Evacuated,
     /// Its worker's VM goes down for upkeep.
-    Upkeep,
+    Maintenance,
     /// It pressed on a serving task.
-    Relieved,
+    Evicted,
     /// It was held back beside a serving task for so long that it is done sooner elsewhere.
-    HeldBack,
+    Throttled,
     /// It stands better elsewhere, beside serving tasks on which the same fillers press.
     Regrouped,
     /// Its worker is slow.
     Slow,
     /// Its start got no answer and isn't listed.
-    Doubtful,
+    StartUnconfirmed,
     /// Another run of its task is done.
-    CopyDone,
+    OtherAttemptDone,
     /// It was found, and another run of its task counts.
-    NotWanted,
+    Duplicate,
     /// Its workflow was cancelled or has failed.
     WorkflowEnded,
 }
@@ -55,14 +55,14 @@
         f.write_str(match self {
             StopReason::Preempted => "preempted",
             StopReason::Evacuated => "evacuated",
-            StopReason::Upkeep => "upkeep",
-            StopReason::Relieved => "relieved",
-            StopReason::HeldBack => "held_back",
+            StopReason::Maintenance => "upkeep",
+            StopReason::Evicted => "relieved",
+            StopReason::Throttled => "held_back",
             StopReason::Regrouped => "regrouped",
             StopReason::Slow => "slow_worker",
-            StopReason::Doubtful => "start_in_doubt",
-            StopReason::CopyDone => "copy_done",
-            StopReason::NotWanted => "not_wanted",
+            StopReason::StartUnconfirmed => "start_in_doubt",
+            StopReason::OtherAttemptDone => "copy_done",
+            StopReason::Duplicate => "not_wanted",
             StopReason::WorkflowEnded => "workflow_ended",
         })
     }
@@ -71,7 +71,7 @@
 /// A stop that was ordered.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::scheduler) struct Stop {
-    pub(in crate::scheduler) why: StopReason,
+    pub(in crate::scheduler) reason: StopReason,
     /// When it was first ordered.
     pub(in crate::scheduler) since: Time,
 }
@@ -94,8 +94,8 @@
             Over::Listed(EndKind::Failed) => "failed",
             Over::Listed(EndKind::Stopped) => "stopped",
             Over::Listed(EndKind::Lapsed) => "lapsed",
-            Over::Listed(EndKind::Broken) => "broken",
-            Over::Listed(EndKind::Alone) => "alone",
+            Over::Listed(EndKind::GangBroken) => "broken",
+            Over::Listed(EndKind::GangTimedOut) => "alone",
             Over::Listed(EndKind::Unknown) => "unknown",
             Over::NeverBegan => "rejected",
             Over::Lost => "lost",
@@ -113,21 +113,21 @@
 }
 
 impl RunLines {
-    pub(super) fn tell_left_out(&mut self, now: Time) {
-        self.0.tell_left_out(now);
+    pub(super) fn log_suppressed(&mut self, now: Time) {
+        self.0.log_suppressed(now);
     }
 }
 
 impl Scheduler {
     /// A task is about to be started.
-    pub(in crate::scheduler) fn tell_start(
+    pub(in crate::scheduler) fn log_start(
         &mut self,
         now: Time,
         task: TaskId,
         run: RunId,
         id: &WorkerId,
     ) {
-        if !self.is_lasting(task) {
+        if !self.is_long_running(task) {
             return;
         }
         let again = self.task(task).is_some_and(|state| state.down_since.is_some());
@@ -138,12 +138,12 @@
         log::info!(task:%, run:%, worker:% = id, waited_ms; "lasting_task_started");
     }
 
-    pub(super) fn is_lasting(&self, task: TaskId) -> bool {
+    pub(super) fn is_long_running(&self, task: TaskId) -> bool {
         self.step(task).is_some_and(|step| step.lasting)
     }
 
     /// A worker lists the end of a run.
-    pub(in crate::scheduler) fn tell_end(
+    pub(in crate::scheduler) fn log_end(
         &mut self,
         now: Time,
         id: &WorkerId,
@@ -155,7 +155,7 @@
     }
 
     /// A run is certainly not under way, and no list tells its end.
-    pub(in crate::scheduler) fn tell_drop(
+    pub(in crate::scheduler) fn log_dropped(
         &mut self,
         now: Time,
         id: &WorkerId,
@@ -169,11 +169,11 @@
 
     fn note_over(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId, over: Over) {
         let doubt = self.doubt_of(now, id, task, run);
-        let copy = self.workers.get(id).and_then(|worker| worker.copies.get(&(task, run)));
+        let copy = self.workers.get(id).and_then(|worker| worker.attempts.get(&(task, run)));
         let stop = copy.and_then(|copy| copy.stop);
         // A workflow that was cancelled is forgotten before its runs have ended; an end may also be of
         // a run that only a predecessor knew.
-        let lasts = copy.map_or_else(|| self.is_lasting(task), |copy| copy.lasts);
+        let lasts = copy.map_or_else(|| self.is_long_running(task), |copy| copy.lasts);
         let silent = doubt.is_some_and(|(reason, _)| reason == Reason::SilentWorker);
         // Its user has been without it since its worker was last heard, as far as anybody knows.
         let heard = doubt.filter(|_| silent && matches!(over, Over::Lost)).map(|(_, heard)| heard);
@@ -186,7 +186,7 @@
             return;
         }
         let why = match (stop, over) {
-            (Some(stop), _) => stop.why.to_string(),
+            (Some(stop), _) => stop.reason.to_string(),
             (None, Over::Lost) if silent => "worker_silent".to_owned(),
             (None, Over::Lost) => "not_there".to_owned(),
             (None, _) => "-".to_owned(),
--- a/crates/workflow/src/scheduler/waits/term.rs
+++ b/crates/workflow/src/scheduler/waits/term.rs
@@ -22,7 +22,7 @@
 
 impl Scheduler {
     pub(super) fn tell_term_hold(&mut self, now: Time) {
-        if self.unaccounted.is_empty() {
+        if self.unreconciled.is_empty() {
             self.tell_release(now);
             return;
         }
@@ -31,10 +31,10 @@
             return;
         }
         let named: SmallVec<[WorkerId; MOST_NAMED]> =
-            self.unaccounted.keys().take(MOST_NAMED).cloned().collect();
-        let until = self.unaccounted.values().max().map_or(Duration::ZERO, |at| at.since(now));
+            self.unreconciled.keys().take(MOST_NAMED).cloned().collect();
+        let until = self.unreconciled.values().max().map_or(Duration::ZERO, |at| at.since(now));
         let held_ms = ms(now.since(began));
-        let unanswered = self.unaccounted.len();
+        let unanswered = self.unreconciled.len();
         let workers = Joined(&named);
         log::info!(
             epoch:% = self.epoch, held_ms, unanswered, workers:%, at_most_ms = ms(until);
@@ -46,7 +46,7 @@
     fn tell_release(&mut self, now: Time) {
         let Some(began) = self.waits.term.began.take() else { return };
         let Some(named) = self.waits.term.named.take() else { return };
-        let silent = |id: &WorkerId| self.workers.get(id).is_none_or(|worker| !worker.surveyed);
+        let silent = |id: &WorkerId| self.workers.get(id).is_none_or(|worker| !worker.reconciled);
         let silent: SmallVec<[WorkerId; MOST_NAMED]> =
             named.into_iter().filter(|id| silent(id)).collect();
         let held_ms = ms(now.since(began));
