--- a/crates/workflow/src/scheduler/worker.rs
+++ b/crates/workflow/src/scheduler/worker.rs
@@ -24,46 +24,46 @@
 pub(crate) struct Worker {
     pub(crate) info: WorkerInfo,
     /// Its entry is in the directory.
-    pub(crate) present: bool,
+    pub(crate) in_directory: bool,
     /// The roster in the store names it, so a successor knows to ask it.
     pub(crate) in_roster: bool,
     /// Set if a predecessor's roster names it.
     pub(crate) inherited: Option<Inherited>,
     /// The roster lists what may run there and nothing else; until a roster without that list is
     /// recorded, it gets no order that starts or renews anything.
-    pub(crate) listed_silent: bool,
+    pub(crate) listed_unresponsive: bool,
     /// The roster lists what may run there since it is about to leave: nothing is started there until a
     /// roster without that list is recorded.
-    pub(crate) leaving: bool,
+    pub(crate) listed_draining: bool,
     /// How many runs the roster lists there.
     pub(crate) listed_runs: usize,
     /// Its address refused a connection: no process listens there.
-    pub(crate) refused: bool,
+    pub(crate) connection_refused: bool,
     /// It has answered under this epoch: what runs there is known, and no predecessor's order takes
     /// effect there any more.
-    pub(crate) surveyed: bool,
-    pub(crate) last_heard: Option<Time>,
+    pub(crate) reconciled: bool,
+    pub(crate) last_contact: Option<Time>,
     /// By then all that runs there by orders of this leader has lapsed.
     pub(crate) lease_bound: Time,
     /// The worker's clock in milliseconds, and when it was read.
     clock: Option<(u64, Time)>,
     pub(crate) poll_sent: Option<Time>,
-    pub(crate) poll_at: Time,
+    pub(crate) next_poll_at: Time,
     /// Rows of its lists that can't be read.
-    pub(super) unclear: Unclear,
+    pub(super) unreadable_rows: Unclear,
     /// Ends up to here were taken in.
-    pub(crate) taken: u64,
+    pub(crate) ends_processed: u64,
     /// Ends up to here are recorded, so the worker may forget them.
-    pub(crate) recorded: u64,
-    pub(crate) copies: BTreeMap<(TaskId, RunId), Copy>,
+    pub(crate) ends_recorded: u64,
+    pub(crate) attempts: BTreeMap<(TaskId, RunId), Copy>,
     pub(crate) committed: Resources,
-    pub(crate) soft: u32,
-    pub(crate) serving: u32,
-    pub(crate) filling: u32,
+    pub(crate) best_effort_demand: u32,
+    pub(crate) latency_critical: u32,
+    pub(crate) best_effort: u32,
     /// Runs on trial.
-    pub(crate) trials: u32,
+    pub(crate) isolated_starts: u32,
     /// Kept free of new starts until then, for a trial.
-    pub(crate) quiet_until: Time,
+    pub(crate) reserved_until: Time,
     /// The tasks that share it, as far as they disturb each other.
     pub(crate) neighbours: Neighbours,
     /// How fast tasks get on here, as a multiple of their estimates, and when that was last measured.
@@ -71,15 +71,15 @@
     /// Runs that failed here since the last one that was done.
     pub(crate) failures: u32,
     /// It gets nothing new before.
-    pub(crate) barred_until: Time,
+    pub(crate) backoff_until: Time,
     /// It failed one run after another: before this it gets only what can't go elsewhere.
     pub(crate) quarantined_until: Time,
     /// When it last left a start unanswered; none once it has answered an order since.
-    pub(crate) doubted: Option<Time>,
+    pub(crate) unconfirmed_start: Option<Time>,
     /// A serving task is over its target: no filler is added.
     pub(crate) over_target: bool,
     /// When fillers were last stopped for the sake of a serving task.
-    pub(crate) relieved_at: Time,
+    pub(crate) evicted_at: Time,
 }
 
 impl Worker {
@@ -87,62 +87,62 @@
         let neighbours = Neighbours::new(info.capacity.cpu);
         Worker {
             info,
-            present: true,
+            in_directory: true,
             in_roster: false,
             inherited: None,
-            listed_silent: false,
-            leaving: false,
+            listed_unresponsive: false,
+            listed_draining: false,
             listed_runs: 0,
-            refused: false,
-            surveyed: false,
-            last_heard: None,
+            connection_refused: false,
+            reconciled: false,
+            last_contact: None,
             lease_bound: now,
             clock: None,
             poll_sent: None,
-            poll_at: now,
-            unclear: Unclear::default(),
-            taken: 0,
-            recorded: 0,
-            copies: BTreeMap::new(),
+            next_poll_at: now,
+            unreadable_rows: Unclear::default(),
+            ends_processed: 0,
+            ends_recorded: 0,
+            attempts: BTreeMap::new(),
             committed: Resources::default(),
-            soft: 0,
-            serving: 0,
-            filling: 0,
-            trials: 0,
-            quiet_until: Time::ZERO,
+            best_effort_demand: 0,
+            latency_critical: 0,
+            best_effort: 0,
+            isolated_starts: 0,
+            reserved_until: Time::ZERO,
             neighbours,
             speed: None,
             failures: 0,
-            barred_until: Time::ZERO,
+            backoff_until: Time::ZERO,
             quarantined_until: Time::ZERO,
-            doubted: None,
+            unconfirmed_start: None,
             over_target: false,
-            relieved_at: Time::ZERO,
+            evicted_at: Time::ZERO,
         }
     }
 
     pub(crate) fn insert(&mut self, task: TaskId, run: RunId, copy: Copy) {
         self.committed = self.committed.plus(&copy.hard);
-        self.soft += copy.soft.0;
-        self.serving += u32::from(copy.serves);
-        self.filling += u32::from(copy.fills);
-        self.trials += u32::from(copy.trial);
+        self.best_effort_demand += copy.soft.0;
+        self.latency_critical += u32::from(copy.serves);
+        self.best_effort += u32::from(copy.fills);
+        self.isolated_starts += u32::from(copy.trial);
         if copy.serves {
             self.neighbours.add_serving(copy.image);
         }
         if copy.fills {
             self.neighbours.add_filling(copy.image, copy.paced_cpu());
         }
-        self.copies.insert((task, run), copy);
+        self.attempts.insert((task, run), copy);
     }
 
     pub(crate) fn remove(&mut self, task: TaskId, run: RunId) -> Option<Copy> {
-        let copy = self.copies.remove(&(task, run))?;
+        let copy = self.attempts.remove(&(task, run))?;
         self.committed = self.committed.minus(&copy.hard);
-        self.soft -= copy.soft.0;
-        self.serving -= u32::from(copy.serves);
-        self.filling -= u32::from(copy.fills);
-        self.trials -= u32::from(copy.trial);
+        self.best_effort_demand -= copy.soft.0;
+        self.latency_critical -= u32::from(copy.serves);
+        self.best_effort -= u32::from(copy.fills);
+        self.isolated_starts -= u32::from(copy.trial);
         if copy.serves {
             self.neighbours.remove_serving(copy.image);
         }
@@ -154,7 +154,7 @@
 
     /// Sets the pace of a filler.
     pub(crate) fn set_pace(&mut self, task: TaskId, run: RunId, percent: u32) {
-        let Some(copy) = self.copies.get_mut(&(task, run)) else { return };
+        let Some(copy) = self.attempts.get_mut(&(task, run)) else { return };
         self.neighbours.remove_filling(copy.image, copy.paced_cpu());
         copy.pace = percent;
         self.neighbours.add_filling(copy.image, copy.paced_cpu());
@@ -164,18 +164,18 @@
     pub(crate) fn set_info(&mut self, info: WorkerInfo) {
         self.neighbours.resize(info.capacity.cpu);
         self.info = info;
-        self.present = true;
+        self.in_directory = true;
     }
 
     /// Processor time, in thousandths of a core, that tasks which aren't fillers leave unused.
-    pub(crate) fn room_for_fillers(&self) -> i64 {
+    pub(crate) fn best_effort_capacity(&self) -> i64 {
         let used = u64::from(self.committed.cpu.0) * u64::from(SERVING_USE_PERCENT) / 100;
         i64::from(self.info.capacity.cpu.0) - i64::try_from(used).unwrap_or(0)
     }
 
     /// The same, as far as fillers don't ask for it already.
-    pub(crate) fn left_over(&self) -> i64 {
-        self.room_for_fillers() - i64::from(self.soft)
+    pub(crate) fn free_best_effort_cpu(&self) -> i64 {
+        self.best_effort_capacity() - i64::from(self.best_effort_demand)
     }
 
     /// What is left of its capacity.
@@ -183,9 +183,9 @@
         self.info.capacity.minus(&self.committed)
     }
 
-    pub(crate) fn heard(&mut self, now: Time, clock_ms: u64) {
-        self.last_heard = Some(now);
-        self.refused = false;
+    pub(crate) fn note_contact(&mut self, now: Time, clock_ms: u64) {
+        self.last_contact = Some(now);
+        self.connection_refused = false;
         if self.clock.is_none_or(|(known, _)| clock_ms >= known) {
             self.clock = Some((clock_ms, now));
         }
@@ -195,56 +195,58 @@
     pub(crate) fn is_responsive(&self, now: Time, limits: &Limits) -> bool {
         // A poll may rightly wait at the worker before it is answered.
         let patience = limits.poll_wait + limits.silent_after;
-        self.last_heard.is_some_and(|heard| now.since(heard) < patience)
+        self.last_contact.is_some_and(|heard| now.since(heard) < patience)
     }
 
     /// Whether it was known and doesn't answer any more.
-    pub(crate) fn is_silent(&self, now: Time, limits: &Limits) -> bool {
-        self.surveyed && !self.is_responsive(now, limits)
+    pub(crate) fn is_unresponsive(&self, now: Time, limits: &Limits) -> bool {
+        self.reconciled && !self.is_responsive(now, limits)
     }
 
     /// Whether the roster lists it as one that gets no orders: it is silent, or was taken over from a
     /// predecessor and hasn't answered since.
-    pub(crate) fn lists_silent(&self, now: Time, limits: &Limits) -> bool {
-        self.is_silent(now, limits) || (!self.surveyed && self.inherited.is_some())
+    pub(crate) fn should_list_unresponsive(&self, now: Time, limits: &Limits) -> bool {
+        self.is_unresponsive(now, limits) || (!self.reconciled && self.inherited.is_some())
     }
 
     /// Whether it is about to leave, by its own word, and what may run there is known. Its entry may have
     /// been missing for a while, or have been read late: what was once taken for leaving may turn out to
     /// stay, and its room would be lost for good if that weren't taken back.
-    pub(crate) fn leaves(&self) -> bool {
-        self.info.state == WorkerState::Draining && (self.leaving || self.surveyed)
+    pub(crate) fn is_draining(&self) -> bool {
+        self.info.state == WorkerState::Draining && (self.listed_draining || self.reconciled)
     }
 
     /// Whether it has certainly left: it had announced that, its entry is gone, and nothing listens at
     /// its address. Each alone may be something else: entries lapse by silence or are revoked, and a
     /// draining worker works on for seconds.
     pub(crate) fn has_left(&self) -> bool {
-        self.info.state == WorkerState::Draining && !self.present && self.refused
+        self.info.state == WorkerState::Draining && !self.in_directory && self.connection_refused
     }
 
     /// Whether it may get a new task.
-    pub(crate) fn takes_work(&self, now: Time, limits: &Limits) -> bool {
-        now >= self.quarantined_until && !self.is_kept(now) && self.takes_any_work(now, limits)
+    pub(crate) fn accepts_work(&self, now: Time, limits: &Limits) -> bool {
+        now >= self.quarantined_until
+            && !self.is_kept(now)
+            && self.accepts_as_last_resort(now, limits)
     }
 
     /// Whether it may get a new task that can't go elsewhere.
-    pub(crate) fn takes_any_work(&self, now: Time, limits: &Limits) -> bool {
-        self.is_fit(now, limits) && now >= self.barred_until && !self.is_doubted(now)
+    pub(crate) fn accepts_as_last_resort(&self, now: Time, limits: &Limits) -> bool {
+        self.is_eligible(now, limits) && now >= self.backoff_until && !self.is_backing_off(now)
     }
 
     /// Until when what it did with the last tasks keeps new ones away.
-    pub(crate) fn barred_span_end(&self) -> Time {
-        self.barred_until.max(self.quarantined_until)
+    pub(crate) fn excluded_until(&self) -> Time {
+        self.backoff_until.max(self.quarantined_until)
     }
 
     /// Whether it may get new tasks, but for what it did with the last ones.
-    pub(crate) fn is_fit(&self, now: Time, limits: &Limits) -> bool {
-        self.present
+    pub(crate) fn is_eligible(&self, now: Time, limits: &Limits) -> bool {
+        self.in_directory
             && self.in_roster
-            && !self.listed_silent
-            && !self.leaving
-            && self.surveyed
+            && !self.listed_unresponsive
+            && !self.listed_draining
+            && self.reconciled
             && self.info.state == WorkerState::Ready
             && self.is_responsive(now, limits)
     }
--- a/crates/workflow/tests/held_orders.rs
+++ b/crates/workflow/tests/held_orders.rs
@@ -70,7 +70,7 @@
     world.run(2 * SECOND);
     let leader = world.leader().expect("somebody leads by now");
     let behind = |world: &mut World, behind: bool| {
-        world.nodes[leader].scheduler.as_mut().expect("it leads").set_behind(behind);
+        world.nodes[leader].scheduler.as_mut().expect("it leads").set_lagging(behind);
     };
     behind(&mut world, true);
     let id = world.submit(1, &submission(vec![step(4, 500)]));
--- a/crates/workflow/tests/large_fleet.rs
+++ b/crates/workflow/tests/large_fleet.rs
@@ -24,7 +24,7 @@
 fn looked_at(world: &mut World) -> u64 {
     let leader = world.leader().expect("somebody leads");
     let scheduler = world.nodes[leader].scheduler.as_mut().expect("it leads");
-    scheduler.take_measures().looked_at
+    scheduler.take_stats().workers_scanned
 }
 
 fn large(count: u32) -> Step {
--- a/crates/workflow/tests/support/messages.rs
+++ b/crates/workflow/tests/support/messages.rs
@@ -8,7 +8,7 @@
     },
     egretlb_types::{Epoch, Seq, Time},
     egretlb_workflow::{
-        AdviceResult, AdviceTerms, AppendResult, Effect, HoldResult, PaceResult, Record, RunId,
+        AdviceResult, AdviceTerms, AppendResult, Effect, PaceResult, PollResult, Record, RunId,
         Scheduler, StartResult, StepId, StopResult, TaskId, UpkeepResult, VmId, VmList, WaveState,
         WorkerId,
     },
@@ -51,7 +51,7 @@
 }
 
 pub enum Answer {
-    Hold(WorkerId, HoldResult),
+    Hold(WorkerId, PollResult),
     Start(WorkerId, TaskId, RunId, StartResult),
     Stop(WorkerId, TaskId, RunId, StopResult),
     Pace(WorkerId, TaskId, RunId, PaceResult),
@@ -65,7 +65,7 @@
     /// What a node knows when a worker's answer doesn't reach it.
     fn lost(self) -> Answer {
         match self {
-            Answer::Hold(id, _) => Answer::Hold(id, HoldResult::Failed),
+            Answer::Hold(id, _) => Answer::Hold(id, PollResult::Failed),
             Answer::Start(id, task, run, _) => Answer::Start(id, task, run, StartResult::Unknown),
             Answer::Stop(id, task, run, _) => Answer::Stop(id, task, run, StopResult::Unknown),
             Answer::Pace(id, task, run, _) => Answer::Pace(id, task, run, PaceResult::Unknown),
@@ -128,7 +128,7 @@
                     node.apply(sent, out, &mut Vec::new());
                 }
                 Wish::Effect(epoch, effect) => {
-                    let polls = matches!(effect, Effect::Hold { .. });
+                    let polls = matches!(effect, Effect::Poll { .. });
                     let wait = if polls { Duration::ZERO } else { self.order_wait };
                     let turn = self.now + wait + STEP * self.rng.random_range(1..=3);
                     let msg = Msg::Order { node, incarnation, epoch, sent: turn, effect };
@@ -207,12 +207,12 @@
         let now = self.now;
         match effect {
             Effect::Advise { .. } => return self.advise(node, incarnation, epoch, effect),
-            Effect::ListVms | Effect::Upkeep { .. } | Effect::TellWave { .. } => {
+            Effect::ListVms | Effect::BeginMaintenance { .. } | Effect::ReportWave { .. } => {
                 return self.keep_up(node, incarnation, epoch, sent, effect);
             }
             _ => {}
         }
-        let (Effect::Hold { worker: id, .. }
+        let (Effect::Poll { worker: id, .. }
         | Effect::Start { worker: id, .. }
         | Effect::Stop { worker: id, .. }
         | Effect::Pace { worker: id, .. }) = &effect
@@ -220,7 +220,7 @@
             return;
         };
         let id = id.clone();
-        let polls = matches!(effect, Effect::Hold { .. });
+        let polls = matches!(effect, Effect::Poll { .. });
         if let Some(turn) = self.turn_at(&id).filter(|turn| !polls && *turn > now) {
             let msg = Msg::Order { node, incarnation, epoch, sent: turn, effect };
             self.messages.push((turn, msg));
@@ -295,12 +295,12 @@
         let now = self.now;
         let (worker, checker) = (&mut self.workers[index], &mut self.checker);
         Some(match effect {
-            Effect::Hold { epoch, recorded, until_ms, .. } => {
+            Effect::Poll { epoch, recorded, until_ms, .. } => {
                 let result = match meets {
                     Meets::Worker => worker.hold(now, epoch, recorded, until_ms, checker),
-                    Meets::Silence => HoldResult::Failed,
-                    Meets::Refusal => HoldResult::Refused,
-                    Meets::Successor => HoldResult::OtherIncarnation,
+                    Meets::Silence => PollResult::Failed,
+                    Meets::Refusal => PollResult::Refused,
+                    Meets::Successor => PollResult::OtherIncarnation,
                 };
                 Answer::Hold(id, result)
             }
@@ -338,8 +338,8 @@
             | Effect::Outranked
             | Effect::Advise { .. }
             | Effect::ListVms
-            | Effect::Upkeep { .. }
-            | Effect::TellWave { .. } => return None,
+            | Effect::BeginMaintenance { .. }
+            | Effect::ReportWave { .. } => return None,
         })
     }
 
@@ -355,7 +355,7 @@
         let node = &self.nodes[node];
         // A node that was killed meanwhile had sent it already.
         let runs = node.incarnation == incarnation && node.leads(self.now);
-        let wants = |scheduler: &Scheduler| scheduler.wants(self.now, id, task, run);
+        let wants = |scheduler: &Scheduler| scheduler.wants_start(self.now, id, task, run);
         !runs || node.scheduler.as_ref().is_none_or(wants)
     }
 
@@ -438,7 +438,7 @@
         let Some(scheduler) = &mut node.scheduler else { return };
         let mut effects = Vec::new();
         match answer {
-            Answer::Hold(id, result) => scheduler.on_hold(now, &id, sent, &result, &mut effects),
+            Answer::Hold(id, result) => scheduler.on_poll(now, &id, sent, &result, &mut effects),
             Answer::Start(id, task, run, result) => {
                 scheduler.on_start(now, &id, task, run, result, &mut effects);
             }
@@ -448,9 +448,9 @@
             Answer::Advice(step, result) => scheduler.on_advice(now, step, result),
             Answer::Vms(listed) => scheduler.on_vms(sent, listed),
             Answer::Upkeep(wave, vm, result) => {
-                scheduler.on_upkeep(now, wave, &vm, result, &mut effects);
+                scheduler.on_maintenance(now, wave, &vm, result, &mut effects);
             }
-            Answer::Told(wave, state) => scheduler.on_told(wave, state, true),
+            Answer::Told(wave, state) => scheduler.on_wave_reported(wave, state, true),
             Answer::Pace(id, task, run, result) => {
                 scheduler.on_pace(now, &id, task, run, result, &mut effects);
             }
--- a/crates/workflow/tests/support/services.rs
+++ b/crates/workflow/tests/support/services.rs
@@ -28,11 +28,11 @@
             Effect::ListVms => {
                 Answer::Vms((!late).then(|| VmList { vms: self.fleet.list(), whole: true }))
             }
-            Effect::TellWave { wave, state } => {
+            Effect::ReportWave { wave, state } => {
                 self.fleet.told.push(*state);
                 Answer::Told(*wave, *state)
             }
-            Effect::Upkeep { vm, wave, epoch } => {
+            Effect::BeginMaintenance { vm, wave, epoch } => {
                 let mut result = UpkeepResult::Unknown;
                 if late && now.since(sent) < Duration::from_millis(100) {
                     let wait = Duration::from_millis(self.rng.random_range(2_000..12_000));
--- a/crates/workflow/tests/support/worker.rs
+++ b/crates/workflow/tests/support/worker.rs
@@ -6,8 +6,8 @@
     compact_str::{CompactString, format_compact},
     egretlb_types::{Epoch, Megabytes, MilliCores, Resources, Time},
     egretlb_workflow::{
-        End, EndKind, HoldReply, HoldResult, OddRows, PaceResult, RunId, RunningTask, StartResult,
-        Step, StopResult, Submission, TaskId, WorkerId, WorkerInfo, WorkerState,
+        End, EndKind, PaceResult, PollReply, PollResult, RunId, RunningTask, StartResult, Step,
+        StopResult, Submission, TaskId, UnreadableRows, WorkerId, WorkerInfo, WorkerState,
     },
     std::{collections::BTreeMap, ops::RangeInclusive, sync::Arc, time::Duration},
 };
@@ -186,9 +186,9 @@
         recorded: u64,
         until_ms: Option<u64>,
         checker: &mut Checker,
-    ) -> HoldResult {
+    ) -> PollResult {
         if epoch < self.token {
-            return HoldResult::Outranked;
+            return PollResult::Outranked;
         }
         self.token = epoch;
         checker.acknowledged(&self.info.id, recorded);
@@ -219,12 +219,12 @@
         let (ended, lost): (Vec<End>, Vec<End>) =
             self.ended.iter().cloned().partition(|end| !self.lost_ends.contains(&end.number));
         let ends = lost.iter().map(|end| end.number).collect();
-        let mut odd = OddRows { ends, ..OddRows::default() };
+        let mut unreadable = UnreadableRows { ends, ..UnreadableRows::default() };
         if self.blurred {
-            odd.runs = u32::try_from(running.len()).unwrap_or(u32::MAX);
+            unreadable.unidentified_runs = u32::try_from(running.len()).unwrap_or(u32::MAX);
             running.clear();
         }
-        HoldResult::Lists(HoldReply { clock_ms, running, ended, odd })
+        PollResult::Lists(PollReply { clock_ms, running, ended, unreadable })
     }
 
     pub fn start(&mut self, now: Time, order: &StartOrder, checker: &mut Checker) -> StartResult {
@@ -248,7 +248,7 @@
         let step = submission.workflow.steps[usize::from(task.step)].clone();
         let used: u32 = self.running.values().map(|run| counted(&run.step)).sum();
         if used + counted(&step) > self.info.capacity.cpu.0 {
-            return StartResult::NoRoom;
+            return StartResult::NoCapacity;
         }
         checker.started(&self.info.id, task, run, submission);
         let runtime = if step.lasting { u64::MAX / 4 } else { u64::from(step.estimate_ms) };
--- a/crates/workflow/tests/support/world.rs
+++ b/crates/workflow/tests/support/world.rs
@@ -257,7 +257,7 @@
             if leads {
                 scheduler.tick(now, now.as_micros() / 1_000, &mut effects);
             } else {
-                scheduler.sign_only(now, &mut effects);
+                scheduler.send_heartbeat(now, &mut effects);
             }
         }
         node.wish(effects, &mut wishes);
--- a/crates/workflow/tests/why_waiting.rs
+++ b/crates/workflow/tests/why_waiting.rs
@@ -71,7 +71,7 @@
 fn records_late() {
     let mut world = world(94);
     let leader = world.leader().expect("somebody leads");
-    world.nodes[leader].scheduler.as_mut().expect("it leads").set_behind(true);
+    world.nodes[leader].scheduler.as_mut().expect("it leads").set_lagging(true);
     let id = world.submit(1, &submission(vec![step(2, 300)]));
     world.run(SECOND);
     assert_eq!(reason(&mut world, id), Some(Reason::RecordsReadLate));
@@ -131,7 +131,7 @@
     world.run(SECOND);
     let waiting = waiting(&mut world, id).expect("it waits");
     assert_eq!(waiting.reason, Reason::BeingStopped);
-    assert!(waiting.lasting);
+    assert!(waiting.long_running);
     assert!(waiting.waited < SECOND, "{waiting:?}");
 }
 
