--- a/crates/runtime/src/border.rs
+++ b/crates/runtime/src/border.rs
@@ -5,8 +5,8 @@
     compact_str::CompactString,
     egretlb_types::{Epoch, Offset, Seq},
     egretlb_workflow::{
-        AdviceResult, AdviceTerms, AppendResult, DirectoryChange, HoldResult, MaintenanceResult,
-        PaceResult, Record, RouteTable, RunId, SpecError, StartResult, StepId, StopResult, TaskId,
+        AdviceResult, AdviceTerms, AppendResult, DirectoryChange, MaintenanceResult, PaceResult,
+        PollResult, Record, RouteTable, RunId, SpecError, StartResult, StepId, StopResult, TaskId,
         VmId, VmList, Wave, WaveState, WorkerId, Workflow, WorkflowState,
     },
     futures::future::LocalBoxFuture,
@@ -205,7 +205,7 @@
 /// The workers.
 pub trait Workers {
     /// Asks what runs and what ended.
-    fn hold(&self, call: HoldCall) -> LocalBoxFuture<'_, Decoded<HoldResult>>;
+    fn hold(&self, call: HoldCall) -> LocalBoxFuture<'_, Decoded<PollResult>>;
 
     /// Starts a task.
     fn start<'a>(&'a self, call: StartCall<'a>) -> LocalBoxFuture<'a, StartResult>;
--- a/crates/workflow/tests/support/messages.rs
+++ b/crates/workflow/tests/support/messages.rs
@@ -8,7 +8,7 @@
     },
     egretlb_types::{Epoch, Seq, Time},
     egretlb_workflow::{
-        AdviceResult, AdviceTerms, AppendResult, Effect, HoldResult, MaintenanceResult, PaceResult,
+        AdviceResult, AdviceTerms, AppendResult, Effect, MaintenanceResult, PaceResult, PollResult,
         Record, RunId, Scheduler, StartResult, StepId, StopResult, TaskId, VmId, VmList, WaveState,
         WorkerId,
     },
@@ -51,7 +51,7 @@
 }
 
 pub enum Answer {
-    Poll(WorkerId, HoldResult),
+    Poll(WorkerId, PollResult),
     Start(WorkerId, TaskId, RunId, StartResult),
     Stop(WorkerId, TaskId, RunId, StopResult),
     Pace(WorkerId, TaskId, RunId, PaceResult),
@@ -65,7 +65,7 @@
     /// What a node knows when a worker's answer doesn't reach it.
     fn lost(self) -> Answer {
         match self {
-            Answer::Poll(id, _) => Answer::Poll(id, HoldResult::Failed),
+            Answer::Poll(id, _) => Answer::Poll(id, PollResult::Failed),
             Answer::Start(id, task, run, _) => Answer::Start(id, task, run, StartResult::Unknown),
             Answer::Stop(id, task, run, _) => Answer::Stop(id, task, run, StopResult::Unknown),
             Answer::Pace(id, task, run, _) => Answer::Pace(id, task, run, PaceResult::Unknown),
@@ -128,7 +128,7 @@
                     node.apply(sent, out, &mut Vec::new());
                 }
                 Action::Effect(epoch, effect) => {
-                    let polls = matches!(effect, Effect::Hold { .. });
+                    let polls = matches!(effect, Effect::Poll { .. });
                     let wait = if polls { Duration::ZERO } else { self.command_wait };
                     let deliver_at = self.now + wait + STEP * self.rng.random_range(1..=3);
                     let msg = Msg::Command { node, incarnation, epoch, sent: deliver_at, effect };
@@ -214,12 +214,12 @@
         let now = self.now;
         match effect {
             Effect::Advise { .. } => return self.advise(node, incarnation, epoch, effect),
-            Effect::ListVms | Effect::Upkeep { .. } | Effect::TellWave { .. } => {
+            Effect::ListVms | Effect::BeginMaintenance { .. } | Effect::ReportWave { .. } => {
                 return self.call_vms(node, incarnation, epoch, sent, effect);
             }
             _ => {}
         }
-        let (Effect::Hold { worker: id, .. }
+        let (Effect::Poll { worker: id, .. }
         | Effect::Start { worker: id, .. }
         | Effect::Stop { worker: id, .. }
         | Effect::Pace { worker: id, .. }) = &effect
@@ -227,7 +227,7 @@
             return;
         };
         let id = id.clone();
-        let polls = matches!(effect, Effect::Hold { .. });
+        let polls = matches!(effect, Effect::Poll { .. });
         if let Some(deliver_at) =
             self.next_free(&id).filter(|deliver_at| !polls && *deliver_at > now)
         {
@@ -310,12 +310,12 @@
         let now = self.now;
         let (worker, checker) = (&mut self.workers[index], &mut self.checker);
         Some(match effect {
-            Effect::Hold { epoch, recorded, until_ms, .. } => {
+            Effect::Poll { epoch, recorded, until_ms, .. } => {
                 let result = match delivery {
                     Delivery::Worker => worker.poll(now, epoch, recorded, until_ms, checker),
-                    Delivery::Silence => HoldResult::Failed,
-                    Delivery::Refusal => HoldResult::Refused,
-                    Delivery::Successor => HoldResult::OtherIncarnation,
+                    Delivery::Silence => PollResult::Failed,
+                    Delivery::Refusal => PollResult::Refused,
+                    Delivery::Successor => PollResult::OtherIncarnation,
                 };
                 Answer::Poll(id, result)
             }
@@ -353,8 +353,8 @@
             | Effect::Outranked
             | Effect::Advise { .. }
             | Effect::ListVms
-            | Effect::Upkeep { .. }
-            | Effect::TellWave { .. } => return None,
+            | Effect::BeginMaintenance { .. }
+            | Effect::ReportWave { .. } => return None,
         })
     }
 
@@ -370,7 +370,7 @@
         let node = &self.nodes[node];
         // A node that was killed meanwhile had sent it already.
         let runs = node.incarnation == incarnation && node.leads(self.now);
-        let wants = |scheduler: &Scheduler| scheduler.wants(self.now, id, task, run);
+        let wants = |scheduler: &Scheduler| scheduler.wants_start(self.now, id, task, run);
         !runs || node.scheduler.as_ref().is_none_or(wants)
     }
 
@@ -453,7 +453,7 @@
         let Some(scheduler) = &mut node.scheduler else { return };
         let mut effects = Vec::new();
         match answer {
-            Answer::Poll(id, result) => scheduler.on_hold(now, &id, sent, &result, &mut effects),
+            Answer::Poll(id, result) => scheduler.on_poll(now, &id, sent, &result, &mut effects),
             Answer::Start(id, task, run, result) => {
                 scheduler.on_start(now, &id, task, run, result, &mut effects);
             }
@@ -463,9 +463,9 @@
             Answer::Advice(step, result) => scheduler.on_advice(now, step, result),
             Answer::Vms(listed) => scheduler.on_vms(sent, listed),
             Answer::Upkeep(wave, vm, result) => {
-                scheduler.on_upkeep(now, wave, &vm, result, &mut effects);
+                scheduler.on_maintenance(now, wave, &vm, result, &mut effects);
             }
-            Answer::WaveReported(wave, state) => scheduler.on_told(wave, state, true),
+            Answer::WaveReported(wave, state) => scheduler.on_wave_reported(wave, state, true),
             Answer::Pace(id, task, run, result) => {
                 scheduler.on_pace(now, &id, task, run, result, &mut effects);
             }
