--- a/crates/workflow/src/scheduler/advice.rs
+++ b/crates/workflow/src/scheduler/advice.rs
@@ -7,7 +7,7 @@
 //! for all tasks of the step. Work that needs no ticket is placed meanwhile.
 
 use {
-    super::{Effect, Need, Ready, Scheduler},
+    super::{Effect, Ready, Requirements, Scheduler},
     crate::{AdviceTerms, StepId, TaskId, WorkerId, WorkflowId},
     compact_str::CompactString,
     egretlb_types::Time,
@@ -53,12 +53,12 @@
 
 /// What is known of the workers for one step.
 #[derive(Debug, Default)]
-pub(super) struct Advised {
+pub(super) struct StepAdvice {
     tickets: BTreeMap<WorkerId, (CompactString, Time)>,
     barred: BTreeSet<WorkerId>,
 }
 
-impl Advised {
+impl StepAdvice {
     fn ticket(&self, now: Time, id: &WorkerId) -> Option<&CompactString> {
         let (ticket, until) = self.tickets.get(id)?;
         (now + TICKET_MARGIN < *until).then_some(ticket)
@@ -81,7 +81,7 @@
 /// What is known of all steps that need tickets.
 #[derive(Debug, Default)]
 pub(super) struct Advice {
-    steps: BTreeMap<StepId, Advised>,
+    steps: BTreeMap<StepId, StepAdvice>,
     asking: Option<Asking>,
     /// No call before.
     after: Option<Time>,
@@ -95,7 +95,7 @@
     }
 
     /// Whether a worker may run tasks of a step, as far as is known.
-    pub(super) fn allows(&self, now: Time, task: TaskId, id: &WorkerId) -> bool {
+    pub(super) fn is_allowed(&self, now: Time, task: TaskId, id: &WorkerId) -> bool {
         let step = task.step_id();
         let ticket = || self.advice.steps.get(&step).and_then(|known| known.ticket(now, id));
         self.needs_ticket(step).is_none() || ticket().is_some()
@@ -108,7 +108,7 @@
     }
 
     /// A step found no worker: if it needs tickets, more of them may help. Returns whether it does.
-    pub(super) fn want_advice(&mut self, key: Ready) -> bool {
+    pub(super) fn queue_advice(&mut self, key: Ready) -> bool {
         let step = StepId { workflow: key.workflow, occurrence: key.occurrence, step: key.step };
         let needs = self.needs_ticket(step).is_some();
         if needs {
@@ -118,14 +118,14 @@
     }
 
     /// Asks for the first step that wants advice, unless a call is under way.
-    pub(super) fn ask_advice(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn request_advice(&mut self, now: Time, out: &mut Vec<Effect>) {
         let wanting = std::mem::take(&mut self.advice.wanting);
         let pauses = self.advice.after.is_some_and(|after| now < after);
         if self.advice.asking.is_some() || pauses {
             return;
         }
         for step in wanting {
-            let workers = self.candidates(now, step);
+            let workers = self.workers_to_ask(now, step);
             if workers.is_empty() {
                 continue;
             }
@@ -138,7 +138,7 @@
 
     /// The workers to ask about, those with most room first. Ones without room are asked about, too, if
     /// there are no others: tasks that last hold nearly all of it, and give way.
-    fn candidates(&mut self, now: Time, id: StepId) -> Vec<WorkerId> {
+    fn workers_to_ask(&mut self, now: Time, id: StepId) -> Vec<WorkerId> {
         let task =
             TaskId { workflow: id.workflow, occurrence: id.occurrence, step: id.step, index: 0 };
         let Some(step) = self.step(task).cloned() else { return Vec::new() };
@@ -147,7 +147,7 @@
         let occurrence = flow.occurrences.get(&id.occurrence);
         let state = occurrence.and_then(|occurrence| occurrence.steps.get(usize::from(id.step)));
         let waiting = state.map_or(0, |state| state.queue.len());
-        let need = Need::new(&step, &mut self.colocation);
+        let need = Requirements::new(&step, &mut self.colocation);
         let known = self.advice.steps.entry(id).or_default();
         let mut open: Vec<((bool, u32), &WorkerId)> = Vec::new();
         for (worker_id, worker) in &self.workers {
@@ -156,7 +156,7 @@
                 && step.label.as_ref().is_none_or(|label| worker.info.has_label(label));
             if suits && known.is_open(now, worker_id) {
                 let free = worker.free();
-                open.push(((need.hard.fits(&free), free.cpu.0), worker_id));
+                open.push(((need.reserved.fits(&free), free.cpu.0), worker_id));
             }
         }
         open.sort_by_key(|(rank, _)| std::cmp::Reverse(*rank));
@@ -195,14 +195,14 @@
     }
 
     /// A worker rejected a ticket: it has ended, or the worker is another one by now.
-    pub(super) fn forget_ticket(&mut self, task: TaskId, id: &WorkerId) {
+    pub(super) fn remove_ticket(&mut self, task: TaskId, id: &WorkerId) {
         if let Some(known) = self.advice.steps.get_mut(&task.step_id()) {
             known.tickets.remove(id);
         }
     }
 
     /// The workflow has ended.
-    pub(super) fn forget_advice(&mut self, workflow: WorkflowId) {
+    pub(super) fn remove_advice(&mut self, workflow: WorkflowId) {
         self.advice.steps.retain(|step, _| step.workflow != workflow);
     }
 }
--- a/crates/workflow/src/scheduler/places.rs
+++ b/crates/workflow/src/scheduler/candidates.rs
@@ -7,9 +7,9 @@
 
 use {
     super::{
-        Need, Scheduler, Worker,
+        Requirements, Scheduler, Worker,
         flow::{Searched, StepState},
-        place::{Fitness, has_room},
+        placement::{Fitness, has_capacity},
     },
     crate::{Step, TaskId, WorkerId},
     compact_str::CompactString,
@@ -28,18 +28,18 @@
 
 /// The most workers heard of that are remembered; more than a thousand are heard in [`SEARCH_AGAIN`] on the largest
 /// fleets.
-const MOST_HEARD: usize = 2_048;
+const MAX_UPDATES: usize = 2_048;
 
 /// What fillers that run found no other place lately. Hundreds of them may be slowed down at once, and each asks with
 /// each answer of its worker.
 #[derive(Debug, Default)]
-pub(super) struct Nowhere {
+pub(super) struct UnplaceableDemands {
     demands: Vec<(Time, CompactString, Step)>,
 }
 
-impl Nowhere {
+impl UnplaceableDemands {
     /// Whether a step of the same image that asks for no more found no place lately.
-    pub(super) fn knows(&mut self, now: Time, service: &CompactString, step: &Step) -> bool {
+    pub(super) fn contains(&mut self, now: Time, service: &CompactString, step: &Step) -> bool {
         self.demands.retain(|(at, ..)| now.since(*at) < SEARCH_AGAIN);
         self.demands.iter().any(|(_, of, known)| {
             of == service
@@ -56,16 +56,16 @@
 
 /// The workers of which something was heard lately, in order.
 #[derive(Debug, Default)]
-pub(super) struct Heard {
+pub(super) struct UpdatedWorkers {
     ids: VecDeque<WorkerId>,
     /// How many were forgotten.
     forgotten: u64,
 }
 
-impl Heard {
+impl UpdatedWorkers {
     pub(super) fn note(&mut self, id: &WorkerId) {
         self.ids.push_back(id.clone());
-        if self.ids.len() > MOST_HEARD {
+        if self.ids.len() > MAX_UPDATES {
             self.ids.pop_front();
             self.forgotten += 1;
         }
@@ -85,22 +85,22 @@
 
 /// A worker that can take a task; among equally good ones the first by its id.
 #[derive(Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Place {
+struct Candidate {
     fitness: Fitness,
     id: Reverse<WorkerId>,
 }
 
 /// The workers that can take a task of a step.
 #[derive(Debug)]
-pub(super) struct Places {
-    best_first: BinaryHeap<Place>,
+pub(super) struct Candidates {
+    best_first: BinaryHeap<Candidate>,
     /// The worker that was last taken out.
     taken: Option<WorkerId>,
 }
 
-impl Places {
+impl Candidates {
     /// Takes out the best worker, but not `avoided`.
-    pub(super) fn take(&mut self, avoided: Option<&WorkerId>) -> Option<WorkerId> {
+    pub(super) fn pop_best(&mut self, avoided: Option<&WorkerId>) -> Option<WorkerId> {
         let best = self.best_first.pop()?;
         self.taken = if avoided == Some(&best.id.0) {
             let second = self.best_first.pop();
@@ -113,7 +113,7 @@
     }
 
     /// Forgets a worker that was chosen in another way: it isn't what it was.
-    fn forget(&mut self, id: &WorkerId) {
+    fn remove(&mut self, id: &WorkerId) {
         if self.taken.take().as_ref() != Some(id) {
             self.best_first.retain(|place| place.id.0 != *id);
         }
@@ -122,30 +122,30 @@
 
 impl Scheduler {
     /// The workers that can take `task`, and with it the other tasks of its step that wait.
-    pub(super) fn places(
+    pub(super) fn candidates(
         &mut self,
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
-    ) -> Places {
+        need: &Requirements<'_>,
+    ) -> Candidates {
         let heard = self.heard.count();
         let last = self.searched(task).filter(|last| now.since(last.at) < SEARCH_AGAIN);
         let lately = last.and_then(|last| self.heard_since(last.heard));
         let (found, looked_at) = match &lately {
             Some(ids) => {
                 let workers = ids.iter().filter_map(|id| self.workers.get_key_value(id));
-                (self.places_among(now, task, service, need, workers), ids.len())
+                (self.candidates_among(now, task, service, need, workers), ids.len())
             }
             None => {
                 let workers = self.workers.iter();
-                (self.places_among(now, task, service, need, workers), self.workers.len())
+                (self.candidates_among(now, task, service, need, workers), self.workers.len())
             }
         };
         self.measures.looked_at += looked_at as u64;
         let at = last.filter(|_| lately.is_some()).map_or(now, |last| last.at);
         self.note_searched(task, found.is_empty().then_some(Searched { at, heard }));
-        Places { best_first: found.into(), taken: None }
+        Candidates { best_first: found.into(), taken: None }
     }
 
     /// The workers of which something was heard since the count was `count`, if that is remembered.
@@ -156,21 +156,22 @@
         Some(ids)
     }
 
-    fn places_among<'a>(
+    fn candidates_among<'a>(
         &self,
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
-    ) -> Vec<Place> {
+    ) -> Vec<Candidate> {
         let advised = self.needs_ticket(task.step_id()).is_some();
         let place = |(id, worker): (&WorkerId, &Worker)| {
             // Most workers are full, so their room is asked for first.
-            let takes = has_room(worker, task, need) && worker.takes_work(now, &self.limits);
-            let takes = takes && (!advised || self.allows(now, task, id));
-            let fitness = takes.then(|| self.suits(now, (id, worker), task, service, need))??;
-            Some(Place { fitness, id: Reverse(id.clone()) })
+            let takes = has_capacity(worker, task, need) && worker.takes_work(now, &self.limits);
+            let takes = takes && (!advised || self.is_allowed(now, task, id));
+            let fitness =
+                takes.then(|| self.eligible_fitness(now, (id, worker), task, service, need))??;
+            Some(Candidate { fitness, id: Reverse(id.clone()) })
         };
         workers.filter_map(place).collect()
     }
@@ -192,31 +193,31 @@
     }
 
     /// Puts a worker back that was taken out, as it is after a start there.
-    pub(super) fn put_back(
+    pub(super) fn update_candidate(
         &mut self,
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
         id: WorkerId,
-        places: &mut Places,
+        places: &mut Candidates,
     ) {
         self.measures.looked_at += 1;
-        places.forget(&id);
+        places.remove(&id);
         let Some(worker) = self.workers.get(&id) else { return };
-        let place = self.places_among(now, task, service, need, iter::once((&id, worker)));
+        let place = self.candidates_among(now, task, service, need, iter::once((&id, worker)));
         places.best_first.extend(place);
     }
 
     /// How well a worker with room suits a task; none if it can't take it. Whether it has a ticket for the task
     /// isn't asked here.
-    pub(super) fn suits(
+    pub(super) fn eligible_fitness(
         &self,
         now: Time,
         (id, worker): (&WorkerId, &Worker),
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
     ) -> Option<Fitness> {
         let suits = worker.info.service == *service && !self.is_held(id);
         if suits { self.fitness(now, worker, task, need) } else { None }
--- a/crates/workflow/src/scheduler/fallback.rs
+++ b/crates/workflow/src/scheduler/fallback.rs
@@ -5,7 +5,7 @@
 //! which the only room is at a worker under quarantine, where two failures in a row may be chance.
 
 use {
-    super::{Need, Ready, Scheduler, flow::Avoided, places::Places},
+    super::{Ready, Requirements, Scheduler, candidates::Candidates, flow::Avoided},
     crate::{TaskId, WorkerId},
     compact_str::CompactString,
     egretlb_types::Time,
@@ -36,32 +36,32 @@
 
     /// The worker for a task, if one can take it. It is taken out of the step's `places`, which are looked for
     /// with the first task.
-    pub(super) fn choose(
+    pub(super) fn choose_worker(
         &mut self,
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
-        places: &mut Option<Places>,
+        need: &Requirements<'_>,
+        places: &mut Option<Candidates>,
     ) -> Option<WorkerId> {
-        let avoided = self.avoided(task);
+        let avoided = self.avoided_worker(task);
         let known = match places {
             Some(places) => places,
-            None => places.insert(self.places(now, task, service, need)),
+            None => places.insert(self.candidates(now, task, service, need)),
         };
         known
-            .take(avoided.as_ref())
-            .or_else(|| self.choose_again(now, task, service, need))
+            .pop_best(avoided.as_ref())
+            .or_else(|| self.choose_avoided(now, task, service, need))
             .or_else(|| self.choose_last_resort(now, task, service, need))
     }
 
     /// The worker that a task avoids, once it needn't any more.
-    fn choose_again(
+    fn choose_avoided(
         &mut self,
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
     ) -> Option<WorkerId> {
         let Avoided { worker: avoided, since } = self.task_mut(task)?.avoid.clone()?;
         if !need.step.lasting && now.since(since) < KEEP_AWAY {
@@ -69,7 +69,7 @@
         }
         let again = self.workers.get_key_value(&avoided);
         let again = again.filter(|(_, worker)| worker.takes_work(now, &self.limits));
-        self.best(now, task, service, need, again.into_iter())
+        self.best_worker(now, task, service, need, again.into_iter())
     }
 
     /// A worker under quarantine or kept for a trial, for a task that lasts and has waited long enough.
@@ -78,7 +78,7 @@
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
     ) -> Option<WorkerId> {
         if !need.step.lasting || !self.is_last_resort(now, task) {
             return None;
@@ -86,38 +86,38 @@
         // Where it has just failed it would fail again and again.
         let avoid = self.task_mut(task).and_then(|state| state.avoid.clone());
         let avoid = avoid.filter(|avoid| now.since(avoid.since) < LAST_RESORT);
-        let missed = self.is_missed(now, task);
+        let missed = self.is_down_too_long(now, task);
         let quarantined = self.quarantined.iter().filter(|_| self.waits_long(now, task));
         let workers = quarantined.chain(self.kept.iter().filter(|_| missed));
         let workers = workers.filter_map(|id| self.workers.get_key_value(id));
         let workers = workers.filter(|(id, worker)| {
             worker.takes_any_work(now, &self.limits)
-                && (missed || !worker.is_kept(now))
+                && (missed || !worker.is_reserved(now))
                 && avoid.as_ref().is_none_or(|avoid| avoid.worker != **id)
         });
-        self.best(now, task, service, need, workers)
+        self.best_worker(now, task, service, need, workers)
     }
 
     /// Whether a step of lasting tasks may try a worker under quarantine, or one kept for a trial: there is one, and
     /// it has waited long enough.
     pub(super) fn is_last_resort(&self, now: Time, task: TaskId) -> bool {
         (!self.quarantined.is_empty() && self.waits_long(now, task))
-            || (!self.kept.is_empty() && self.is_missed(now, task))
+            || (!self.kept.is_empty() && self.is_down_too_long(now, task))
     }
 
     fn waits_long(&self, now: Time, task: TaskId) -> bool {
-        self.waited(now, task.step_id()) >= LAST_RESORT
+        self.queue_wait(now, task.step_id()) >= LAST_RESORT
     }
 
     /// Whether a task has been down for so long that it is started beside a trial, too.
-    pub(super) fn is_missed(&self, now: Time, task: TaskId) -> bool {
+    pub(super) fn is_down_too_long(&self, now: Time, task: TaskId) -> bool {
         self.down_since(task).is_some_and(|since| now.since(since) >= MISSED_AFTER)
     }
 
     /// Forgets workers that aren't kept from other tasks any more.
     pub(super) fn release_workers(&mut self, now: Time) {
         let workers = &self.workers;
-        self.kept.retain(|id| workers.get(id).is_some_and(|worker| worker.is_kept(now)));
+        self.kept.retain(|id| workers.get(id).is_some_and(|worker| worker.is_reserved(now)));
         let held = |id: &WorkerId| workers.get(id).is_some_and(|w| now < w.quarantined_until);
         self.quarantined.retain(held);
         self.quarantined.sort_unstable();
@@ -125,12 +125,12 @@
     }
 
     /// Whether the first task of a step that waits still keeps away from a worker.
-    pub(super) fn front_keeps_away(&mut self, now: Time, key: Ready) -> bool {
-        let Some(index) = self.front(key) else { return false };
-        self.keeps_away(now, key.task(index))
+    pub(super) fn front_avoids_worker(&mut self, now: Time, key: Ready) -> bool {
+        let Some(index) = self.front_task(key) else { return false };
+        self.avoids_worker(now, key.task(index))
     }
 
-    fn keeps_away(&mut self, now: Time, task: TaskId) -> bool {
+    fn avoids_worker(&mut self, now: Time, task: TaskId) -> bool {
         let lasting = self.step(task).is_some_and(|step| step.lasting);
         let avoid = self.task_mut(task).and_then(|state| state.avoid.as_ref());
         !lasting && avoid.is_some_and(|avoid| now.since(avoid.since) < KEEP_AWAY)
@@ -139,13 +139,14 @@
     /// Puts a task that needn't keep away from any worker before those that must; returns whether there was
     /// one. Otherwise one task that has failed would hold up all others of its step.
     pub(super) fn bring_forward(&mut self, now: Time, key: Ready) -> bool {
-        if !self.front_keeps_away(now, key) {
+        if !self.front_avoids_worker(now, key) {
             return false;
         }
         let waiting: Vec<u32> = self.queue_of(key).into_iter().flatten().map(|i| *i).collect();
         let free = waiting.iter().map(|index| key.task(*index));
-        let free =
-            free.into_iter().position(|task| !self.keeps_away(now, task) && !self.is_suspect(task));
+        let free = free
+            .into_iter()
+            .position(|task| !self.avoids_worker(now, task) && !self.is_suspect(task));
         let Some(place) = free else { return false };
         if let Some(queue) = self.queue_of(key) {
             queue.swap(0, place);
--- a/crates/workflow/src/scheduler/gangs.rs
+++ b/crates/workflow/src/scheduler/gangs.rs
@@ -5,7 +5,7 @@
 //! or none, in one rack if it matters.
 
 use {
-    super::{Copy, Effect, Need, Phase, Ready, Scheduler, place::has_room},
+    super::{Attempt, Effect, Phase, Ready, Requirements, Scheduler, placement::has_capacity},
     crate::{RunId, Step, TaskId, WorkerId},
     compact_str::CompactString,
     egretlb_types::Time,
@@ -26,7 +26,7 @@
         step: &Step,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let Some(first) = self.front(key) else { return true };
+        let Some(first) = self.front_task(key) else { return true };
         if self.was_started(key.task(first)) && !self.may_repeat(now) {
             return false;
         }
@@ -35,7 +35,7 @@
         if waiting < step.count as usize {
             return false;
         }
-        let mut need = Need::new(step, &mut self.colocation);
+        let mut need = Requirements::new(step, &mut self.colocation);
         let rack = step.rack_sensitive.then(|| self.roomy_rack(now, key.task(0), service, &need));
         need.rack = rack.as_ref().and_then(|rack| rack.as_deref());
         let patient = step.rack_sensitive && self.step_wait(now, key) < RACK_PATIENCE;
@@ -45,9 +45,9 @@
         let mut placed: Vec<(TaskId, WorkerId)> = Vec::with_capacity(waiting);
         for index in 0..step.count {
             let task = key.task(index);
-            let Some(id) = self.choose(now, task, service, &need, &mut None) else { break };
+            let Some(id) = self.choose_worker(now, task, service, &need, &mut None) else { break };
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.insert(task, RunId(0), Copy::new(now, &need, Phase::Starting));
+                worker.insert(task, RunId(0), Attempt::new(now, &need, Phase::Starting));
             }
             placed.push((task, id));
         }
@@ -57,7 +57,7 @@
             }
         }
         if placed.len() < step.count as usize {
-            self.want_advice(key);
+            self.queue_advice(key);
             return false;
         }
         let run = placed.iter().map(|(task, _)| self.next_run(*task)).max().unwrap_or_default();
@@ -67,7 +67,7 @@
             if let Some(state) = self.task_mut(task) {
                 state.saved.clone_from(&saved);
             }
-            self.start(now, task, &need, &id, Some(run), out);
+            self.start_attempt(now, task, &need, &id, Some(run), out);
         }
         if let Some(queue) = self.queue_of(key) {
             queue.clear();
@@ -81,17 +81,17 @@
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
     ) -> Option<CompactString> {
         let mut places: BTreeMap<&str, u32> = BTreeMap::new();
         for (id, worker) in &self.workers {
             let suits = worker.info.service == *service
                 && worker.takes_work(now, &self.limits)
                 && !self.is_held(id)
-                && self.allows(now, task, id)
-                && has_room(worker, task, need);
+                && self.is_allowed(now, task, id)
+                && has_capacity(worker, task, need);
             let Some(rack) = worker.info.rack().filter(|_| suits) else { continue };
-            let fits = worker.free().times(&need.hard);
+            let fits = worker.free().times(&need.reserved);
             let most =
                 if need.step.per_worker == 0 { fits } else { need.step.per_worker.min(fits) };
             let places = places.entry(rack).or_default();
--- a/crates/workflow/src/scheduler/trials.rs
+++ b/crates/workflow/src/scheduler/isolated_start.rs
@@ -5,7 +5,8 @@
 
 use {
     super::{
-        Copy, Need, Ready, Scheduler, Worker, flow::TaskState, losses::PROBATION, place::has_room,
+        Attempt, Ready, Requirements, Scheduler, Worker, flow::TaskState, lost_workers::PROBATION,
+        placement::has_capacity,
     },
     crate::{Announced, RunId, TaskId, WorkerId},
     compact_str::CompactString,
@@ -25,13 +26,13 @@
 
 /// Where a suspected task is started.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) enum Trial {
+pub(super) enum IsolatedStart {
     /// At this worker.
     At(WorkerId),
     /// Workers have room, and none is free for a trial yet.
     Later,
     /// No worker has room.
-    NoRoom,
+    NoCapacity,
 }
 
 /// What speaks against a worker for a trial: that it has to wait for other runs there, and what a crash would take along.
@@ -44,30 +45,30 @@
 
 impl Worker {
     /// Whether it is kept for a trial, or one is under way.
-    pub(super) fn is_kept(&self, now: Time) -> bool {
+    pub(super) fn is_reserved(&self, now: Time) -> bool {
         self.trials > 0 || now < self.quiet_until
     }
 
     /// Whether a run that is listed has been at work for long enough to clear it; its trial ends then.
-    pub(super) fn prove(&mut self, now: Time, task: TaskId, run: RunId) -> bool {
+    pub(super) fn pass_probation(&mut self, now: Time, task: TaskId, run: RunId) -> bool {
         let Some(copy) = self.copies.get_mut(&(task, run)) else { return false };
-        let proved = now.since(copy.began) >= PROBATION;
-        if proved && std::mem::take(&mut copy.trial) {
+        let proved = now.since(copy.running_since) >= PROBATION;
+        if proved && std::mem::take(&mut copy.isolated) {
             self.trials -= 1;
         }
         proved
     }
 
     fn stakes(&self) -> Stakes {
-        let lasting = self.copies.values().filter(|copy| copy.lasts).count();
-        Stakes { unsettled: !self.is_settled(), lasting, runs: self.copies.len() }
+        let lasting = self.copies.values().filter(|copy| copy.long_running).count();
+        Stakes { unsettled: !self.all_past_probation(), lasting, runs: self.copies.len() }
     }
 }
 
-impl Copy {
+impl Attempt {
     /// The run is the first of a suspected task since a crash.
-    pub(super) fn on_trial(mut self, trial: bool) -> Copy {
-        self.trial = trial;
+    pub(super) fn with_isolation(mut self, trial: bool) -> Attempt {
+        self.isolated = trial;
         self
     }
 }
@@ -80,15 +81,15 @@
     }
 
     /// Where a suspected task is started, once that is recorded.
-    pub(super) fn choose_trial(
+    pub(super) fn choose_isolated(
         &mut self,
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
-    ) -> Trial {
+        need: &Requirements<'_>,
+    ) -> IsolatedStart {
         if !self.trials_due {
-            return Trial::Later;
+            return IsolatedStart::Later;
         }
         match self.announced_place(now, task, service, need) {
             Some(trial) => trial,
@@ -102,8 +103,8 @@
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
-    ) -> Option<Trial> {
+        need: &Requirements<'_>,
+    ) -> Option<IsolatedStart> {
         let state = self.task(task)?;
         state.announced_run()?;
         let id = state.announced.as_ref()?.worker.clone();
@@ -111,14 +112,14 @@
         if !self.takes_trial(now, &id, worker, task, service, need) {
             return None;
         }
-        let settled = worker.is_settled();
+        let settled = worker.all_past_probation();
         if !self.is_recorded(task) {
             self.keep_quiet(now, &id);
-            return Some(Trial::Later);
+            return Some(IsolatedStart::Later);
         }
         match (settled, now < worker.quiet_until) {
-            (true, _) => Some(Trial::At(id)),
-            (false, true) => Some(Trial::Later),
+            (true, _) => Some(IsolatedStart::At(id)),
+            (false, true) => Some(IsolatedStart::Later),
             (false, false) => None,
         }
     }
@@ -145,8 +146,8 @@
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
-    ) -> Trial {
+        need: &Requirements<'_>,
+    ) -> IsolatedStart {
         let (mut fit, mut kept) = (0_usize, 0_usize);
         let mut best: Option<(Stakes, &WorkerId)> = None;
         let of_service = |(_, worker): &(&WorkerId, &Worker)| worker.info.service == *service;
@@ -154,8 +155,8 @@
             fit += usize::from(worker.is_fit(now, &self.limits));
             // One that has just crashed is kept until it is found out, and others needn't wait for that.
             let heard = worker.last_heard.is_some_and(|at| now.since(at) < UNHEARD);
-            kept += usize::from(worker.is_kept(now) && heard);
-            if worker.is_kept(now) || !self.takes_trial(now, id, worker, task, service, need) {
+            kept += usize::from(worker.is_reserved(now) && heard);
+            if worker.is_reserved(now) || !self.takes_trial(now, id, worker, task, service, need) {
                 continue;
             }
             let stakes = worker.stakes();
@@ -165,15 +166,15 @@
         }
         self.measures.looked_at += fit as u64;
         let Some(id) = best.map(|(_, id)| id.clone()) else {
-            return if kept > 0 { Trial::Later } else { Trial::NoRoom };
+            return if kept > 0 { IsolatedStart::Later } else { IsolatedStart::NoCapacity };
         };
-        let missed = need.step.lasting && self.is_missed(now, task);
+        let missed = need.step.lasting && self.is_down_too_long(now, task);
         if kept >= (fit / WORKERS_PER_TRIAL).max(1) && !missed {
-            return Trial::Later;
+            return IsolatedStart::Later;
         }
         self.keep_quiet(now, &id);
         let run = self.next_run(task);
-        if self.losses.may_tell(now) {
+        if self.losses.may_log(now) {
             let crashes = self.task(task).map_or(0, |state| state.crashes.len());
             log::info!(task:%, run:%, worker:% = id, crashes; "start_announced");
         }
@@ -182,7 +183,7 @@
         }
         self.dirty.insert(task.workflow);
         self.losses.note_unrecorded(task.workflow);
-        Trial::Later
+        IsolatedStart::Later
     }
 
     /// Puts a task that isn't suspected before those that are; returns whether there was one. Otherwise one
@@ -205,14 +206,14 @@
         worker: &Worker,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
     ) -> bool {
-        has_room(worker, task, need)
+        has_capacity(worker, task, need)
             && worker.is_fit(now, &self.limits)
             && worker.trials == 0
             && now >= worker.barred_span_end()
             && !worker.is_doubted(now)
-            && self.allows(now, task, id)
-            && self.suits(now, (id, worker), task, service, need).is_some()
+            && self.is_allowed(now, task, id)
+            && self.eligible_fitness(now, (id, worker), task, service, need).is_some()
     }
 }
--- a/crates/workflow/src/scheduler/serving.rs
+++ b/crates/workflow/src/scheduler/latency_critical.rs
@@ -1,7 +1,7 @@
 //! Figures of serving tasks: what is learned from them, and relief for tasks over their target.
 
 use {
-    super::{Copy, Effect, Phase, Ready, Scheduler, Worker, waits::StopReason},
+    super::{Attempt, Effect, Phase, Ready, Scheduler, Worker, waits::StopReason},
     crate::{
         RunId, TaskId, WorkerId,
         colocation::{Exposure, ImageNo, Seen, Sighting, headroom_together},
@@ -23,21 +23,21 @@
 /// The pause between two reliefs at a worker: the figures show the first one by then.
 const RELIEF_GAP: Duration = Duration::from_millis(600);
 
-impl Copy {
+impl Attempt {
     /// It serves and is at work, so its figure says something.
     fn is_serving(&self) -> bool {
-        self.serves && self.percent >= 100
+        self.latency_critical && self.percent >= 100
     }
 
     /// Its tail as a multiple of its target.
     fn ratio(&self) -> f32 {
-        self.figure as f32 / self.target_ms as f32
+        self.measurement as f32 / self.target_ms as f32
     }
 
     /// Whether its figure is another one than last time: the same figure is listed again until the next one
     /// is due, and counts once.
     fn has_news(&self) -> bool {
-        self.is_serving() && self.figure != self.taken_figure
+        self.is_serving() && self.measurement != self.learned_measurement
     }
 }
 
@@ -53,8 +53,8 @@
 impl Worker {
     /// The processor time that the fillers which run here were listed to use, in cores.
     fn fillers_use(&self) -> impl Iterator<Item = (ImageNo, f32)> {
-        let fillers = self.copies.values().filter(|copy| copy.fills);
-        fillers.map(|copy| (copy.image, copy.figure as f32 / 1_000.0))
+        let fillers = self.copies.values().filter(|copy| copy.best_effort);
+        fillers.map(|copy| (copy.image, copy.measurement as f32 / 1_000.0))
     }
 
     /// The new figures of serving tasks, by workflow.
@@ -76,7 +76,7 @@
             seen.push(Seen { workflow, image, at: now, sighting });
         }
         for copy in self.copies.values_mut().filter(|copy| copy.is_serving()) {
-            copy.taken_figure = copy.figure;
+            copy.learned_measurement = copy.measurement;
         }
         seen
     }
@@ -87,12 +87,12 @@
         for copy in self.copies.values_mut().filter(|copy| copy.is_serving()) {
             let ratio = copy.ratio();
             if ratio <= CLEARED {
-                copy.over_since = None;
+                copy.over_target_since = None;
             }
-            if ratio <= 1.0 && copy.over_since.is_none() {
+            if ratio <= 1.0 && copy.over_target_since.is_none() {
                 continue;
             }
-            let since = *copy.over_since.get_or_insert(now);
+            let since = *copy.over_target_since.get_or_insert(now);
             if worst.is_none_or(|known| since < known.since) {
                 worst = Some(OverTarget { since, image: copy.image, ratio });
             }
@@ -104,7 +104,12 @@
 
 impl Scheduler {
     /// Takes in the figures that a worker has just listed, and relieves tasks that are over target.
-    pub(super) fn watch(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
+    pub(super) fn check_latency_targets(
+        &mut self,
+        now: Time,
+        id: &WorkerId,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         if worker.serving == 0 {
             return;
@@ -116,17 +121,23 @@
             let image = self.colocation.learned().name(over.image);
             let (ratio, fillers) = (over.ratio, exposure.as_slice());
             log::debug!(worker:% = id, image:%, ratio, fillers:?; "over_target");
-            self.relieve(now, id, over, out);
+            self.evict_best_effort(now, id, over, out);
         }
     }
 
-    fn relieve(&mut self, now: Time, id: &WorkerId, over: OverTarget, out: &mut Vec<Effect>) {
+    fn evict_best_effort(
+        &mut self,
+        now: Time,
+        id: &WorkerId,
+        over: OverTarget,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         if now.since(over.since) < RELIEF_AFTER || now.since(worker.relieved_at) < RELIEF_GAP {
             return;
         }
-        let presses = |copy: &Copy| {
-            copy.fills && copy.pace > 0 && !matches!(copy.phase, Phase::Stopping { .. })
+        let presses = |copy: &Attempt| {
+            copy.best_effort && copy.pace > 0 && !matches!(copy.phase, Phase::Stopping { .. })
         };
         let pressing = worker.copies.iter().filter(|(_, copy)| presses(copy));
         let pressing: Vec<(TaskId, RunId)> = pressing.map(|(key, _)| *key).collect();
@@ -143,7 +154,7 @@
     }
 
     /// Learns from the last figures of all workers, when that is due.
-    pub(super) fn learn(&mut self, now: Time) {
+    pub(super) fn update_interference_model(&mut self, now: Time) {
         if !self.colocation.is_due(now) {
             return;
         }
@@ -159,7 +170,7 @@
     fn fillers_ask(&mut self) -> Vec<(ImageNo, f32)> {
         let copies = self.workers.values().flat_map(|worker| worker.copies.values());
         let mut asked: Vec<(ImageNo, f32)> =
-            copies.filter(|copy| copy.fills).map(Copy::filler).collect();
+            copies.filter(|copy| copy.best_effort).map(Attempt::best_effort_demand).collect();
         for key in &self.ready {
             let Ready { workflow, occurrence, step, .. } = *key;
             let Some(flow) = self.flows.get(&workflow) else { continue };
--- a/crates/workflow/src/scheduler/losses.rs
+++ b/crates/workflow/src/scheduler/lost_workers.rs
@@ -1,7 +1,7 @@
 //! Workers that are lost with what runs there, and what that says of the runs.
 
 use {
-    super::{Copy, Scheduler, Worker, waits::LineBudget},
+    super::{Attempt, Scheduler, Worker, waits::LineBudget},
     crate::{
         Announced, Crash, Evidence, RunId, StepId, TaskId, WorkerId, WorkerState, WorkflowId,
         crash::is_given_up,
@@ -19,7 +19,7 @@
 pub(super) const PROBATION: Duration = Duration::from_millis(500);
 
 /// A run that has been at work for so long clears its task of all earlier crashes.
-pub(super) const CLEARED_AFTER: Duration = Duration::from_secs(10);
+pub(super) const CRASHES_CLEARED_AFTER: Duration = Duration::from_secs(10);
 
 /// How long a silent worker may take to come back and clear what was lost there.
 const MAY_RETURN: Duration = Duration::from_secs(60);
@@ -54,7 +54,7 @@
 
 /// How a worker was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Loss {
+pub(super) enum WorkerLoss {
     /// It left as it had announced, or for upkeep.
     Left,
     /// Another incarnation answers at its address.
@@ -63,19 +63,19 @@
     Lapsed,
 }
 
-impl fmt::Display for Loss {
+impl fmt::Display for WorkerLoss {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Loss::Left => "left",
-            Loss::Replaced => "replaced",
-            Loss::Lapsed => "lapsed",
+            WorkerLoss::Left => "left",
+            WorkerLoss::Replaced => "replaced",
+            WorkerLoss::Lapsed => "lapsed",
         })
     }
 }
 
 /// What is kept of lost runs.
 #[derive(Debug)]
-pub(super) struct Losses {
+pub(super) struct LostWorkers {
     lines: LineBudget,
     /// Runs counted as lost with workers that were merely silent, and when that was.
     silent: BTreeMap<WorkerId, (Time, Vec<(TaskId, RunId)>)>,
@@ -85,9 +85,9 @@
     unrecorded: BTreeSet<WorkflowId>,
 }
 
-impl Default for Losses {
-    fn default() -> Losses {
-        Losses {
+impl Default for LostWorkers {
+    fn default() -> LostWorkers {
+        LostWorkers {
             lines: LineBudget::new("lost_runs", BURST, LINES_PER_SECOND),
             silent: BTreeMap::new(),
             lately: VecDeque::new(),
@@ -96,13 +96,13 @@
     }
 }
 
-impl Losses {
-    pub(super) fn tell_left_out(&mut self, now: Time) {
+impl LostWorkers {
+    pub(super) fn log_suppressed_lines(&mut self, now: Time) {
         self.lines.tell_left_out(now);
     }
 
     /// Whether one more line may be written.
-    pub(super) fn may_tell(&mut self, now: Time) -> bool {
+    pub(super) fn may_log(&mut self, now: Time) -> bool {
         self.lines.take(now, 0)
     }
 
@@ -141,64 +141,65 @@
 
 impl Worker {
     /// How long a run here is known to have been at work; none if it may never have begun.
-    fn worked(&self, copy: &Copy) -> Option<Duration> {
-        let heard = self.last_heard.unwrap_or(copy.began);
-        copy.confirmed.then(|| heard.max(copy.began).since(copy.began))
+    fn worked(&self, copy: &Attempt) -> Option<Duration> {
+        let heard = self.last_heard.unwrap_or(copy.running_since);
+        copy.confirmed.then(|| heard.max(copy.running_since).since(copy.running_since))
     }
 
     /// Whether a run here may have begun so lately that it would be suspected if the worker crashed now.
-    fn is_unproved(&self, copy: &Copy) -> bool {
-        let inherited = copy.starts_until_ms.is_none();
+    fn is_in_probation(&self, copy: &Attempt) -> bool {
+        let inherited = copy.start_deadline_ms.is_none();
         match self.worked(copy) {
-            _ if inherited => copy.inherited_unproved && !copy.confirmed,
+            _ if inherited => copy.inherited_in_probation && !copy.confirmed,
             worked => worked.is_none_or(|span| span < PROBATION),
         }
     }
 
     /// The runs here that have certainly begun, and had just done so when the worker was last heard.
-    pub(super) fn unproved_runs(&self) -> impl Iterator<Item = (TaskId, RunId)> {
-        let unproved =
-            |copy: &Copy| self.is_unproved(copy) && (copy.confirmed || copy.inherited_unproved);
+    pub(super) fn runs_in_probation(&self) -> impl Iterator<Item = (TaskId, RunId)> {
+        let unproved = |copy: &Attempt| {
+            self.is_in_probation(copy) && (copy.confirmed || copy.inherited_in_probation)
+        };
         self.copies.iter().filter(move |(_, copy)| unproved(copy)).map(|(key, _)| *key)
     }
 
     /// What the loss of this worker says of a run here; `alone` if nothing else that had just begun can be the cause.
-    fn evidence(&self, copy: &Copy, loss: Loss, alone: bool) -> Option<Evidence> {
+    fn evidence(&self, copy: &Attempt, loss: WorkerLoss, alone: bool) -> Option<Evidence> {
         let leaves = self.info.state == WorkerState::Draining;
-        if !self.is_unproved(copy) {
-            let inherited = copy.starts_until_ms.is_none();
-            let settled = self.worked(copy).is_some_and(|span| span >= CLEARED_AFTER);
+        if !self.is_in_probation(copy) {
+            let inherited = copy.start_deadline_ms.is_none();
+            let settled = self.worked(copy).is_some_and(|span| span >= CRASHES_CLEARED_AFTER);
             return (!inherited && !settled && !leaves).then_some(Evidence::Late);
         }
-        let began = copy.confirmed || copy.inherited_unproved;
+        let began = copy.confirmed || copy.inherited_in_probation;
         Some(match loss {
             // A worker that leaves gets no starts, and stays for some seconds yet.
             _ if leaves => Evidence::Unsure,
-            Loss::Replaced if began && alone => Evidence::Alone,
-            Loss::Replaced if began => Evidence::Shared,
+            WorkerLoss::Replaced if began && alone => Evidence::Alone,
+            WorkerLoss::Replaced if began => Evidence::Shared,
             _ => Evidence::Unsure,
         })
     }
 
     /// Whether no run here has just begun.
-    pub(super) fn is_settled(&self) -> bool {
-        !self.copies.values().any(|copy| self.is_unproved(copy))
+    pub(super) fn all_past_probation(&self) -> bool {
+        !self.copies.values().any(|copy| self.is_in_probation(copy))
     }
 }
 
 impl Scheduler {
     /// Forgets what ran at a worker that was lost, and queues its tasks.
-    pub(super) fn lose_runs(&mut self, now: Time, id: &WorkerId, loss: Loss) {
+    pub(super) fn requeue_lost_runs(&mut self, now: Time, id: &WorkerId, loss: WorkerLoss) {
         let runs = self.lost_runs(now, id, loss);
         self.note_lost(now, id, loss);
         let beside = runs.len().saturating_sub(1);
         for LostRun { task, run, worked, evidence } in runs {
             self.measures.lost += 1;
-            let crashes = evidence.map_or(0, |evidence| self.note_crash(task, run, evidence));
-            if evidence.is_some() && loss == Loss::Lapsed {
+            let crashes = evidence.map_or(0, |evidence| self.add_crash(task, run, evidence));
+            if evidence.is_some() && loss == WorkerLoss::Lapsed {
                 self.may_clear(now, id, task, run);
             }
-            if self.losses.may_tell(now) {
+            if self.losses.may_log(now) {
                 let in_doubt = worked.is_none();
                 let worked_ms = worked.unwrap_or_default().as_millis() as u64;
                 let evidence = evidence.map_or_else(|| "-".to_owned(), |e| e.to_string());
@@ -208,18 +209,18 @@
                     "run_lost"
                 );
             }
-            self.drop_copy(now, id, task, run);
+            self.drop_attempt(now, id, task, run);
         }
     }
 
     /// Remembers a lost worker.
-    fn note_lost(&mut self, now: Time, id: &WorkerId, loss: Loss) {
+    fn note_lost(&mut self, now: Time, id: &WorkerId, loss: WorkerLoss) {
         let lately = &mut self.losses.lately;
         while lately.front().is_some_and(|lost| now.since(lost.at) >= REMEMBERED) {
             lately.pop_front();
         }
         let Some(worker) = self.workers.get(id) else { return };
-        let Some(heard) = worker.last_heard.filter(|_| loss != Loss::Left) else { return };
+        let Some(heard) = worker.last_heard.filter(|_| loss != WorkerLoss::Left) else { return };
         let service = worker.info.service.clone();
         let rack = worker.info.rack().map(CompactString::new);
         lately.push_back(LostWorker { id: id.clone(), at: now, heard, service, rack });
@@ -249,11 +250,12 @@
         mates >= RACK_MATES || racks.len() >= SERVICE_MATES
     }
 
-    fn lost_runs(&self, now: Time, id: &WorkerId, loss: Loss) -> Vec<LostRun> {
+    fn lost_runs(&self, now: Time, id: &WorkerId, loss: WorkerLoss) -> Vec<LostRun> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
-        let announced = loss == Loss::Left || self.is_held(id);
-        let alone = self.unproved_groups(worker) == 1 && !self.has_common_cause(now, id, worker);
-        let lost = |((task, run), copy): (&(TaskId, RunId), &Copy)| {
+        let announced = loss == WorkerLoss::Left || self.is_held(id);
+        let alone =
+            self.groups_in_probation(worker) == 1 && !self.has_common_cause(now, id, worker);
+        let lost = |((task, run), copy): (&(TaskId, RunId), &Attempt)| {
             let evidence = worker.evidence(copy, loss, alone).filter(|_| !announced);
             LostRun { task: *task, run: *run, worked: worker.worked(copy), evidence }
         };
@@ -262,8 +264,8 @@
 
     /// How many tasks have just begun at a worker. Members of a gang count as one, since they are started and
     /// given up together.
-    fn unproved_groups(&self, worker: &Worker) -> usize {
-        let unproved = worker.copies.iter().filter(|(_, copy)| worker.is_unproved(copy));
+    fn groups_in_probation(&self, worker: &Worker) -> usize {
+        let unproved = worker.copies.iter().filter(|(_, copy)| worker.is_in_probation(copy));
         let gang = |task: TaskId| self.step(task).is_some_and(|step| step.gang);
         let groups: BTreeSet<(StepId, Option<u32>)> = unproved
             .map(|((task, _), _)| (task.step_id(), (!gang(*task)).then_some(task.index)))
@@ -273,13 +275,13 @@
 
     /// Records the runs that had just begun at workers that have fallen silent. A leader that is lost before it knows what
     /// became of such a worker would otherwise take the first crash along.
-    pub(super) fn announce_unheard(&mut self, now: Time) {
+    pub(super) fn announce_unresponsive(&mut self, now: Time) {
         let unheard =
             |worker: &Worker| worker.last_heard.is_some_and(|at| now.since(at) >= SILENT_AFTER);
         let silent = self.workers.iter().filter(|(_, worker)| unheard(worker));
         let runs: Vec<(WorkerId, TaskId, RunId)> = silent
             .flat_map(|(id, worker)| {
-                worker.unproved_runs().map(|(task, run)| (id.clone(), task, run))
+                worker.runs_in_probation().map(|(task, run)| (id.clone(), task, run))
             })
             .collect();
         for (worker, task, run) in runs {
@@ -292,7 +294,7 @@
     }
 
     /// Counts a crash under a task; returns how many there are.
-    pub(super) fn note_crash(&mut self, task: TaskId, run: RunId, evidence: Evidence) -> usize {
+    pub(super) fn add_crash(&mut self, task: TaskId, run: RunId, evidence: Evidence) -> usize {
         let Some(state) = self.task_mut(task).filter(|state| !state.done) else { return 0 };
         state.announced.take_if(|announced| announced.run == run);
         if state.crashes.iter().all(|known| known.run != run) {
@@ -312,15 +314,15 @@
     }
 
     /// A worker that was taken for lost answers: nothing crashed it.
-    pub(super) fn clear_crashes_at(&mut self, id: &WorkerId) {
+    pub(super) fn clear_crashes_of_worker(&mut self, id: &WorkerId) {
         let Some((_, runs)) = self.losses.silent.remove(id) else { return };
         for (task, run) in runs {
-            self.clear_crash(task, run);
+            self.clear_crash_of_run(task, run);
         }
     }
 
     /// A worker lists a run or its end: it has outlived it.
-    pub(super) fn clear_crash(&mut self, task: TaskId, run: RunId) {
+    pub(super) fn clear_crash_of_run(&mut self, task: TaskId, run: RunId) {
         let Some(state) = self.task_mut(task) else { return };
         let crashes = state.crashes.len();
         state.crashes.retain(|crash| crash.run != run);
@@ -331,7 +333,7 @@
     }
 
     /// A run of a task has shown that it doesn't crash its worker.
-    pub(super) fn clear_crashes(&mut self, task: TaskId) {
+    pub(super) fn clear_crashes_of_task(&mut self, task: TaskId) {
         let Some(state) = self.task_mut(task).filter(|state| !state.crashes.is_empty()) else {
             return;
         };
@@ -343,7 +345,7 @@
     }
 
     /// Tells which task of a workflow that is given up has crashed its workers, if one has.
-    pub(super) fn tell_given_up(&mut self, id: WorkflowId) {
+    pub(super) fn log_given_up(&mut self, id: WorkflowId) {
         let Some(flow) = self.flows.get(&id).filter(|flow| flow.outcome.is_none()) else { return };
         for (number, occurrence) in &flow.occurrences {
             for (step, state) in (0u16..).zip(&occurrence.steps) {
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -10,38 +10,38 @@
 //! An end is acknowledged to the worker after it is recorded, so that it can't be lost between the two.
 
 mod advice;
+mod attempt;
 mod audit;
-mod copy;
+mod candidates;
 mod effect;
-mod ends;
 mod fallback;
 mod flow;
 mod gangs;
+mod isolated_start;
+mod latency_critical;
 mod lists;
-mod losses;
+mod lost_workers;
 mod orders;
 mod pacing;
-mod place;
-mod places;
+mod placement;
+mod poll_reply;
 mod polls;
 mod preempt;
 mod queue;
 mod recording;
 mod regroup;
 mod restore;
-mod serving;
 mod start_window;
 mod stragglers;
 mod survey;
-mod trials;
-mod unclear;
+mod unreadable_rows;
 mod upkeep;
 mod waits;
 mod worker;
 
 use {
     self::{
-        copy::{Copy, Need, Phase},
+        attempt::{Attempt, Phase, Requirements},
         flow::Flow,
         waits::StopReason,
         worker::{Inherited, Worker},
@@ -129,15 +129,15 @@
     regroup_turn: usize,
     starts: StartWindow,
     /// Workers of which something was heard, for steps that found no place.
-    heard: places::Heard,
-    nowhere: places::Nowhere,
+    heard: candidates::UpdatedWorkers,
+    nowhere: candidates::UnplaceableDemands,
     /// Processor time, in thousandths of a core, that stops will free, by service; summed up once in a pass.
     freed: Vec<(CompactString, u64)>,
     /// When workers were last looked through for what time alone changes.
     kept_at: Time,
     /// The records are read too late to start anything.
     behind: bool,
-    losses: losses::Losses,
+    losses: lost_workers::LostWorkers,
     /// Whether this pass looks for workers for suspected tasks: each takes a look at all of them.
     trials_due: bool,
     measures: Measures,
@@ -223,12 +223,12 @@
             regrouped_at: now,
             regroup_turn: 0,
             starts: StartWindow::new(now),
-            heard: places::Heard::default(),
-            nowhere: places::Nowhere::default(),
+            heard: candidates::UpdatedWorkers::default(),
+            nowhere: candidates::UnplaceableDemands::default(),
             freed: Vec::new(),
             kept_at: Time::ZERO,
             behind: false,
-            losses: losses::Losses::default(),
+            losses: lost_workers::LostWorkers::default(),
             trials_due: false,
             measures: Measures::default(),
             waits: waits::Waits::default(),
@@ -259,7 +259,7 @@
             }
             DirectoryChange::Unreadable(id) => {
                 if let Some(worker) = self.workers.get_mut(&id) {
-                    worker.lose_entry();
+                    worker.mark_entry_unreadable();
                 }
             }
         }
@@ -299,16 +299,16 @@
     /// Time has passed: begins what is due, places tasks, polls workers, records.
     pub fn tick(&mut self, now: Time, wall_ms: u64, out: &mut Vec<Effect>) {
         self.wall_ms = wall_ms;
-        self.starts.follow(now);
+        self.starts.update_limit(now);
         let keeps = now.since(self.kept_at) >= KEEP_GAP;
         if keeps {
             self.kept_at = now;
             self.expire(now);
-            self.announce_unheard(now);
+            self.announce_unresponsive(now);
         }
         self.trials_due = keeps;
         while let Some(id) = self.spent.pop_first() {
-            self.tell_given_up(id);
+            self.log_given_up(id);
             self.end_flow(now, id, Outcome::Failed, out);
         }
         self.begin_due(now);
@@ -317,20 +317,20 @@
             self.repeat_stops(now, out);
             self.keep_up(now, out);
         }
-        self.learn(now);
+        self.update_interference_model(now);
         self.place_ready(now, out);
         self.regroup(now, out);
-        self.ask_advice(now, out);
+        self.request_advice(now, out);
         self.poll(now, out);
         self.record(now, out);
         self.tell_waits(now);
-        self.losses.tell_left_out(now);
+        self.losses.log_suppressed_lines(now);
     }
 
     /// Stops what can go on elsewhere on workers that are about to leave: when they go, all that still
     /// runs there is lost, and is found missing only after its lease.
     fn evacuate(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let moves = |copy: &Copy| copy.moves && matches!(copy.phase, Phase::Running { .. });
+        let moves = |copy: &Attempt| copy.movable && matches!(copy.phase, Phase::Running { .. });
         let mut leaving: Vec<(WorkerId, Vec<(TaskId, RunId)>)> = Vec::new();
         for (id, worker) in &self.workers {
             if worker.info.state != WorkerState::Draining || !worker.present {
--- a/crates/workflow/src/scheduler/orders.rs
+++ b/crates/workflow/src/scheduler/orders.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        Copy, Effect, Phase, Scheduler, Worker,
-        losses::Loss,
+        Attempt, Effect, Phase, Scheduler, Worker,
+        lost_workers::WorkerLoss,
         waits::{Stop, StopReason},
     },
     crate::{RunId, TaskId, WorkerId},
@@ -84,8 +84,8 @@
     }
 
     /// Whether a start was decided before the worker left another one unanswered.
-    fn is_outdated(&self, copy: &Copy) -> bool {
-        self.doubted.is_some_and(|since| copy.placed <= since)
+    fn is_outdated(&self, copy: &Attempt) -> bool {
+        self.doubted.is_some_and(|since| copy.placed_at <= since)
     }
 }
 
@@ -99,7 +99,7 @@
         // A gang without one of its members does nothing, so all of them are tried.
         let gang = self.step(task).is_some_and(|step| step.gang);
         let goes_elsewhere = worker.is_outdated(copy) && !gang;
-        let timely = !copy.again || self.may_repeat(now);
+        let timely = !copy.is_restart || self.may_repeat(now);
         !self.behind && copy.phase == Phase::Starting && !goes_elsewhere && timely
     }
 
@@ -138,7 +138,7 @@
     ) {
         let answered =
             !matches!(result, StartResult::Unknown | StartResult::NotSent | StartResult::Withheld);
-        self.starts.settle(now, answered);
+        self.starts.on_settled(now, answered);
         self.heard.note(id);
         if answered {
             self.on_answered(id);
@@ -147,7 +147,7 @@
             StartResult::Started { clock_ms } => self.on_started(now, id, task, run, clock_ms),
             StartResult::Outranked => out.push(Effect::Outranked),
             StartResult::OtherIncarnation => {
-                self.drop_copy(now, id, task, run);
+                self.drop_attempt(now, id, task, run);
                 self.on_other_incarnation(now, id);
             }
             StartResult::Unknown => self.on_start_unknown(now, id, task, run),
@@ -157,10 +157,10 @@
             }
             StartResult::BadTicket => {
                 log::info!(task:%, run:%, worker:% = id; "ticket_rejected");
-                self.forget_ticket(task, id);
-                self.drop_copy(now, id, task, run);
+                self.remove_ticket(task, id);
+                self.drop_attempt(now, id, task, run);
             }
-            StartResult::Withheld => self.drop_copy(now, id, task, run),
+            StartResult::Withheld => self.drop_attempt(now, id, task, run),
             StartResult::OldRun | StartResult::Late | StartResult::Invalid => {
                 log::warn!(task:%, run:%, worker:% = id, result:?; "start_rejected");
                 self.reject_start(now, id, task, run, Duration::ZERO);
@@ -172,9 +172,9 @@
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.heard(now, clock_ms);
         if let Some(copy) = worker.copies.get_mut(&(task, run))
-            && matches!(copy.phase, Phase::Starting | Phase::Doubtful { .. })
+            && matches!(copy.phase, Phase::Starting | Phase::Unconfirmed { .. })
         {
-            copy.begin(now, clock_ms);
+            copy.set_running(now, clock_ms);
         }
     }
 
@@ -192,7 +192,7 @@
         if let Some(copy) = worker.copies.get_mut(&(task, run))
             && copy.phase == Phase::Starting
         {
-            copy.phase = Phase::Doubtful { since: now };
+            copy.phase = Phase::Unconfirmed { since: now };
             log::info!(task:%, run:%, worker:% = id; "start_in_doubt");
         }
     }
@@ -201,7 +201,7 @@
         if let Some(worker) = self.workers.get_mut(id) {
             worker.barred_until = worker.barred_until.max(now + bar);
         }
-        self.drop_copy(now, id, task, run);
+        self.drop_attempt(now, id, task, run);
     }
 
     /// Stops the runs at a worker that `chosen` picks, and keeps why for whoever misses them.
@@ -281,17 +281,17 @@
     /// The worker has left: all that ran there has ended.
     pub(super) fn on_left(&mut self, now: Time, id: &WorkerId) {
         log::info!(worker:% = id; "worker_left");
-        self.forget_worker(now, id, Loss::Left);
+        self.forget_worker(now, id, WorkerLoss::Left);
     }
 
     /// The address answers for another incarnation: all that ran under this one has ended.
     pub(super) fn on_other_incarnation(&mut self, now: Time, id: &WorkerId) {
         log::info!(worker:% = id; "worker_replaced");
-        self.forget_worker(now, id, Loss::Replaced);
+        self.forget_worker(now, id, WorkerLoss::Replaced);
     }
 
-    fn forget_worker(&mut self, now: Time, id: &WorkerId, loss: Loss) {
-        self.lose_runs(now, id, loss);
+    fn forget_worker(&mut self, now: Time, id: &WorkerId, loss: WorkerLoss) {
+        self.requeue_lost_runs(now, id, loss);
         self.workers.remove(id);
         self.unaccounted.remove(id);
         self.roster_dirty = true;
--- a/crates/workflow/src/scheduler/pacing.rs
+++ b/crates/workflow/src/scheduler/pacing.rs
@@ -9,7 +9,9 @@
 //! the target is shared by the fillers that press, each at the pace that fits.
 
 use {
-    super::{Copy, Effect, Phase, Scheduler, Worker, copy::FULL_PACE, waits::StopReason},
+    super::{
+        Attempt, Effect, Phase, Scheduler, Worker, attempt::FULL_PACE_PERCENT, waits::StopReason,
+    },
     crate::{RunId, TaskId, WorkerId},
     egretlb_types::Time,
     serde::{Deserialize, Serialize},
@@ -63,7 +65,7 @@
             PaceResult::Unknown => {
                 let worker = self.workers.get_mut(id);
                 if let Some(copy) = worker.and_then(|worker| worker.copies.get_mut(&(task, run))) {
-                    copy.pace_told = None;
+                    copy.pace_sent = None;
                 }
             }
         }
@@ -83,10 +85,10 @@
         for (task, run, percent) in changes {
             worker.set_pace(task, run, percent);
             if let Some(copy) = worker.copies.get_mut(&(task, run)) {
-                copy.pace_told = Some(percent);
-                copy.moved_at = now;
+                copy.pace_sent = Some(percent);
+                copy.progressed_at = now;
                 let slowed = percent <= SLOWED;
-                copy.slowed_since = slowed.then(|| copy.slowed_since.unwrap_or(now));
+                copy.throttled_since = slowed.then(|| copy.throttled_since.unwrap_or(now));
             }
             log::debug!(task:%, run:%, worker:% = id, percent; "filler_paced");
             out.push(Effect::Pace { worker: id.clone(), addr, epoch, task, run, percent });
@@ -97,20 +99,24 @@
     /// Notes at a worker the own headrooms of the tasks that serve there.
     fn note_own_headrooms(&mut self, id: &WorkerId) {
         let Some(Worker { copies, neighbours, .. }) = self.workers.get_mut(id) else { return };
-        let serving = copies.iter().filter(|(_, copy)| copy.serves);
+        let serving = copies.iter().filter(|(_, copy)| copy.latency_critical);
         let serving = serving.map(|((task, _), copy)| (task.workflow, copy.image));
         self.colocation.note_own(neighbours, serving);
     }
 
     /// The fillers of a worker that are to work at another pace, in percent.
     fn changes_of_pace(&self, worker: &Worker) -> Vec<(TaskId, RunId, u32)> {
-        let fillers = worker.copies.values().filter(|copy| copy.fills).map(Copy::filler);
+        let fillers =
+            worker.copies.values().filter(|copy| copy.best_effort).map(Attempt::best_effort_demand);
         let bearable = self.colocation.bearable_shares(&worker.neighbours, fillers);
         let mut changes: Vec<(TaskId, RunId, u32)> = Vec::new();
         for ((task, run), copy) in &worker.copies {
-            if copy.fills && matches!(copy.phase, Phase::Running { .. }) {
-                let share =
-                    self.colocation.fitting_share(&worker.neighbours, &bearable, copy.filler());
+            if copy.best_effort && matches!(copy.phase, Phase::Running { .. }) {
+                let share = self.colocation.fitting_share(
+                    &worker.neighbours,
+                    &bearable,
+                    copy.best_effort_demand(),
+                );
                 let pace = pace_of(share);
                 if worth_telling(copy, pace) {
                     changes.push((*task, *run, pace));
@@ -123,10 +129,10 @@
     /// Moves fillers that were slowed down for long and find a better place.
     fn move_slowed(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
         let Some(worker) = self.workers.get(id) else { return };
-        let long = |copy: &Copy| {
+        let long = |copy: &Attempt| {
             let running = matches!(copy.phase, Phase::Running { .. });
-            let worth = copy.moves || copy.percent < WORTH_MOVING_PERCENT;
-            running && worth && copy.slowed_since.is_some_and(|at| now.since(at) >= SLOWED_FOR)
+            let worth = copy.movable || copy.percent < WORTH_MOVING_PERCENT;
+            running && worth && copy.throttled_since.is_some_and(|at| now.since(at) >= SLOWED_FOR)
         };
         let slowed: Vec<(TaskId, RunId)> =
             worker.copies.iter().filter(|(_, copy)| long(copy)).map(|(key, _)| *key).collect();
@@ -144,17 +150,17 @@
 
 /// A pace in percent, in whole steps.
 fn pace_of(share: f32) -> u32 {
-    let steps = (share * FULL_PACE as f32 / PACE_STEP).floor();
+    let steps = (share * FULL_PACE_PERCENT as f32 / PACE_STEP).floor();
     (steps * PACE_STEP) as u32
 }
 
 /// Whether a change of pace is worth a call.
-fn worth_telling(copy: &Copy, pace: u32) -> bool {
-    match copy.pace_told {
+fn worth_telling(copy: &Attempt, pace: u32) -> bool {
+    match copy.pace_sent {
         None => true,
         Some(told) => {
             told.abs_diff(pace) >= LEAST_CHANGE
-                || (told != pace && (pace == 0 || pace == FULL_PACE))
+                || (told != pace && (pace == 0 || pace == FULL_PACE_PERCENT))
         }
     }
 }
--- a/crates/workflow/src/scheduler/place.rs
+++ b/crates/workflow/src/scheduler/placement.rs
@@ -1,7 +1,10 @@
 //! Where tasks go.
 
 use {
-    super::{Copy, Effect, Need, Phase, Ready, Scheduler, Worker, flow::TaskState, trials::Trial},
+    super::{
+        Attempt, Effect, Phase, Ready, Requirements, Scheduler, Worker, flow::TaskState,
+        isolated_start::IsolatedStart,
+    },
     crate::{RunId, Step, StepId, TaskId, WorkerId, colocation::ImageNo},
     compact_str::CompactString,
     egretlb_types::{Resources, Time},
@@ -72,45 +75,45 @@
         if hopeless && !(step.lasting && self.is_last_resort(now, key.task(0))) {
             return false;
         }
-        if step.lasting && self.gives_way(now, key) {
+        if step.lasting && self.defers_to_batch(now, key) {
             return false;
         }
         if step.gang {
             return self.place_gang(now, key, service, step, out);
         }
-        let need = Need::new(step, &mut self.colocation);
+        let need = Requirements::new(step, &mut self.colocation);
         let mut places = None;
         loop {
             if held && !self.put_found_first(key) {
                 return false;
             }
-            let Some(index) = self.front(key) else { return true };
+            let Some(index) = self.front_task(key) else { return true };
             let task = key.task(index);
             let early = self.was_started(task) && !self.may_repeat(now);
             if early || !self.may_start() {
                 return false;
             }
             let chosen = if self.is_suspect(task) {
-                match self.choose_trial(now, task, service, &need) {
-                    Trial::At(worker) => Some(worker),
-                    Trial::Later if !held && self.pass_over_suspects(key) => continue,
-                    Trial::Later => return false,
-                    Trial::NoRoom => None,
+                match self.choose_isolated(now, task, service, &need) {
+                    IsolatedStart::At(worker) => Some(worker),
+                    IsolatedStart::Later if !held && self.pass_over_suspects(key) => continue,
+                    IsolatedStart::Later => return false,
+                    IsolatedStart::NoCapacity => None,
                 }
             } else if hopeless {
                 self.choose_last_resort(now, task, service, &need)
             } else {
-                self.choose(now, task, service, &need, &mut places)
+                self.choose_worker(now, task, service, &need, &mut places)
             };
             let Some(worker) = chosen else {
                 if !held && self.bring_forward(now, key) {
                     continue;
                 }
-                let keeps_away = self.front_keeps_away(now, key);
-                let advised = self.want_advice(key);
-                self.make_room(now, key, service, step, out);
+                let keeps_away = self.front_avoids_worker(now, key);
+                let advised = self.queue_advice(key);
+                self.preempt_for(now, key, service, step, out);
                 if step.label.is_none() && step.per_worker == 0 && !advised && !keeps_away {
-                    let Need { image, .. } = need;
+                    let Requirements { image, .. } = need;
                     let Step { resources, fills, .. } = *step;
                     unmet.push(Unmet { service: service.clone(), resources, fills, image });
                 }
@@ -119,10 +122,10 @@
             self.pop(key);
             let wait = self.step_wait(now, key);
             self.measures.waits.push(wait);
-            self.start(now, task, &need, &worker, None, out);
+            self.start_attempt(now, task, &need, &worker, None, out);
             if let Some(places) = &mut places {
-                let next = key.task(self.front(key).unwrap_or(index));
-                self.put_back(now, next, service, &need, worker, places);
+                let next = key.task(self.front_task(key).unwrap_or(index));
+                self.update_candidate(now, next, service, &need, worker, places);
             }
         }
     }
@@ -140,11 +143,11 @@
 
     /// How long a step's queue hasn't been empty.
     pub(super) fn step_wait(&self, now: Time, key: Ready) -> Duration {
-        self.waited(now, key.task(0).step_id())
+        self.queue_wait(now, key.task(0).step_id())
     }
 
     /// The same for the step of this id.
-    pub(super) fn waited(&self, now: Time, id: StepId) -> Duration {
+    pub(super) fn queue_wait(&self, now: Time, id: StepId) -> Duration {
         let flow = self.flows.get(&id.workflow);
         let occurrence = flow.and_then(|flow| flow.occurrences.get(&id.occurrence));
         let step = occurrence.and_then(|occurrence| occurrence.steps.get(usize::from(id.step)));
@@ -153,7 +156,7 @@
 
     /// The first task of a step that waits. What was queued before the survey may turn out to be done
     /// or under way.
-    pub(super) fn front(&mut self, key: Ready) -> Option<u32> {
+    pub(super) fn front_task(&mut self, key: Ready) -> Option<u32> {
         let flow = self.flows.get_mut(&key.workflow)?;
         let occurrence = flow.occurrences.get_mut(&key.occurrence)?;
         let step = occurrence.steps.get_mut(usize::from(key.step))?;
@@ -169,7 +172,7 @@
     /// Puts a task that this leader has found running before those of which a predecessor may have started any;
     /// returns whether one of them waits.
     fn put_found_first(&mut self, key: Ready) -> bool {
-        self.front(key);
+        self.front_task(key);
         let Some(flow) = self.flows.get_mut(&key.workflow) else { return false };
         let Some(occurrence) = flow.occurrences.get_mut(&key.occurrence) else { return false };
         let Some(step) = occurrence.steps.get_mut(usize::from(key.step)) else { return false };
@@ -196,11 +199,11 @@
         RunId((last.0 + 1).max(base))
     }
 
-    pub(super) fn start(
+    pub(super) fn start_attempt(
         &mut self,
         now: Time,
         task: TaskId,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
         id: &WorkerId,
         run: Option<RunId>,
         out: &mut Vec<Effect>,
@@ -216,9 +219,9 @@
         };
         let addr = worker.info.addr;
         worker.poll_at = worker.poll_at.min(now + limits.poll_gap);
-        let mut copy = Copy::new(now, need, Phase::Starting).on_trial(trial);
-        copy.again = again;
-        copy.starts_until_ms = Some(until_ms);
+        let mut copy = Attempt::new(now, need, Phase::Starting).with_isolation(trial);
+        copy.is_restart = again;
+        copy.start_deadline_ms = Some(until_ms);
         worker.insert(task, run, copy);
         if trial {
             worker.quiet_until = now;
@@ -237,7 +240,7 @@
         self.tell_start(now, task, run, id);
         let Some(flow) = self.flows.get(&task.workflow) else { return };
         log::debug!(task:%, run:%, worker:% = id; "task_started");
-        self.starts.decide();
+        self.starts.on_decided();
         out.push(Effect::Start {
             worker: id.clone(),
             addr,
@@ -257,33 +260,34 @@
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
     ) -> Option<WorkerId> {
-        let avoided = self.avoided(task);
-        self.places(now, task, service, need).take(avoided.as_ref())
+        let avoided = self.avoided_worker(task);
+        self.candidates(now, task, service, need).pop_best(avoided.as_ref())
     }
 
     /// The worker that a task keeps away from.
-    pub(super) fn avoided(&self, task: TaskId) -> Option<WorkerId> {
+    pub(super) fn avoided_worker(&self, task: TaskId) -> Option<WorkerId> {
         self.task(task)?.avoid.as_ref().map(|avoid| avoid.worker.clone())
     }
 
     /// The best of these workers for a task, if one has room.
-    pub(super) fn best<'a>(
+    pub(super) fn best_worker<'a>(
         &self,
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
     ) -> Option<WorkerId> {
         let advised = self.needs_ticket(task.step_id()).is_some();
         let mut best: Option<(Fitness, &WorkerId)> = None;
         for (id, worker) in workers {
-            if !has_room(worker, task, need) || (advised && !self.allows(now, task, id)) {
+            if !has_capacity(worker, task, need) || (advised && !self.is_allowed(now, task, id)) {
                 continue;
             }
-            let Some(fitness) = self.suits(now, (id, worker), task, service, need) else {
+            let Some(fitness) = self.eligible_fitness(now, (id, worker), task, service, need)
+            else {
                 continue;
             };
             if best.as_ref().is_none_or(|(known, _)| fitness > *known) {
@@ -305,7 +309,7 @@
         now: Time,
         worker: &Worker,
         task: TaskId,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
     ) -> Option<Fitness> {
         let step = need.step;
         let near = step.data_rack.as_ref().is_some_and(|rack| worker.info.has_label(rack));
@@ -313,7 +317,7 @@
         let fast = !worker.is_slow(now);
         if step.target_ms > 0 {
             let closed = self.closes(worker, need.image);
-            if closed > CLOSES_LITTLE && self.waited(now, task.step_id()) < PATIENCE {
+            if closed > CLOSES_LITTLE && self.queue_wait(now, task.step_id()) < PATIENCE {
                 return None;
             }
             let company = KINSHIP_COUNTS * kinship(worker, need.image) - spread(worker, task);
@@ -321,7 +325,8 @@
         }
         let open = (self.colocation.openness(&worker.neighbours) / OPENNESS_STEP) as i64;
         if step.fills {
-            let disturbance = self.colocation.disturbance(&worker.neighbours, need.filler());
+            let disturbance =
+                self.colocation.disturbance(&worker.neighbours, need.best_effort_demand());
             let disturbance = match disturbance {
                 Some(known) => known,
                 None if self.is_tried(now, worker, task, need) => TRIED,
@@ -337,26 +342,26 @@
     /// What is feared of an image that was never seen beside the serving images, which may stand on all
     /// workers, would keep its tasks waiting for good: as long as none runs, nothing is learned of it. One that is
     /// tried works at the pace that what is feared leaves, and gets faster as more is known.
-    fn is_tried(&self, now: Time, worker: &Worker, task: TaskId, need: &Need<'_>) -> bool {
+    fn is_tried(&self, now: Time, worker: &Worker, task: TaskId, need: &Requirements<'_>) -> bool {
         worker.filling == 0
-            && self.waited(now, task.step_id()) >= TRY_AFTER
+            && self.queue_wait(now, task.step_id()) >= TRY_AFTER
             && self.task(task).is_some_and(TaskState::waits)
-            && self.colocation.is_unproved(&worker.neighbours, need.filler())
+            && self.colocation.is_unproved(&worker.neighbours, need.best_effort_demand())
     }
 
     /// How much room for fillers one more serving task of an image would close at a worker, in steps.
     fn closes(&self, worker: &Worker, image: ImageNo) -> i64 {
         let closed = self.colocation.closed_by(&worker.neighbours, image);
-        (closed * worker.room_for_fillers() as f32 / ROOM_STEP) as i64
+        (closed * worker.room_for_fillers() as f32 / CAPACITY_STEP_MILLICORES) as i64
     }
 
     /// Whether a serving task would close much room for fillers at a worker, and better waits a little.
-    pub(super) fn waits_for_company(
+    pub(super) fn waits_for_better_worker(
         &self,
         now: Time,
         worker: &Worker,
         task: TaskId,
-        need: &Need<'_>,
+        need: &Requirements<'_>,
     ) -> bool {
         need.step.target_ms > 0 && self.fitness(now, worker, task, need).is_none()
     }
@@ -366,7 +371,7 @@
 pub(super) type Fitness = (bool, bool, i64, i64, i64);
 
 /// Room for fillers that is closed or opened is compared in steps of so many cores: half a filler.
-pub(super) const ROOM_STEP: f32 = 2_000.0;
+pub(super) const CAPACITY_STEP_MILLICORES: f32 = 2_000.0;
 
 /// A filler of which little is known has waited for so long when it is tried.
 const TRY_AFTER: Duration = Duration::from_secs(4);
@@ -398,17 +403,17 @@
 
 /// How many tasks of its step a task would stand beside.
 fn spread(worker: &Worker, task: TaskId) -> i64 {
-    i64::try_from(siblings(worker, task)).unwrap_or(0)
+    i64::try_from(count_siblings(worker, task)).unwrap_or(0)
 }
 
 /// Whether a worker can hold one more task of the step.
 ///
 /// Fillers of one worker share what the others leave; more of them than that would each be slowed down,
 /// and those first in the queue are better served one after the other.
-pub(super) fn has_room(worker: &Worker, task: TaskId, need: &Need<'_>) -> bool {
+pub(super) fn has_capacity(worker: &Worker, task: TaskId, need: &Requirements<'_>) -> bool {
     let step = need.step;
     let free = worker.free();
-    if !need.hard.fits(&free) {
+    if !need.reserved.fits(&free) {
         return false;
     }
     if step.label.as_ref().is_some_and(|label| !worker.info.has_label(label)) {
@@ -421,11 +426,11 @@
     if step.fills && crowded {
         return false;
     }
-    step.per_worker == 0 || siblings(worker, task) < step.per_worker as usize
+    step.per_worker == 0 || count_siblings(worker, task) < step.per_worker as usize
 }
 
 /// How many tasks of the same step and occurrence a worker holds.
-pub(super) fn siblings(worker: &Worker, task: TaskId) -> usize {
+pub(super) fn count_siblings(worker: &Worker, task: TaskId) -> usize {
     let first = (TaskId { index: 0, ..task }, RunId(0));
     let last = (TaskId { index: u32::MAX, ..task }, RunId(u64::MAX));
     worker.copies.range(first..=last).count()
--- a/crates/workflow/src/scheduler/ends.rs
+++ b/crates/workflow/src/scheduler/poll_reply.rs
@@ -2,8 +2,9 @@
 
 use {
     super::{
-        Copy, Effect, End, EndKind, HoldReply, Need, Phase, RunningTask, Scheduler,
-        losses::CLEARED_AFTER, polls::POLL_RETRY, unclear::Absent, waits::StopReason,
+        Attempt, Effect, End, EndKind, HoldReply, Phase, Requirements, RunningTask, Scheduler,
+        lost_workers::CRASHES_CLEARED_AFTER, polls::POLL_RETRY, unreadable_rows::AbsentRun,
+        waits::StopReason,
     },
     crate::{RunId, TaskId, WorkerId},
     compact_str::CompactString,
@@ -13,7 +14,7 @@
 
 impl Scheduler {
     /// Takes a worker's lists in. `sent` is when the poll was sent.
-    pub(super) fn on_lists(
+    pub(super) fn apply_poll_reply(
         &mut self,
         now: Time,
         id: &WorkerId,
@@ -23,10 +24,10 @@
     ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.heard(now, reply.clock_ms);
-        self.clear_crashes_at(id);
+        self.clear_crashes_of_worker(id);
         let Some(worker) = self.workers.get_mut(id) else { return };
         let before = worker.unclear.clone();
-        let unclear = worker.unclear.note(now, reply);
+        let unclear = worker.unclear.update(now, reply);
         let first = !worker.surveyed;
         // What its predecessor started there isn't known from such an answer. Nothing is renewed before the
         // survey, so by the bound all of that has lapsed.
@@ -37,24 +38,24 @@
             log::info!(epoch:% = self.epoch; "survey_complete");
         }
         if first {
-            self.forget_supposed(id, &reply.running);
+            self.remove_supposed(id, &reply.running);
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
         self.roster_dirty |= first && !worker.in_roster;
         let taken = worker.taken;
         let numbers = reply.ended.iter().map(|end| end.number);
-        worker.taken = numbers.chain(worker.unclear.passed_over(reply)).fold(taken, u64::max);
-        let news = |end: &&End| end.number > taken || before.is_open(end.number);
+        worker.taken = numbers.chain(worker.unclear.skipped_ends(reply)).fold(taken, u64::max);
+        let news = |end: &&End| end.number > taken || before.is_unreadable_end(end.number);
         for end in reply.ended.iter().filter(news) {
-            self.on_end(now, id, end, out);
+            self.on_run_ended(now, id, end, out);
         }
-        self.reconcile(now, id, sent, reply, out);
-        self.watch(now, id, out);
+        self.compare_runs(now, id, sent, reply, out);
+        self.check_latency_targets(now, id, out);
         self.pace_fillers(now, id, out);
-        self.chase(now, id, reply, out);
+        self.handle_stragglers(now, id, reply, out);
     }
 
-    fn on_end(&mut self, now: Time, id: &WorkerId, end: &End, out: &mut Vec<Effect>) {
+    fn on_run_ended(&mut self, now: Time, id: &WorkerId, end: &End, out: &mut Vec<Effect>) {
         log::debug!(task:% = end.task, run:% = end.run, worker:% = id, end:? = end.kind; "task_ended");
         self.tell_end(now, id, end.task, end.run, end.kind);
         if let Some(worker) = self.workers.get_mut(id) {
@@ -70,7 +71,7 @@
             EndKind::Failed => self.measures.failed += 1,
             _ => self.measures.stopped += 1,
         }
-        self.clear_crash(end.task, end.run);
+        self.clear_crash_of_run(end.task, end.run);
         let Some(state) = self.task_mut(end.task) else { return };
         state.copies.retain(|(_, run)| *run != end.run);
         state.last_run = state.last_run.max(end.run);
@@ -154,7 +155,7 @@
     fn on_failed(&mut self, now: Time, id: &WorkerId, end: &End) {
         let lasting = self.step(end.task).is_none_or(|step| step.lasting);
         self.avoid(now, end.task, id);
-        self.clear_crashes(end.task);
+        self.clear_crashes_of_task(end.task);
         let Some(state) = self.task_mut(end.task) else { return };
         if !lasting && !state.failed.contains(&end.run) {
             state.failed.push(end.run);
@@ -169,7 +170,7 @@
     ///
     /// Answers on two connections may overtake each other, so a list is compared with the worker's own
     /// clock: it speaks only of orders that were confirmed at an earlier reading.
-    fn reconcile(
+    fn compare_runs(
         &mut self,
         now: Time,
         id: &WorkerId,
@@ -184,7 +185,7 @@
         }
         for (task, run) in &reply.odd.seen {
             listed.insert((*task, *run));
-            self.on_seen(now, id, reply.clock_ms, (*task, *run), out);
+            self.on_listed(now, id, reply.clock_ms, (*task, *run), out);
         }
         if reply.is_full() {
             return;
@@ -196,27 +197,28 @@
         let mut never_began = Vec::new();
         for (key, copy) in worker.copies.iter().filter(|(key, _)| !listed.contains(*key)) {
             // It can't begin any more, whether or not a stop is ever answered.
-            let late = copy.starts_until_ms.is_some_and(|until| reply.clock_ms > until);
-            let unanswered = matches!(copy.phase, Phase::Doubtful { .. } | Phase::Stopping { .. });
-            if late && unanswered && worker.unclear.is_clear() {
+            let late = copy.start_deadline_ms.is_some_and(|until| reply.clock_ms > until);
+            let unanswered =
+                matches!(copy.phase, Phase::Unconfirmed { .. } | Phase::Stopping { .. });
+            if late && unanswered && worker.unclear.all_readable() {
                 never_began.push(*key);
                 continue;
             }
-            match worker.unclear.absent(now, copy.phase, sent, reply.clock_ms, lease) {
-                Absent::Gone => gone.push(*key),
-                Absent::Doubtful => doubtful.push(*key),
-                Absent::Unsettled => {}
+            match worker.unclear.classify_absent(now, copy.phase, sent, reply.clock_ms, lease) {
+                AbsentRun::Ended => gone.push(*key),
+                AbsentRun::Unconfirmed => doubtful.push(*key),
+                AbsentRun::Undecided => {}
             }
         }
         for (task, run) in gone {
             log::info!(task:%, run:%, worker:% = id; "run_not_listed");
-            self.drop_copy(now, id, task, run);
+            self.drop_attempt(now, id, task, run);
         }
         for (task, run) in never_began {
             log::info!(task:%, run:%, worker:% = id; "start_too_late");
             // The roomiest worker would be tried with it again and again.
             self.avoid(now, task, id);
-            self.drop_copy(now, id, task, run);
+            self.drop_attempt(now, id, task, run);
         }
         // The start may still be carried out; a stop keeps it from that.
         for (task, run) in doubtful {
@@ -237,18 +239,18 @@
         let RunningTask { task, run, percent, .. } = *running;
         let Some(worker) = self.workers.get_mut(id) else { return };
         let Some(copy) = worker.copies.get_mut(&(task, run)) else {
-            self.adopt(now, id, clock_ms, running, out);
+            self.adopt_run(now, id, clock_ms, running, out);
             return;
         };
-        let speed = copy.speed(now, percent);
+        let speed = copy.sample_speed(now, percent);
         if copy.percent != percent {
-            copy.moved_at = now;
+            copy.progressed_at = now;
         }
         copy.percent = percent;
-        copy.figure = running.figure;
-        let cleared = now.since(copy.began) >= CLEARED_AFTER;
+        copy.measurement = running.figure;
+        let cleared = now.since(copy.running_since) >= CRASHES_CLEARED_AFTER;
         match copy.phase {
-            Phase::Starting | Phase::Doubtful { .. } => copy.begin(now, clock_ms),
+            Phase::Starting | Phase::Unconfirmed { .. } => copy.set_running(now, clock_ms),
             Phase::Running { .. } => {}
             Phase::Stopping { sent, .. } => {
                 if now.since(sent) > self.limits.order_timeout * 2 {
@@ -260,16 +262,16 @@
             }
         }
         if let Some(speed) = speed {
-            worker.measure_speed(now, speed);
+            worker.add_speed_sample(now, speed);
         }
-        let proved = worker.prove(now, task, run);
+        let proved = worker.pass_probation(now, task, run);
         let Some(state) = self.task_mut(task) else { return };
         let settled = proved && state.announced.take_if(|known| known.run == run).is_some();
         if !running.saved.is_empty() {
             state.saved.clone_from(&running.saved);
         }
         if cleared && !state.crashes.is_empty() {
-            self.clear_crashes(task);
+            self.clear_crashes_of_task(task);
         }
         if settled {
             self.dirty.insert(task.workflow);
@@ -278,7 +280,7 @@
 
     /// A run is listed in a row of which nothing else can be read: it is under way, and how far it is isn't
     /// known.
-    fn on_seen(
+    fn on_listed(
         &mut self,
         now: Time,
         id: &WorkerId,
@@ -288,20 +290,20 @@
     ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         match worker.copies.get_mut(&(task, run)) {
-            Some(copy) if matches!(copy.phase, Phase::Starting | Phase::Doubtful { .. }) => {
-                copy.begin(now, clock_ms);
+            Some(copy) if matches!(copy.phase, Phase::Starting | Phase::Unconfirmed { .. }) => {
+                copy.set_running(now, clock_ms);
             }
             Some(_) => {}
             None => {
                 let saved = CompactString::default();
                 let running = RunningTask { task, run, saved, percent: 0, figure: 0 };
-                self.adopt(now, id, clock_ms, &running, out);
+                self.adopt_run(now, id, clock_ms, &running, out);
             }
         }
     }
 
     /// A run that this leader didn't start: a predecessor did. It is kept if its task still waits.
-    fn adopt(
+    fn adopt_run(
         &mut self,
         now: Time,
         id: &WorkerId,
@@ -311,7 +313,7 @@
     ) {
         let RunningTask { task, run, percent, .. } = *running;
         self.drop_supposed(task, run);
-        self.clear_crash(task, run);
+        self.clear_crash_of_run(task, run);
         let step = self.step(task).cloned();
         log::debug!(task:%, run:%, worker:% = id; "task_found");
         let wanted = match self.task_mut(task) {
@@ -324,12 +326,12 @@
             None => false,
         };
         let step = step.unwrap_or_default();
-        let need = Need::new(&step, &mut self.colocation);
-        let mut copy = Copy::new(now, &need, Phase::Running { clock_ms });
+        let need = Requirements::new(&step, &mut self.colocation);
+        let mut copy = Attempt::new(now, &need, Phase::Running { clock_ms });
         copy.confirmed = true;
         copy.percent = percent;
         // A predecessor may have held it back.
-        copy.pace_told = None;
+        copy.pace_sent = None;
         if let Some(worker) = self.workers.get_mut(id) {
             worker.insert(task, run, copy);
         }
@@ -353,7 +355,7 @@
     /// Forgets what the records list at a worker that answers for the first time, where it does run: it is
     /// taken over or stopped like all else that is found. Its workflow may have been cancelled since it was
     /// listed, and its run would be renewed for as long as the worker stays.
-    fn forget_supposed(&mut self, id: &WorkerId, found: &[RunningTask]) {
+    fn remove_supposed(&mut self, id: &WorkerId, found: &[RunningTask]) {
         for RunningTask { task, run, .. } in found {
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.remove(*task, *run);
@@ -390,7 +392,7 @@
     }
 
     /// Forgets a run that is certainly not under way, and queues its task.
-    pub(super) fn drop_copy(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
+    pub(super) fn drop_attempt(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
         self.tell_drop(now, id, task, run);
         self.heard.note(id);
         if let Some(worker) = self.workers.get_mut(id) {
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -2,7 +2,7 @@
 //! worker lives.
 
 use {
-    super::{Effect, HoldReply, Phase, Scheduler, losses::Loss},
+    super::{Effect, HoldReply, Phase, Scheduler, lost_workers::WorkerLoss},
     crate::{WorkerId, WorkerState},
     egretlb_types::Time,
     std::time::Duration,
@@ -56,7 +56,7 @@
             worker.poll_at = now + self.limits.poll_gap;
         }
         match result {
-            HoldResult::Lists(reply) => self.on_lists(now, id, sent, reply, out),
+            HoldResult::Lists(reply) => self.apply_poll_reply(now, id, sent, reply, out),
             HoldResult::Outranked => out.push(Effect::Outranked),
             HoldResult::OtherIncarnation => self.on_other_incarnation(now, id),
             HoldResult::Refused | HoldResult::Failed => {
@@ -99,8 +99,8 @@
             let unsettled = |phase: &Phase| !matches!(phase, Phase::Running { .. });
             let hurried = !worker.surveyed || worker.copies.values().any(|c| unsettled(&c.phase));
             let pressed = worker.serving > 0 && (worker.filling > 0 || worker.over_target);
-            let fresh =
-                worker.is_kept(now) || worker.copies.values().any(|copy| copy.is_fresh(now));
+            let fresh = worker.is_reserved(now)
+                || worker.copies.values().any(|copy| copy.is_too_recent_to_judge(now));
             let wait = match (hurried, busy, fresh, pressed) {
                 (true, ..) | (_, false, ..) => Duration::ZERO,
                 (false, true, true, _) => FRESH_WAIT,
@@ -151,7 +151,7 @@
         if runs > 0 {
             log::warn!(worker:% = id, runs; "leases_lapsed");
         }
-        self.lose_runs(now, id, Loss::Lapsed);
+        self.requeue_lost_runs(now, id, WorkerLoss::Lapsed);
         if !present && self.unaccounted.get(id).is_none_or(|until| now >= *until) {
             self.workers.remove(id);
             self.roster_dirty = true;
--- a/crates/workflow/src/scheduler/preempt.rs
+++ b/crates/workflow/src/scheduler/preempt.rs
@@ -6,7 +6,10 @@
 //! once they leave room.
 
 use {
-    super::{Copy, Effect, Phase, Ready, Scheduler, Worker, place::ROOM_STEP, waits::StopReason},
+    super::{
+        Attempt, Effect, Phase, Ready, Scheduler, Worker, placement::CAPACITY_STEP_MILLICORES,
+        waits::StopReason,
+    },
     crate::{RunId, Step, TaskId, WorkerId},
     compact_str::CompactString,
     egretlb_types::{MilliCores, Time},
@@ -29,7 +32,7 @@
 
 impl Scheduler {
     /// Whether a step of lasting tasks leaves the room to others for now.
-    pub(super) fn gives_way(&mut self, now: Time, key: Ready) -> bool {
+    pub(super) fn defers_to_batch(&mut self, now: Time, key: Ready) -> bool {
         if self.crowded_at.is_none_or(|at| now.since(at) >= GIVE_WAY) {
             return false;
         }
@@ -40,7 +43,7 @@
     }
 
     /// Stops lasting tasks for a step that found no room, as far as what is being freed doesn't do.
-    pub(super) fn make_room(
+    pub(super) fn preempt_for(
         &mut self,
         now: Time,
         key: Ready,
@@ -83,7 +86,7 @@
         let workers = self.workers.values().filter(|worker| worker.info.service == *service);
         let copies = workers.flat_map(|worker| worker.copies.values());
         let stopping = copies.filter(|copy| matches!(copy.phase, Phase::Stopping { .. }));
-        stopping.map(|copy| u64::from(copy.hard.cpu.0)).sum()
+        stopping.map(|copy| u64::from(copy.reserved.cpu.0)).sum()
     }
 
     /// The lasting task whose end makes room for a task of `step` and opens most of its worker to fillers; of
@@ -100,13 +103,13 @@
         for (id, worker) in &self.workers {
             let suits = worker.info.service == *service
                 && worker.takes_work(now, &self.limits)
-                && self.allows(now, task, id)
+                && self.is_allowed(now, task, id)
                 && step.label.as_ref().is_none_or(|label| worker.info.has_label(label));
             if !suits {
                 continue;
             }
             for ((task, run), copy) in yielding(now, worker, step) {
-                let yields = (self.opens(worker, copy), Reverse(copy.hard.cpu));
+                let yields = (self.opens(worker, copy), Reverse(copy.reserved.cpu));
                 if best.as_ref().is_none_or(|(known, ..)| yields > *known) {
                     best = Some((yields, id.clone(), task, run));
                 }
@@ -116,12 +119,12 @@
     }
 
     /// How much room for fillers the end of a serving task would open, in steps.
-    fn opens(&self, worker: &Worker, copy: &Copy) -> i64 {
-        if !copy.serves {
+    fn opens(&self, worker: &Worker, copy: &Attempt) -> i64 {
+        if !copy.latency_critical {
             return 0;
         }
         let opened = self.colocation.opened_without(&worker.neighbours, copy.image);
-        (opened * worker.room_for_fillers() as f32 / ROOM_STEP) as i64
+        (opened * worker.room_for_fillers() as f32 / CAPACITY_STEP_MILLICORES) as i64
     }
 }
 
@@ -130,15 +133,15 @@
     now: Time,
     worker: &'a Worker,
     step: &'a Step,
-) -> impl Iterator<Item = ((TaskId, RunId), &'a Copy)> + 'a {
+) -> impl Iterator<Item = ((TaskId, RunId), &'a Attempt)> + 'a {
     let free = worker.free();
     let settled = |phase| matches!(phase, Phase::Running { .. });
     worker
         .copies
         .iter()
         .filter(move |(_, copy)| {
-            copy.yields && settled(copy.phase) && now.since(copy.placed) >= LEAST_STAY
+            copy.preemptible && settled(copy.phase) && now.since(copy.placed_at) >= LEAST_STAY
         })
-        .filter(move |(_, copy)| step.resources.fits(&free.plus(&copy.hard)))
+        .filter(move |(_, copy)| step.resources.fits(&free.plus(&copy.reserved)))
         .map(|(key, copy)| (*key, copy))
 }
--- a/crates/workflow/src/scheduler/queue.rs
+++ b/crates/workflow/src/scheduler/queue.rs
@@ -120,7 +120,7 @@
             tasks.flat_map(|step| &step.tasks).flat_map(|task| task.copies.clone()).collect();
         flow.occurrences.clear();
         self.colocation.forget(id);
-        self.forget_advice(id);
+        self.remove_advice(id);
         log::info!(workflow:% = id, outcome:? = outcome, copies = copies.len(); "workflow_ended");
         for (worker, run) in copies {
             self.stop_runs(now, &worker, StopReason::WorkflowEnded, out, |task, of| {
--- a/crates/workflow/src/scheduler/recording.rs
+++ b/crates/workflow/src/scheduler/recording.rs
@@ -72,7 +72,10 @@
             || !self.restored.is_empty()
             || self.upkeep.has_news()
             || !self.dirty.is_empty()
-            || self.workers.values().any(|worker| worker.forgettable() > worker.recorded)
+            || self
+                .workers
+                .values()
+                .any(|worker| worker.max_acknowledgeable_end() > worker.recorded)
     }
 
     /// Sends what is to be recorded, if no append is under way.
@@ -92,8 +95,8 @@
             recording.ends = self
                 .workers
                 .iter()
-                .filter(|(_, worker)| worker.forgettable() > worker.recorded)
-                .map(|(id, worker)| (id.clone(), worker.forgettable()))
+                .filter(|(_, worker)| worker.max_acknowledgeable_end() > worker.recorded)
+                .map(|(id, worker)| (id.clone(), worker.max_acknowledgeable_end()))
                 .collect();
         }
         recording.waves = self.upkeep.take_dirty();
--- a/crates/workflow/src/scheduler/regroup.rs
+++ b/crates/workflow/src/scheduler/regroup.rs
@@ -4,7 +4,9 @@
 //! costs the batch which waits for it, and the room that a move opens is used over and over.
 
 use {
-    super::{Copy, Effect, Phase, Scheduler, Worker, place::siblings, waits::StopReason},
+    super::{
+        Attempt, Effect, Phase, Scheduler, Worker, placement::count_siblings, waits::StopReason,
+    },
     crate::{
         RunId, Step, TaskId, WorkerId,
         colocation::{Company, Host, Movable, Regrouping},
@@ -29,7 +31,7 @@
 const LEAST_STAY: Duration = Duration::from_secs(3);
 
 /// A task that may be moved, and where it runs.
-struct Candidate {
+struct MovableTask {
     worker: WorkerId,
     task: TaskId,
     run: RunId,
@@ -48,7 +50,7 @@
         let services: BTreeSet<CompactString> =
             self.workers.values().map(|worker| worker.info.service.clone()).collect();
         for service in services {
-            for Candidate { worker, task, run } in self.better_elsewhere(now, &service) {
+            for MovableTask { worker, task, run } in self.better_elsewhere(now, &service) {
                 self.measures.regrouped += 1;
                 log::info!(task:%, run:%, worker:% = worker; "serving_regrouped");
                 self.stop_runs(now, &worker, StopReason::Regrouped, out, |of, number| {
@@ -58,7 +60,7 @@
         }
     }
 
-    fn better_elsewhere(&self, now: Time, service: &CompactString) -> Vec<Candidate> {
+    fn better_elsewhere(&self, now: Time, service: &CompactString) -> Vec<MovableTask> {
         let takes = |worker: &Worker| {
             worker.info.service == *service && worker.takes_work(now, &self.limits)
         };
@@ -70,8 +72,8 @@
         for (place, (id, worker)) in workers.iter().enumerate() {
             for ((task, run), copy) in &worker.copies {
                 if self.may_be_moved(now, *task, copy) {
-                    movable.push(Movable { host: place, image: copy.image, hard: copy.hard });
-                    candidates.push(Candidate { worker: (*id).clone(), task: *task, run: *run });
+                    movable.push(Movable { host: place, image: copy.image, hard: copy.reserved });
+                    candidates.push(MovableTask { worker: (*id).clone(), task: *task, run: *run });
                 }
             }
         }
@@ -79,7 +81,7 @@
         let suits = |task: usize, host: usize| {
             let task = candidates[task].task;
             let most = self.step(task).map_or(0, |step| step.per_worker as usize);
-            most == 0 || siblings(workers[host].1, task) < most
+            most == 0 || count_siblings(workers[host].1, task) < most
         };
         let best = company.best_regrouping(&hosts, &movable, suits);
         let Some(Regrouping { first, second }) = best else { return Vec::new() };
@@ -89,14 +91,14 @@
 
     /// Whether a serving task may be stopped to run elsewhere: it has settled, may be away, goes anywhere, and
     /// no other one of its step is away.
-    fn may_be_moved(&self, now: Time, task: TaskId, copy: &Copy) -> bool {
+    fn may_be_moved(&self, now: Time, task: TaskId, copy: &Attempt) -> bool {
         let settled = matches!(copy.phase, Phase::Running { .. })
             && copy.percent >= 100
-            && now.since(copy.placed) >= LEAST_STAY;
+            && now.since(copy.placed_at) >= LEAST_STAY;
         let goes_anywhere =
             |step: &Step| step.label.is_none() && step.data_rack.is_none() && !step.gang;
-        copy.serves
-            && copy.yields
+        copy.latency_critical
+            && copy.preemptible
             && settled
             && self.step(task).is_some_and(goes_anywhere)
             && self.needs_ticket(task.step_id()).is_none()
--- a/crates/workflow/src/scheduler/start_window.rs
+++ b/crates/workflow/src/scheduler/start_window.rs
@@ -38,19 +38,19 @@
     }
 
     /// A start was decided.
-    pub fn decide(&mut self) {
+    pub fn on_decided(&mut self) {
         self.under_way += 1;
     }
 
     /// A start is over and done with; `answered` if its worker said anything.
-    pub fn settle(&mut self, now: Time, answered: bool) {
+    pub fn on_settled(&mut self, now: Time, answered: bool) {
         self.under_way = self.under_way.saturating_sub(1);
         self.answered += usize::from(answered);
-        self.follow(now);
+        self.update_limit(now);
     }
 
     /// Follows how many were answered lately.
-    pub fn follow(&mut self, now: Time) {
+    pub fn update_limit(&mut self, now: Time) {
         let elapsed = now.since(self.counted_since);
         if elapsed < SPAN {
             return;
--- a/crates/workflow/src/scheduler/stragglers.rs
+++ b/crates/workflow/src/scheduler/stragglers.rs
@@ -7,7 +7,8 @@
 
 use {
     super::{
-        Copy, Effect, HoldReply, Need, Phase, Scheduler, Worker, copy::FULL_PACE, waits::StopReason,
+        Attempt, Effect, HoldReply, Phase, Requirements, Scheduler, Worker,
+        attempt::FULL_PACE_PERCENT, waits::StopReason,
     },
     crate::{RunId, Step, TaskId, WorkerId},
     egretlb_types::Time,
@@ -66,12 +67,12 @@
 /// The share of a new measurement in a worker's speed.
 const SPEED_SHARE: f32 = 0.5;
 
-impl Copy {
+impl Attempt {
     /// It runs, by the worker's word.
-    pub(super) fn begin(&mut self, now: Time, clock_ms: u64) {
+    pub(super) fn set_running(&mut self, now: Time, clock_ms: u64) {
         self.phase = Phase::Running { clock_ms };
         self.confirmed = true;
-        (self.began, self.moved_at, self.sampled) = (now, now, (now, 0));
+        (self.running_since, self.progressed_at, self.speed_sample) = (now, now, (now, 0));
     }
 
     /// The shortest time over which its progress says anything.
@@ -80,14 +81,14 @@
     }
 
     /// Whether it began too lately to be judged by its progress.
-    pub(super) fn is_fresh(&self, now: Time) -> bool {
+    pub(super) fn is_too_recent_to_judge(&self, now: Time) -> bool {
         let judged_after = JUDGED_AFTER.max(self.telling_span());
-        self.estimate_ms > 0 && now.since(self.began) < judged_after
+        self.estimate_ms > 0 && now.since(self.running_since) < judged_after
     }
 
     /// How fast it got on since that was last measured, as a multiple of what was estimated.
-    pub(super) fn speed(&mut self, now: Time, percent: u32) -> Option<f32> {
-        let (since, before) = self.sampled;
+    pub(super) fn sample_speed(&mut self, now: Time, percent: u32) -> Option<f32> {
+        let (since, before) = self.speed_sample;
         let passed = now.since(since);
         let runs = matches!(self.phase, Phase::Running { .. });
         // While it resumes from a checkpoint it stands still in any case.
@@ -96,14 +97,14 @@
         if self.estimate_ms == 0 || !runs || soon || stands || percent < before {
             return None;
         }
-        self.sampled = (now, percent);
+        self.speed_sample = (now, percent);
         let done = (percent - before) as f32 / 100.0 * self.estimate_ms as f32 / 1_000.0;
         Some(done / passed.as_secs_f32())
     }
 
     /// Whether what is left of it takes longer than the whole task would elsewhere.
     fn lags(&self, now: Time, resumed: bool) -> bool {
-        let ran = now.since(self.began);
+        let ran = now.since(self.running_since);
         let patience = if resumed { RESUMED_AFTER } else { JUDGED_AFTER };
         if self.estimate_ms == 0 || ran < patience.max(self.telling_span()) {
             return false;
@@ -117,7 +118,7 @@
 
 impl Worker {
     /// Takes in how fast a task got on here.
-    pub(super) fn measure_speed(&mut self, now: Time, speed: f32) {
+    pub(super) fn add_speed_sample(&mut self, now: Time, speed: f32) {
         let known = self.speed.filter(|(_, at)| now.since(*at) < SPEED_FORGOTTEN);
         let mean = known.map_or(speed, |(known, _)| known + SPEED_SHARE * (speed - known));
         self.speed = Some((mean, now));
@@ -134,16 +135,16 @@
     Slow,
 }
 
-fn judge(now: Time, copy: &Copy, step: &Step, resumed: bool) -> Option<Straggler> {
+fn judge(now: Time, copy: &Attempt, step: &Step, resumed: bool) -> Option<Straggler> {
     if step.lasting || step.gang || !matches!(copy.phase, Phase::Running { .. }) {
         return None;
     }
     // One that is held back gets on as slowly as it should.
-    if copy.pace < FULL_PACE {
+    if copy.pace < FULL_PACE_PERCENT {
         return None;
     }
-    let ran = now.since(copy.placed);
-    if now.since(copy.moved_at) >= STANDS_AFTER && ran >= STANDS_AFTER {
+    let ran = now.since(copy.placed_at);
+    if now.since(copy.progressed_at) >= STANDS_AFTER && ran >= STANDS_AFTER {
         return Some(Straggler::Standing);
     }
     if copy.lags(now, resumed) {
@@ -157,7 +158,7 @@
 
 impl Scheduler {
     /// Moves what stands still or is slow at a worker that has just been heard.
-    pub(super) fn chase(
+    pub(super) fn handle_stragglers(
         &mut self,
         now: Time,
         id: &WorkerId,
@@ -186,7 +187,7 @@
             worker.barred_until = worker.barred_until.max(now + STANDING_BAR);
         }
         for (task, run) in found.into_iter().take(MOVES_PER_ANSWER) {
-            self.move_straggler(now, id, task, run, out);
+            self.relocate_straggler(now, id, task, run, out);
         }
     }
 
@@ -196,8 +197,8 @@
         let Some(flow) = self.flows.get(&task.workflow) else { return false };
         let service = flow.submission.service.clone();
         self.avoid(now, task, id);
-        let need = Need::new(&step, &mut self.colocation);
-        if self.nowhere.knows(now, &service, &step) {
+        let need = Requirements::new(&step, &mut self.colocation);
+        if self.nowhere.contains(now, &service, &step) {
             return false;
         }
         let fits = self.choose_elsewhere(now, task, &service, &need).is_some();
@@ -207,7 +208,7 @@
         fits
     }
 
-    fn move_straggler(
+    fn relocate_straggler(
         &mut self,
         now: Time,
         id: &WorkerId,
@@ -226,7 +227,7 @@
         if step.speculative && !self.may_start() {
             return;
         }
-        let need = Need::new(&step, &mut self.colocation);
+        let need = Requirements::new(&step, &mut self.colocation);
         // Without another place it is better off where it is.
         let Some(other) = self.choose_elsewhere(now, task, &service, &need) else { return };
         log::info!(task:%, run:%, worker:% = id, copied = step.speculative; "straggler_moved");
@@ -234,7 +235,7 @@
             state.left += 1;
         }
         if step.speculative {
-            self.start(now, task, &need, &other, None, out);
+            self.start_attempt(now, task, &need, &other, None, out);
         } else {
             self.stop_runs(now, id, StopReason::Slow, out, |of, number| {
                 of == task && number == run
--- a/crates/workflow/src/scheduler/survey.rs
+++ b/crates/workflow/src/scheduler/survey.rs
@@ -8,7 +8,7 @@
 //! of the leader, however long it has been lost.
 
 use {
-    super::{Copy, Inherited, Need, Phase, Scheduler, Worker, flow::TaskState},
+    super::{Attempt, Inherited, Phase, Requirements, Scheduler, Worker, flow::TaskState},
     crate::{
         Announced, Evidence, Ledger, Roster, RosterEntry, RunId, Standing, TaskId, WorkerId,
         WorkerInfo, WorkerState,
@@ -67,7 +67,7 @@
         for (task, Announced { run, worker: id }) in self.all_announced() {
             let held = self.task(task).is_some_and(|state| !state.copies.is_empty());
             if !self.workers.contains_key(&id) {
-                self.note_crash(task, run, Evidence::Unsure);
+                self.add_crash(task, run, Evidence::Unsure);
             } else if !held {
                 self.suppose(now, &id, task, run);
             }
@@ -78,7 +78,7 @@
     fn suspect_inherited(&mut self, id: &WorkerId, key: (TaskId, RunId)) {
         let copy = self.workers.get_mut(id).and_then(|worker| worker.copies.get_mut(&key));
         if let Some(copy) = copy {
-            copy.inherited_unproved = true;
+            copy.inherited_in_probation = true;
         }
     }
 
@@ -122,9 +122,9 @@
     /// Takes a run at a silent worker as under way, until the worker answers or its leases have lapsed.
     fn suppose(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
         let step = self.step(task).cloned().unwrap_or_default();
-        let need = Need::new(&step, &mut self.colocation);
+        let need = Requirements::new(&step, &mut self.colocation);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.insert(task, run, Copy::new(now, &need, Phase::Running { clock_ms: 0 }));
+            worker.insert(task, run, Attempt::new(now, &need, Phase::Running { clock_ms: 0 }));
         }
         if let Some(state) = self.task_mut(task)
             && !state.done
@@ -147,7 +147,7 @@
             return Standing::Unanswered { lapses_ms };
         }
         if worker.lists_silent(now, &self.limits) {
-            let unproved = worker.unproved_runs().collect();
+            let unproved = worker.runs_in_probation().collect();
             return Standing::Silent { runs: runs(), unproved, lapses_ms };
         }
         if worker.leaves() {
--- a/crates/workflow/src/scheduler/unclear.rs
+++ b/crates/workflow/src/scheduler/unreadable_rows.rs
@@ -22,18 +22,18 @@
 
 /// What the absence of a run from a worker's list means.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Absent {
+pub(super) enum AbsentRun {
     /// It isn't under way any more.
-    Gone,
+    Ended,
     /// It may yet begin, or may be what a row that can't be read stands for; a stop settles it.
-    Doubtful,
+    Unconfirmed,
     /// Nothing yet.
-    Unsettled,
+    Undecided,
 }
 
 /// What can't be read of a worker's lists.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Unclear {
+pub(crate) struct UnreadableRows {
     /// Since when each answer had rows of runs that can't be read.
     runs_since: Option<Time>,
     /// The numbers of ends that can't be read, in order, and since when there are any.
@@ -43,9 +43,9 @@
     given_up: u64,
 }
 
-impl Unclear {
+impl UnreadableRows {
     /// Takes an answer in; returns whether a run that it doesn't list may be one that can't be read.
-    pub(super) fn note(&mut self, now: Time, reply: &HoldReply) -> bool {
+    pub(super) fn update(&mut self, now: Time, reply: &HoldReply) -> bool {
         self.runs_since = (reply.odd.runs > 0).then(|| self.runs_since.unwrap_or(now));
         let given_up = self.given_up;
         self.open_ends = reply.odd.ends.iter().copied().filter(|end| *end > given_up).collect();
@@ -64,18 +64,18 @@
     }
 
     /// Whether all rows of the last answer that may stand for a run or its end could be read.
-    pub(super) fn is_clear(&self) -> bool {
+    pub(super) fn all_readable(&self) -> bool {
         self.runs_since.is_none() && self.open_ends.is_empty()
     }
 
     /// Whether an end couldn't be read in the last answer that was taken in.
-    pub(super) fn is_open(&self, end: u64) -> bool {
+    pub(super) fn is_unreadable_end(&self, end: u64) -> bool {
         self.open_ends.contains(&end)
     }
 
     /// Ends that mean nothing and take up all room of the list. Others are acknowledged with the next end that
     /// means something: a number that another writer made up may be above those of ends to come.
-    pub(super) fn passed_over(&self, reply: &HoldReply) -> impl Iterator<Item = u64> {
+    pub(super) fn skipped_ends(&self, reply: &HoldReply) -> impl Iterator<Item = u64> {
         let (odd, given_up) = (&reply.odd, self.given_up);
         let given_up = odd.ends.iter().copied().filter(move |number| *number <= given_up);
         let nothing = given_up.chain(odd.foreign_ends.iter().copied());
@@ -83,48 +83,50 @@
     }
 
     /// Of ends up to `taken`, up to which one the worker may forget them once they are recorded.
-    pub(super) fn forgettable(&self, taken: u64) -> u64 {
+    pub(super) fn max_acknowledgeable_end(&self, taken: u64) -> u64 {
         let first = self.open_ends.first();
         first.map_or(taken, |first| taken.min(first.saturating_sub(1)))
     }
 
     /// What it means that a run isn't listed by an answer of the worker's clock `clock_ms` to a poll that was
     /// sent at `sent`.
-    pub(super) fn absent(
+    pub(super) fn classify_absent(
         &self,
         now: Time,
         phase: Phase,
         sent: Time,
         clock_ms: u64,
         lease: Duration,
-    ) -> Absent {
+    ) -> AbsentRun {
         let held = !self.open_ends.is_empty();
         match (phase, self.runs_since) {
-            (Phase::Running { clock_ms: known }, None) if clock_ms > known && !held => Absent::Gone,
+            (Phase::Running { clock_ms: known }, None) if clock_ms > known && !held => {
+                AbsentRun::Ended
+            }
             // What goes on behind a row that can't be read would be lost by a stop; what is gone without a
             // trace would hold its task for good without one.
             (Phase::Running { clock_ms: known }, Some(since))
                 if clock_ms > known && now.since(since) >= lease =>
             {
-                Absent::Doubtful
+                AbsentRun::Unconfirmed
             }
             (Phase::Stopping { confirmed_ms: Some(at), .. }, None) if clock_ms > at && !held => {
-                Absent::Gone
+                AbsentRun::Ended
             }
             (Phase::Stopping { confirmed_ms: Some(at), .. }, Some(_))
                 if clock_ms > at + STOP_SETTLED_MS && !held =>
             {
-                Absent::Gone
+                AbsentRun::Ended
             }
-            (Phase::Doubtful { since }, _) if sent > since => Absent::Doubtful,
-            _ => Absent::Unsettled,
+            (Phase::Unconfirmed { since }, _) if sent > since => AbsentRun::Unconfirmed,
+            _ => AbsentRun::Undecided,
         }
     }
 }
 
 impl Worker {
     /// Its entry in the directory can't be read: it hasn't left, and gets nothing new.
-    pub(super) fn lose_entry(&mut self) {
+    pub(super) fn mark_entry_unreadable(&mut self) {
         if !self.present {
             // That it leaves was only supposed, or its entry was gone.
             self.info.state = WorkerState::Other;
@@ -134,7 +136,7 @@
     }
 
     /// Ends up to here may be acknowledged once they are recorded.
-    pub(super) fn forgettable(&self) -> u64 {
-        self.unclear.forgettable(self.taken)
+    pub(super) fn max_acknowledgeable_end(&self) -> u64 {
+        self.unclear.max_acknowledgeable_end(self.taken)
     }
 }
--- a/crates/workflow/src/scheduler/upkeep/mod.rs
+++ b/crates/workflow/src/scheduler/upkeep/mod.rs
@@ -12,7 +12,7 @@
 
 use {
     self::stages::{Stage, WaveRun},
-    super::{Copy, Effect, Phase, Scheduler, waits::StopReason},
+    super::{Attempt, Effect, Phase, Scheduler, waits::StopReason},
     crate::{
         Ledger, RunId, TaskId, UpkeepResult, VmId, VmList, VmState, Wave, WaveState, WorkerId,
     },
@@ -221,7 +221,7 @@
     /// Stops what can go on elsewhere; of guarded steps only as many as may be away.
     fn move_away(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
         let Some(worker) = self.workers.get(id) else { return };
-        let moves = |copy: &Copy| copy.moves && matches!(copy.phase, Phase::Running { .. });
+        let moves = |copy: &Attempt| copy.movable && matches!(copy.phase, Phase::Running { .. });
         let moving: Vec<(TaskId, RunId)> =
             worker.copies.iter().filter(|(_, copy)| moves(copy)).map(|(key, _)| *key).collect();
         for (task, run) in moving {
@@ -256,7 +256,7 @@
         if !worker.surveyed && now < worker.lease_bound {
             return false;
         }
-        let guarded = |copy: &Copy| copy.lasts && !copy.yields;
+        let guarded = |copy: &Attempt| copy.long_running && !copy.preemptible;
         let guards = worker.copies.values().any(guarded);
         let responsive = worker.is_responsive(now, &self.limits);
         (worker.copies.is_empty() && (responsive || waited)) || (waited && !guards && responsive)
@@ -286,7 +286,7 @@
     }
 }
 
-impl Copy {
+impl Attempt {
     fn is_at_work(&self) -> bool {
         matches!(self.phase, Phase::Running { .. }) && self.percent >= 100
     }
--- a/crates/workflow/src/scheduler/waits/held.rs
+++ b/crates/workflow/src/scheduler/waits/held.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{
-        super::{Copy, Phase, Scheduler, Worker},
+        super::{Attempt, Phase, Scheduler, Worker},
         HeldSteps, MOST_NAMED, Reason,
     },
     crate::{RunId, StepId, TaskId, WorkerId},
@@ -73,18 +73,18 @@
     }
 
     /// None if a run is at work for all that is known.
-    fn doubt(&self, now: Time, worker: &Worker, copy: &Copy) -> Option<Doubt> {
+    fn doubt(&self, now: Time, worker: &Worker, copy: &Attempt) -> Option<Doubt> {
         if !worker.is_responsive(now, &self.limits) {
-            let since = worker.last_heard.map_or(copy.placed, |heard| heard.max(copy.placed));
+            let since = worker.last_heard.map_or(copy.placed_at, |heard| heard.max(copy.placed_at));
             let until = Some(worker.lease_bound);
             return Some(Doubt { reason: Reason::SilentWorker, since, until });
         }
         let (reason, since) = match copy.phase {
             Phase::Running { .. } => return None,
-            Phase::Starting => (Reason::BeingStarted, copy.placed),
-            Phase::Doubtful { .. } => (Reason::StartInDoubt, copy.placed),
+            Phase::Starting => (Reason::BeingStarted, copy.placed_at),
+            Phase::Unconfirmed { .. } => (Reason::StartInDoubt, copy.placed_at),
             Phase::Stopping { .. } => {
-                (Reason::BeingStopped, copy.stop.map_or(copy.placed, |stop| stop.since))
+                (Reason::BeingStopped, copy.stop.map_or(copy.placed_at, |stop| stop.since))
             }
         };
         Some(Doubt { reason, since, until: None })
--- a/crates/workflow/src/scheduler/waits/queued.rs
+++ b/crates/workflow/src/scheduler/waits/queued.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        super::{Need, Ready, Scheduler, Worker, place::has_room},
+        super::{Ready, Requirements, Scheduler, Worker, placement::has_capacity},
         Cause, MOST_NAMED, MOST_PLACES, Reason, ServiceWorkers, WaitingStep,
     },
     crate::{Step, StepId, TaskId, WorkerId},
@@ -53,15 +53,15 @@
 #[derive(Clone, Copy)]
 struct Wanted<'a> {
     task: TaskId,
-    need: Need<'a>,
+    need: Requirements<'a>,
     /// The same without regard to its step's other tasks.
-    alone: Need<'a>,
+    alone: Requirements<'a>,
 }
 
 impl Scheduler {
     /// The waiting tasks of a step in the queue.
     pub(super) fn queued_row(&mut self, now: Time, key: Ready) -> Option<WaitingStep> {
-        self.front(key)?;
+        self.front_task(key)?;
         let Cause { reason, workers, until, fleet } = self.cause(now, key)?;
         let queue = self.queue_of(key)?;
         let tasks = queue.len();
@@ -102,7 +102,7 @@
         if !self.may_start() {
             return Some(Cause::plain(Reason::StartsUnderWay));
         }
-        if step.lasting && self.gives_way(now, key) {
+        if step.lasting && self.defers_to_batch(now, key) {
             return Some(Cause::plain(Reason::GivesWay));
         }
         let index = *self.queue_of(key)?.front()?;
@@ -121,9 +121,9 @@
 
     /// What stops the workers that would suit best.
     fn best_place(&mut self, now: Time, task: TaskId, step: &Step) -> Option<Cause> {
-        let need = Need::new(step, &mut self.colocation);
+        let need = Requirements::new(step, &mut self.colocation);
         let alone = Step { per_worker: 0, ..step.clone() };
-        let wanted = Wanted { task, need, alone: Need { step: &alone, ..need } };
+        let wanted = Wanted { task, need, alone: Requirements { step: &alone, ..need } };
         let mut best = Stage::NoWorkers;
         let mut workers: SmallVec<[WorkerId; 1]> = SmallVec::new();
         let mut until: Option<Time> = None;
@@ -169,24 +169,27 @@
         if need.step.label.as_ref().is_some_and(|label| !worker.info.has_label(label)) {
             return Some(Stage::NoLabel);
         }
-        if !has_room(worker, task, &alone) {
+        if !has_capacity(worker, task, &alone) {
             return Some(Stage::NoRoom);
         }
         let state = self.task(task)?;
         Some(match () {
             () if now < worker.barred_span_end() => Stage::Barred,
-            () if !has_room(worker, task, &need) => Stage::AntiAffinity,
+            () if !has_capacity(worker, task, &need) => Stage::AntiAffinity,
             () if state.avoid.as_ref().is_some_and(|avoid| avoid.worker == *id) => {
                 Stage::FailedThere
             }
             () if self.is_held(id) => Stage::Upkeep,
-            () if !self.allows(now, task, id) => Stage::NoTicket,
+            () if !self.is_allowed(now, task, id) => Stage::NoTicket,
             () if need.step.fills
-                && self.colocation.disturbance(&worker.neighbours, need.filler()).is_none() =>
+                && self
+                    .colocation
+                    .disturbance(&worker.neighbours, need.best_effort_demand())
+                    .is_none() =>
             {
                 Stage::ServingTasks
             }
-            () if self.waits_for_company(now, worker, task, &need) => Stage::Company,
+            () if self.waits_for_better_worker(now, worker, task, &need) => Stage::Company,
             () => Stage::Takes,
         })
     }
--- a/crates/workflow/src/scheduler/waits/runs.rs
+++ b/crates/workflow/src/scheduler/waits/runs.rs
@@ -173,7 +173,7 @@
         let stop = copy.and_then(|copy| copy.stop);
         // A workflow that was cancelled is forgotten before its runs have ended; an end may also be of
         // a run that only a predecessor knew.
-        let lasts = copy.map_or_else(|| self.is_lasting(task), |copy| copy.lasts);
+        let lasts = copy.map_or_else(|| self.is_lasting(task), |copy| copy.long_running);
         let silent = doubt.is_some_and(|(reason, _)| reason == Reason::SilentWorker);
         // Its user has been without it since its worker was last heard, as far as anybody knows.
         let heard = doubt.filter(|_| silent && matches!(over, Over::Lost)).map(|(_, heard)| heard);
--- a/crates/workflow/src/scheduler/worker.rs
+++ b/crates/workflow/src/scheduler/worker.rs
@@ -1,7 +1,7 @@
 //! What the leader knows of a worker.
 
 use {
-    super::{copy::Copy, unclear::Unclear},
+    super::{attempt::Attempt, unreadable_rows::UnreadableRows},
     crate::{Limits, RunId, TaskId, WorkerInfo, WorkerState, colocation::Neighbours},
     egretlb_types::{Resources, Time},
     std::{collections::BTreeMap, time::Duration},
@@ -50,12 +50,12 @@
     pub(crate) poll_sent: Option<Time>,
     pub(crate) poll_at: Time,
     /// Rows of its lists that can't be read.
-    pub(super) unclear: Unclear,
+    pub(super) unclear: UnreadableRows,
     /// Ends up to here were taken in.
     pub(crate) taken: u64,
     /// Ends up to here are recorded, so the worker may forget them.
     pub(crate) recorded: u64,
-    pub(crate) copies: BTreeMap<(TaskId, RunId), Copy>,
+    pub(crate) copies: BTreeMap<(TaskId, RunId), Attempt>,
     pub(crate) committed: Resources,
     pub(crate) soft: u32,
     pub(crate) serving: u32,
@@ -100,7 +100,7 @@
             clock: None,
             poll_sent: None,
             poll_at: now,
-            unclear: Unclear::default(),
+            unclear: UnreadableRows::default(),
             taken: 0,
             recorded: 0,
             copies: BTreeMap::new(),
@@ -121,32 +121,32 @@
         }
     }
 
-    pub(crate) fn insert(&mut self, task: TaskId, run: RunId, copy: Copy) {
-        self.committed = self.committed.plus(&copy.hard);
-        self.soft += copy.soft.0;
-        self.serving += u32::from(copy.serves);
-        self.filling += u32::from(copy.fills);
-        self.trials += u32::from(copy.trial);
-        if copy.serves {
+    pub(crate) fn insert(&mut self, task: TaskId, run: RunId, copy: Attempt) {
+        self.committed = self.committed.plus(&copy.reserved);
+        self.soft += copy.best_effort_cpu.0;
+        self.serving += u32::from(copy.latency_critical);
+        self.filling += u32::from(copy.best_effort);
+        self.trials += u32::from(copy.isolated);
+        if copy.latency_critical {
             self.neighbours.add_serving(copy.image);
         }
-        if copy.fills {
+        if copy.best_effort {
             self.neighbours.add_filling(copy.image, copy.paced_cpu());
         }
         self.copies.insert((task, run), copy);
     }
 
-    pub(crate) fn remove(&mut self, task: TaskId, run: RunId) -> Option<Copy> {
+    pub(crate) fn remove(&mut self, task: TaskId, run: RunId) -> Option<Attempt> {
         let copy = self.copies.remove(&(task, run))?;
-        self.committed = self.committed.minus(&copy.hard);
-        self.soft -= copy.soft.0;
-        self.serving -= u32::from(copy.serves);
-        self.filling -= u32::from(copy.fills);
-        self.trials -= u32::from(copy.trial);
-        if copy.serves {
+        self.committed = self.committed.minus(&copy.reserved);
+        self.soft -= copy.best_effort_cpu.0;
+        self.serving -= u32::from(copy.latency_critical);
+        self.filling -= u32::from(copy.best_effort);
+        self.trials -= u32::from(copy.isolated);
+        if copy.latency_critical {
             self.neighbours.remove_serving(copy.image);
         }
-        if copy.fills {
+        if copy.best_effort {
             self.neighbours.remove_filling(copy.image, copy.paced_cpu());
         }
         Some(copy)
@@ -225,7 +225,7 @@
 
     /// Whether it may get a new task.
     pub(crate) fn takes_work(&self, now: Time, limits: &Limits) -> bool {
-        now >= self.quarantined_until && !self.is_kept(now) && self.takes_any_work(now, limits)
+        now >= self.quarantined_until && !self.is_reserved(now) && self.takes_any_work(now, limits)
     }
 
     /// Whether it may get a new task that can't go elsewhere.
--- a/crates/workflow/tests/start_window.rs
+++ b/crates/workflow/tests/start_window.rs
@@ -18,14 +18,14 @@
     for step in 0..6_000 {
         now = now + STEP;
         while window.is_open() {
-            window.decide();
+            window.on_decided();
             waiting.push_back(now);
         }
         credit = (credit + rate as f64 / 1_000.0).min(rate as f64);
         while credit >= 1.0 && waiting.front().is_some_and(|since| now.since(*since) >= delay) {
             credit -= 1.0;
             let since = waiting.pop_front().unwrap_or(now);
-            window.settle(now, answers(now));
+            window.on_settled(now, answers(now));
             if step >= 5_000 {
                 served += 1;
                 longest = longest.max(now.since(since));
