--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -11,19 +11,21 @@
 
 mod active_workflow;
 mod advice;
+mod attempt;
 mod audit;
+mod candidates;
 mod commands;
-mod copy;
 mod effect;
-mod ends;
 mod fallback;
 mod gangs;
+mod isolated_start;
+mod latency_critical;
 mod lists;
-mod losses;
+mod lost_workers;
 mod maintenance;
 mod pacing;
-mod place;
-mod places;
+mod placement;
+mod poll_reply;
 mod polls;
 mod preempt;
 mod queue;
@@ -31,18 +33,16 @@
 mod recording;
 mod regroup;
 mod restore;
-mod serving;
 mod start_window;
 mod stragglers;
-mod trials;
-mod unclear;
+mod unreadable_rows;
 mod waits;
 mod worker;
 
 use {
     self::{
         active_workflow::ActiveWorkflow,
-        copy::{Copy, Need, Phase},
+        attempt::{Attempt, Phase, Requirements},
         waits::StopReason,
         worker::{Inherited, Worker},
     },
@@ -129,15 +129,15 @@
     regroup_turn: usize,
     start_window: StartWindow,
     /// Workers of which something was heard, for steps that found no place.
-    contacts: places::Heard,
-    failed_searches: places::Nowhere,
+    contacts: candidates::UpdatedWorkers,
+    failed_searches: candidates::UnplaceableDemands,
     /// Processor time, in thousandths of a core, that stops will free, by service; summed up once in a pass.
     cpu_being_freed: Vec<(CompactString, u64)>,
     /// When workers were last looked through for what time alone changes.
     swept_at: Time,
     /// The records are read too late to start anything.
     lagging: bool,
-    lost_workers: losses::Losses,
+    lost_workers: lost_workers::LostWorkers,
     /// Whether this pass looks for workers for suspected tasks: each takes a look at all of them.
     isolated_starts_due: bool,
     stats: SchedulerStats,
@@ -226,12 +226,12 @@
             regrouped_at: now,
             regroup_turn: 0,
             start_window: StartWindow::new(now),
-            contacts: places::Heard::default(),
-            failed_searches: places::Nowhere::default(),
+            contacts: candidates::UpdatedWorkers::default(),
+            failed_searches: candidates::UnplaceableDemands::default(),
             cpu_being_freed: Vec::new(),
             swept_at: Time::ZERO,
             lagging: false,
-            lost_workers: losses::Losses::default(),
+            lost_workers: lost_workers::LostWorkers::default(),
             isolated_starts_due: false,
             stats: SchedulerStats::default(),
             waits: waits::Waits::default(),
@@ -262,7 +262,7 @@
             }
             DirectoryChange::Unreadable(id) => {
                 if let Some(worker) = self.workers.get_mut(&id) {
-                    worker.lose_entry();
+                    worker.mark_entry_unreadable();
                 }
             }
         }
@@ -311,16 +311,16 @@
     /// Time has passed: begins what is due, places tasks, polls workers, records.
     pub fn tick(&mut self, now: Time, wall_ms: u64, out: &mut Vec<Effect>) {
         self.wall_ms = wall_ms;
-        self.start_window.follow(now);
+        self.start_window.update_limit(now);
         let keeps = now.since(self.swept_at) >= KEEP_GAP;
         if keeps {
             self.swept_at = now;
             self.expire(now);
-            self.announce_unheard(now);
+            self.announce_unresponsive(now);
         }
         self.isolated_starts_due = keeps;
         while let Some(id) = self.exhausted.pop_first() {
-            self.tell_given_up(id);
+            self.log_given_up(id);
             self.end_workflow(now, id, Outcome::Failed, out);
         }
         self.begin_due(now);
@@ -329,20 +329,20 @@
             self.resend_stops(now, out);
             self.advance_waves(now, out);
         }
-        self.learn(now);
+        self.update_interference_model(now);
         self.place_ready(now, out);
         self.regroup(now, out);
-        self.ask_advice(now, out);
+        self.request_advice(now, out);
         self.poll(now, out);
         self.record(now, out);
         self.log_waits(now);
-        self.lost_workers.tell_left_out(now);
+        self.lost_workers.log_suppressed_lines(now);
     }
 
     /// Stops what can go on elsewhere on workers that are about to leave: when they go, all that still
     /// runs there is lost, and is found missing only after its lease.
     fn evacuate(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let moves = |copy: &Copy| copy.moves && matches!(copy.phase, Phase::Running { .. });
+        let moves = |copy: &Attempt| copy.movable && matches!(copy.phase, Phase::Running { .. });
         let mut leaving: Vec<(WorkerId, Vec<(TaskId, RunId)>)> = Vec::new();
         for (id, worker) in &self.workers {
             if worker.info.state != WorkerState::Draining || !worker.in_directory {
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -2,7 +2,7 @@
 //! worker lives.
 
 use {
-    super::{Effect, Phase, PollReply, Scheduler, losses::Loss},
+    super::{Effect, Phase, PollReply, Scheduler, lost_workers::WorkerLoss},
     crate::{WorkerId, WorkerState},
     egretlb_types::Time,
     std::time::Duration,
@@ -56,7 +56,7 @@
             worker.next_poll_at = now + self.limits.poll_gap;
         }
         match result {
-            PollResult::Lists(reply) => self.on_lists(now, id, sent, reply, out),
+            PollResult::Lists(reply) => self.apply_poll_reply(now, id, sent, reply, out),
             PollResult::Outranked => out.push(Effect::Outranked),
             PollResult::OtherIncarnation => self.on_other_incarnation(now, id),
             PollResult::Refused | PollResult::Failed => {
@@ -102,8 +102,8 @@
                 !worker.reconciled || worker.attempts.values().any(|c| unsettled(&c.phase));
             let pressed =
                 worker.latency_critical > 0 && (worker.best_effort > 0 || worker.over_target);
-            let fresh =
-                worker.is_kept(now) || worker.attempts.values().any(|copy| copy.is_fresh(now));
+            let fresh = worker.is_reserved(now)
+                || worker.attempts.values().any(|copy| copy.is_too_recent_to_judge(now));
             let wait = match (hurried, busy, fresh, pressed) {
                 (true, ..) | (_, false, ..) => Duration::ZERO,
                 (false, true, true, _) => FRESH_WAIT,
@@ -155,7 +155,7 @@
         if runs > 0 {
             log::warn!(worker:% = id, runs; "leases_lapsed");
         }
-        self.lose_runs(now, id, Loss::Lapsed);
+        self.requeue_lost_runs(now, id, WorkerLoss::Lapsed);
         if !present && self.unreconciled.get(id).is_none_or(|until| now >= *until) {
             self.workers.remove(id);
             self.roster_dirty = true;
--- a/crates/workflow/src/scheduler/reconciliation.rs
+++ b/crates/workflow/src/scheduler/reconciliation.rs
@@ -8,7 +8,9 @@
 //! of the leader, however long it has been lost.
 
 use {
-    super::{Copy, Inherited, Need, Phase, Scheduler, Worker, active_workflow::TaskState},
+    super::{
+        Attempt, Inherited, Phase, Requirements, Scheduler, Worker, active_workflow::TaskState,
+    },
     crate::{
         AnnouncedRun, CrashEvidence, Ledger, Roster, RosterEntry, RosterState, RunId, TaskId,
         WorkerId, WorkerInfo, WorkerState,
@@ -72,7 +74,7 @@
         for (task, AnnouncedRun { run, worker: id }) in self.all_announced() {
             let held = self.task(task).is_some_and(|state| !state.attempts.is_empty());
             if !self.workers.contains_key(&id) {
-                self.note_crash(task, run, CrashEvidence::Unsure);
+                self.add_crash(task, run, CrashEvidence::Unsure);
             } else if !held {
                 self.suppose(now, &id, task, run);
             }
@@ -83,7 +85,7 @@
     fn suspect_inherited(&mut self, id: &WorkerId, key: (TaskId, RunId)) {
         let copy = self.workers.get_mut(id).and_then(|worker| worker.attempts.get_mut(&key));
         if let Some(copy) = copy {
-            copy.inherited_unproved = true;
+            copy.inherited_in_probation = true;
         }
     }
 
@@ -130,9 +132,9 @@
     /// Takes a run at a silent worker as under way, until the worker answers or its leases have lapsed.
     fn suppose(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
         let step = self.step(task).cloned().unwrap_or_default();
-        let need = Need::new(&step, &mut self.colocation);
+        let need = Requirements::new(&step, &mut self.colocation);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.insert(task, run, Copy::new(now, &need, Phase::Running { clock_ms: 0 }));
+            worker.insert(task, run, Attempt::new(now, &need, Phase::Running { clock_ms: 0 }));
         }
         if let Some(state) = self.task_mut(task)
             && !state.done
@@ -155,7 +157,7 @@
             return RosterState::Unreconciled { lapses_ms };
         }
         if worker.should_list_unresponsive(now, &self.limits) {
-            let just_started = worker.unproved_runs().collect();
+            let just_started = worker.runs_in_probation().collect();
             return RosterState::Unresponsive { runs: runs(), just_started, lapses_ms };
         }
         if worker.is_draining() {
--- a/crates/workflow/src/scheduler/recording.rs
+++ b/crates/workflow/src/scheduler/recording.rs
@@ -72,7 +72,10 @@
             || !self.records_to_rewrite.is_empty()
             || self.maintenance.is_dirty()
             || !self.dirty.is_empty()
-            || self.workers.values().any(|worker| worker.forgettable() > worker.ends_recorded)
+            || self
+                .workers
+                .values()
+                .any(|worker| worker.max_acknowledgeable_end() > worker.ends_recorded)
     }
 
     /// Sends what is to be recorded, if no append is under way.
@@ -92,8 +95,8 @@
             recording.ends = self
                 .workers
                 .iter()
-                .filter(|(_, worker)| worker.forgettable() > worker.ends_recorded)
-                .map(|(id, worker)| (id.clone(), worker.forgettable()))
+                .filter(|(_, worker)| worker.max_acknowledgeable_end() > worker.ends_recorded)
+                .map(|(id, worker)| (id.clone(), worker.max_acknowledgeable_end()))
                 .collect();
         }
         recording.waves = self.maintenance.take_dirty();
--- a/crates/workflow/src/scheduler/worker.rs
+++ b/crates/workflow/src/scheduler/worker.rs
@@ -1,7 +1,7 @@
 //! What the leader knows of a worker.
 
 use {
-    super::{copy::Copy, unclear::Unclear},
+    super::{attempt::Attempt, unreadable_rows::UnreadableRows},
     crate::{Limits, RunId, TaskId, WorkerInfo, WorkerState, colocation::Neighbours},
     egretlb_types::{Resources, Time},
     std::{collections::BTreeMap, time::Duration},
@@ -50,12 +50,12 @@
     pub(crate) poll_sent: Option<Time>,
     pub(crate) next_poll_at: Time,
     /// Rows of its lists that can't be read.
-    pub(super) unreadable_rows: Unclear,
+    pub(super) unreadable_rows: UnreadableRows,
     /// Ends up to here were taken in.
     pub(crate) ends_processed: u64,
     /// Ends up to here are recorded, so the worker may forget them.
     pub(crate) ends_recorded: u64,
-    pub(crate) attempts: BTreeMap<(TaskId, RunId), Copy>,
+    pub(crate) attempts: BTreeMap<(TaskId, RunId), Attempt>,
     pub(crate) committed: Resources,
     pub(crate) best_effort_demand: u32,
     pub(crate) latency_critical: u32,
@@ -100,7 +100,7 @@
             clock: None,
             poll_sent: None,
             next_poll_at: now,
-            unreadable_rows: Unclear::default(),
+            unreadable_rows: UnreadableRows::default(),
             ends_processed: 0,
             ends_recorded: 0,
             attempts: BTreeMap::new(),
@@ -121,32 +121,32 @@
         }
     }
 
-    pub(crate) fn insert(&mut self, task: TaskId, run: RunId, copy: Copy) {
-        self.committed = self.committed.plus(&copy.hard);
-        self.best_effort_demand += copy.soft.0;
-        self.latency_critical += u32::from(copy.serves);
-        self.best_effort += u32::from(copy.fills);
-        self.isolated_starts += u32::from(copy.trial);
-        if copy.serves {
+    pub(crate) fn insert(&mut self, task: TaskId, run: RunId, copy: Attempt) {
+        self.committed = self.committed.plus(&copy.reserved);
+        self.best_effort_demand += copy.best_effort_cpu.0;
+        self.latency_critical += u32::from(copy.latency_critical);
+        self.best_effort += u32::from(copy.best_effort);
+        self.isolated_starts += u32::from(copy.isolated);
+        if copy.latency_critical {
             self.neighbours.add_latency_critical(copy.image);
         }
-        if copy.fills {
+        if copy.best_effort {
             self.neighbours.add_best_effort(copy.image, copy.paced_cpu());
         }
         self.attempts.insert((task, run), copy);
     }
 
-    pub(crate) fn remove(&mut self, task: TaskId, run: RunId) -> Option<Copy> {
+    pub(crate) fn remove(&mut self, task: TaskId, run: RunId) -> Option<Attempt> {
         let copy = self.attempts.remove(&(task, run))?;
-        self.committed = self.committed.minus(&copy.hard);
-        self.best_effort_demand -= copy.soft.0;
-        self.latency_critical -= u32::from(copy.serves);
-        self.best_effort -= u32::from(copy.fills);
-        self.isolated_starts -= u32::from(copy.trial);
-        if copy.serves {
+        self.committed = self.committed.minus(&copy.reserved);
+        self.best_effort_demand -= copy.best_effort_cpu.0;
+        self.latency_critical -= u32::from(copy.latency_critical);
+        self.best_effort -= u32::from(copy.best_effort);
+        self.isolated_starts -= u32::from(copy.isolated);
+        if copy.latency_critical {
             self.neighbours.remove_latency_critical(copy.image);
         }
-        if copy.fills {
+        if copy.best_effort {
             self.neighbours.remove_best_effort(copy.image, copy.paced_cpu());
         }
         Some(copy)
@@ -226,7 +226,7 @@
     /// Whether it may get a new task.
     pub(crate) fn accepts_work(&self, now: Time, limits: &Limits) -> bool {
         now >= self.quarantined_until
-            && !self.is_kept(now)
+            && !self.is_reserved(now)
             && self.accepts_as_last_resort(now, limits)
     }
 
