--- a/crates/egretlbd/src/main.rs
+++ b/crates/egretlbd/src/main.rs
@@ -7,7 +7,7 @@
     egretlb_platform::{
         AdviceService, CloudFleet, JsonFormats, LogStore, RpcWorkers, Settings, SettingsError,
     },
-    egretlb_runtime::{Listeners, Node, NodeOptions, border::Platform, run},
+    egretlb_runtime::{Listeners, Node, NodeOptions, platform::Platform, run},
     egretlb_telemetry::LogOptions,
     egretlb_workflow::Limits,
     rand::{Rng, SeedableRng, rngs::SmallRng},
@@ -113,7 +113,7 @@
         name: settings.node_name.clone(),
         data_centre: settings.data_centre.clone(),
         incarnation: SmallRng::from_os_rng().random(),
-        power: settings.power(),
+        cpu_millicores: settings.power(),
         limits,
     };
     let platform = Platform {
--- a/crates/relay/src/assign.rs
+++ b/crates/relay/src/assignment.rs
@@ -58,12 +58,12 @@
     /// By a relay.
     Via(RelayNo),
     /// Not yet: relays are about to offer themselves.
-    Later,
+    Wait,
 }
 
 /// Why a relay is used no more.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Loss {
+pub enum RemovalReason {
     /// Most of its calls get no answer.
     CutOff,
 }
@@ -84,7 +84,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Carried {
+struct AssignedWorker {
     relay: Option<RelayNo>,
     unanswered: u32,
     direct_until: Option<Time>,
@@ -95,7 +95,7 @@
 pub struct Assignment {
     begun: Time,
     relays: BTreeMap<RelayNo, Relay>,
-    workers: HashMap<WorkerId, Carried>,
+    workers: HashMap<WorkerId, AssignedWorker>,
 }
 
 impl Assignment {
@@ -105,18 +105,18 @@
     }
 
     /// A relay is used from now on.
-    pub fn add(&mut self, now: Time, number: RelayNo, data_centre: CompactString) {
+    pub fn add_relay(&mut self, now: Time, number: RelayNo, data_centre: CompactString) {
         let relay =
             Relay { data_centre, workers: 0, counted_since: now, answered: 0, unanswered: 0 };
         self.relays.insert(number, relay);
     }
 
     /// A relay is used no more.
-    pub fn remove(&mut self, number: RelayNo) {
+    pub fn remove_relay(&mut self, number: RelayNo) {
         self.relays.remove(&number);
         for carried in self.workers.values_mut() {
             if carried.relay == Some(number) {
-                *carried = Carried::default();
+                *carried = AssignedWorker::default();
             }
         }
     }
@@ -127,12 +127,12 @@
     }
 
     /// How many workers a relay carries.
-    pub fn load(&self, number: RelayNo) -> usize {
+    pub fn worker_count(&self, number: RelayNo) -> usize {
         self.relays.get(&number).map_or(0, |relay| relay.workers)
     }
 
     /// Forgets workers that aren't known any more.
-    pub fn retain(&mut self, known: impl Fn(&WorkerId) -> bool) {
+    pub fn retain_workers(&mut self, known: impl Fn(&WorkerId) -> bool) {
         let relays = &mut self.relays;
         self.workers.retain(|id, carried| {
             let keep = known(id);
@@ -156,7 +156,7 @@
             return Route::Direct;
         }
         if self.relays.len() < wanted && now.since(self.begun) < OFFERS_WITHIN {
-            return Route::Later;
+            return Route::Wait;
         }
         let Some(fewest) = self.least_loaded(data_centre) else { return Route::Direct };
         let carried = match self.workers.get_mut(worker) {
@@ -194,15 +194,15 @@
 
     /// A call by way of a relay got an answer from the worker, or none. Returns why the relay is better given
     /// up, if it is.
-    pub fn note(
+    pub fn record_answer(
         &mut self,
         now: Time,
         number: RelayNo,
         worker: &WorkerId,
-        heard: bool,
-    ) -> Option<Loss> {
+        answered: bool,
+    ) -> Option<RemovalReason> {
         if let Some(carried) = self.workers.get_mut(worker) {
-            carried.unanswered = if heard { 0 } else { carried.unanswered + 1 };
+            carried.unanswered = if answered { 0 } else { carried.unanswered + 1 };
             if carried.unanswered >= DIRECT_AFTER {
                 carried.unanswered = 0;
                 carried.direct_until = Some(now + DIRECT_FOR);
@@ -212,12 +212,12 @@
         if now.since(relay.counted_since) >= COUNTED_FOR {
             (relay.counted_since, relay.answered, relay.unanswered) = (now, 0, 0);
         }
-        if heard {
+        if answered {
             relay.answered += 1;
         } else {
             relay.unanswered += 1;
         }
         let cut_off = relay.unanswered >= MOST_UNANSWERED && relay.unanswered > relay.answered;
-        cut_off.then_some(Loss::CutOff)
+        cut_off.then_some(RemovalReason::CutOff)
     }
 }
--- a/crates/relay/src/codec.rs
+++ b/crates/relay/src/codec.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{
-        message::{Answer, Call, Carried},
+        message::{Answer, Call, RelayedCall},
         rows::{self, Row},
     },
     compact_str::CompactString,
@@ -54,7 +54,7 @@
 impl std::error::Error for CodecError {}
 
 #[derive(Debug, Serialize, Deserialize)]
-enum Order {
+enum Command {
     Worker {
         id: WorkerId,
         addr: SocketAddr,
@@ -63,7 +63,7 @@
         workflow: WorkflowId,
         payload: CompactString,
     },
-    Hold {
+    Poll {
         worker: WorkerNo,
         recorded: u64,
         until_ms: Option<u64>,
@@ -74,7 +74,7 @@
         task: TaskId,
         run: RunId,
         until_ms: u64,
-        saved: CompactString,
+        checkpoint: CompactString,
         ticket: CompactString,
     },
     Stop {
@@ -91,13 +91,13 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct OrderFrame {
+struct CommandFrame {
     epoch: Epoch,
     /// On the relay's clock in milliseconds: what arrives later isn't carried out.
     until_ms: u64,
     /// The number of the first call; the others follow it.
     first: CallNo,
-    orders: Vec<Order>,
+    commands: Vec<Command>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -154,35 +154,35 @@
     payloads: Payloads,
     next: u32,
     first: u32,
-    orders: Vec<Order>,
+    commands: Vec<Command>,
 }
 
 impl LeaderCodec {
     /// Adds a call to the next frame.
     pub fn add(&mut self, worker: &WorkerId, addr: SocketAddr, call: Call) -> CallNo {
-        if self.orders.is_empty() {
+        if self.commands.is_empty() {
             self.first = self.next;
         }
         let worker = self.name(worker, addr);
-        let order = match call {
-            Call::Hold { recorded, until_ms, wait_ms } => {
-                Order::Hold { worker, recorded, until_ms, wait_ms }
+        let command = match call {
+            Call::Poll { recorded, until_ms, wait_ms } => {
+                Command::Poll { worker, recorded, until_ms, wait_ms }
             }
-            Call::Start { task, run, payload, until_ms, saved, ticket } => {
+            Call::Start { task, run, payload, until_ms, checkpoint, ticket } => {
                 self.name_payload(task.workflow, payload);
-                Order::Start { worker, task, run, until_ms, saved, ticket }
+                Command::Start { worker, task, run, until_ms, checkpoint, ticket }
             }
-            Call::Stop { task, run } => Order::Stop { worker, task, run },
-            Call::Pace { task, run, percent } => Order::Pace { worker, task, run, percent },
+            Call::Stop { task, run } => Command::Stop { worker, task, run },
+            Call::Pace { task, run, percent } => Command::Pace { worker, task, run, percent },
         };
-        self.orders.push(order);
+        self.commands.push(command);
         let number = CallNo(self.next);
         self.next = self.next.wrapping_add(1);
         number
     }
 
     /// Whether a call to the worker was added before.
-    pub fn knows(&self, id: &WorkerId) -> bool {
+    pub fn has_worker(&self, id: &WorkerId) -> bool {
         self.workers.contains_key(id)
     }
 
@@ -195,27 +195,27 @@
         let number = WorkerNo(u32::try_from(self.lists.len()).unwrap_or(u32::MAX));
         self.workers.insert(id.clone(), (number, addr));
         self.lists.push(Vec::new());
-        self.orders.push(Order::Worker { id: id.clone(), addr });
+        self.commands.push(Command::Worker { id: id.clone(), addr });
         number
     }
 
     fn name_payload(&mut self, workflow: WorkflowId, payload: CompactString) {
         if self.payloads.known.get(&workflow) != Some(&payload) {
             self.payloads.insert(workflow, payload.clone());
-            self.orders.push(Order::Payload { workflow, payload });
+            self.commands.push(Command::Payload { workflow, payload });
         }
     }
 
     /// Whether calls wait for the next frame.
     pub fn has_calls(&self) -> bool {
-        !self.orders.is_empty()
+        !self.commands.is_empty()
     }
 
     /// The next frame, with all calls since the last one. They are carried out if they arrive before `until_ms`
     /// on the relay's clock.
-    pub fn frame(&mut self, epoch: Epoch, until_ms: u64) -> Vec<u8> {
-        let orders = std::mem::take(&mut self.orders);
-        let frame = OrderFrame { epoch, until_ms, first: CallNo(self.first), orders };
+    pub fn next_frame(&mut self, epoch: Epoch, until_ms: u64) -> Vec<u8> {
+        let commands = std::mem::take(&mut self.commands);
+        let frame = CommandFrame { epoch, until_ms, first: CallNo(self.first), commands };
         // Plain data always has a form.
         postcard::to_stdvec(&frame).unwrap_or_default()
     }
@@ -239,7 +239,7 @@
             Report::Start(result) => Answer::Start(result),
             Report::Stop(result) => Answer::Stop(result),
             Report::Pace(result) => Answer::Pace(result),
-            Report::NoLists(kind) => Answer::Hold(match kind {
+            Report::NoLists(kind) => Answer::Poll(match kind {
                 NoLists::Outranked => HoldResult::Outranked,
                 NoLists::OtherIncarnation => HoldResult::OtherIncarnation,
                 NoLists::Refused => HoldResult::Refused,
@@ -251,7 +251,7 @@
                 let running = rows::follow(before, rows).ok_or(CodecError::UnknownName)?;
                 before.clone_from(&running);
                 let odd = odd.unwrap_or_default();
-                Answer::Hold(HoldResult::Lists(HoldReply { clock_ms, running, ended, odd }))
+                Answer::Poll(HoldResult::Lists(HoldReply { clock_ms, running, ended, odd }))
             }
         })
     }
@@ -275,39 +275,39 @@
     /// # Errors
     ///
     /// The frame can't be read.
-    pub fn read(&mut self, frame: &[u8]) -> Result<(u64, Vec<Carried>), CodecError> {
-        let OrderFrame { epoch, until_ms, first, orders } =
+    pub fn read(&mut self, frame: &[u8]) -> Result<(u64, Vec<RelayedCall>), CodecError> {
+        let CommandFrame { epoch, until_ms, first, commands } =
             postcard::from_bytes(frame).map_err(|_| CodecError::Malformed)?;
         let mut number = first;
-        let mut calls = Vec::with_capacity(orders.len());
-        for order in orders {
-            let (worker, call) = match order {
-                Order::Worker { id, addr } => {
+        let mut calls = Vec::with_capacity(commands.len());
+        for command in commands {
+            let (worker, call) = match command {
+                Command::Worker { id, addr } => {
                     self.workers.push((id, addr));
                     self.lists.push(Vec::new());
                     continue;
                 }
-                Order::Payload { workflow, payload } => {
+                Command::Payload { workflow, payload } => {
                     self.payloads.insert(workflow, payload);
                     continue;
                 }
-                Order::Hold { worker, recorded, until_ms, wait_ms } => {
+                Command::Poll { worker, recorded, until_ms, wait_ms } => {
                     self.polled.insert(number, worker);
-                    (worker, Call::Hold { recorded, until_ms, wait_ms })
+                    (worker, Call::Poll { recorded, until_ms, wait_ms })
                 }
-                Order::Start { worker, task, run, until_ms, saved, ticket } => {
+                Command::Start { worker, task, run, until_ms, checkpoint, ticket } => {
                     let payload = self.payloads.known.get(&task.workflow);
                     let payload = payload.ok_or(CodecError::UnknownName)?.clone();
-                    (worker, Call::Start { task, run, payload, until_ms, saved, ticket })
+                    (worker, Call::Start { task, run, payload, until_ms, checkpoint, ticket })
                 }
-                Order::Stop { worker, task, run } => (worker, Call::Stop { task, run }),
-                Order::Pace { worker, task, run, percent } => {
+                Command::Stop { worker, task, run } => (worker, Call::Stop { task, run }),
+                Command::Pace { worker, task, run, percent } => {
                     (worker, Call::Pace { task, run, percent })
                 }
             };
             let named = self.workers.get(worker.0 as usize).ok_or(CodecError::UnknownName)?;
             let (id, addr) = named.clone();
-            calls.push(Carried { number, epoch, worker: id, addr, call });
+            calls.push(RelayedCall { number, epoch, worker: id, addr, call });
             number = CallNo(number.0.wrapping_add(1));
         }
         Ok((until_ms, calls))
@@ -319,7 +319,7 @@
             Answer::Start(result) => Report::Start(result),
             Answer::Stop(result) => Report::Stop(result),
             Answer::Pace(result) => Report::Pace(result),
-            Answer::Hold(result) => self.polled_report(number, result),
+            Answer::Poll(result) => self.polled_report(number, result),
         };
         self.reports.push((number, report));
     }
@@ -350,7 +350,7 @@
     }
 
     /// The next frame, with all reports since the last one. `clock_ms` is this relay's clock.
-    pub fn frame(&mut self, clock_ms: u64) -> Vec<u8> {
+    pub fn next_frame(&mut self, clock_ms: u64) -> Vec<u8> {
         let frame = ReportFrame { clock_ms, reports: std::mem::take(&mut self.reports) };
         // Plain data always has a form.
         postcard::to_stdvec(&frame).unwrap_or_default()
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -10,13 +10,13 @@
 //! [`LeaderCodec`] and [`RelayCodec`] are the two ends of a connection, which name workers and payloads once and
 //! then repeat only what changes.
 
-mod assign;
+mod assignment;
 mod codec;
 mod message;
 mod rows;
 
 pub use crate::{
-    assign::{Assignment, Loss, RelayNo, Route, WORKERS_PER_RELAY, relays_wanted},
+    assignment::{Assignment, RelayNo, RemovalReason, Route, WORKERS_PER_RELAY, relays_wanted},
     codec::{CallNo, CodecError, LeaderCodec, RelayCodec},
-    message::{Answer, Call, Carried, Hello},
+    message::{Answer, Call, Hello, RelayedCall},
 };
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Call {
     /// Asks what runs and what ended.
-    Hold {
+    Poll {
         /// Ends up to here may be forgotten.
         recorded: u64,
         /// The end of the leases on the worker's clock in milliseconds.
@@ -60,7 +60,7 @@
         /// The end of the lease on the worker's clock in milliseconds.
         until_ms: u64,
         /// The checkpoint to resume from; empty for none.
-        saved: CompactString,
+        checkpoint: CompactString,
         /// Says that the worker may run it; empty if that needs no ticket.
         ticket: CompactString,
     },
@@ -84,7 +84,7 @@
 
 /// A call as it arrives at a relay.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Carried {
+pub struct RelayedCall {
     /// Its number on this connection.
     pub number: CallNo,
     /// The leader's fencing token.
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Answer {
     /// Of a poll.
-    Hold(HoldResult),
+    Poll(HoldResult),
     /// Of a start.
     Start(StartResult),
     /// Of a stop.
@@ -112,9 +112,9 @@
 
 impl Answer {
     /// Whether the worker itself said something.
-    pub fn is_heard(&self) -> bool {
+    pub fn is_from_worker(&self) -> bool {
         match self {
-            Answer::Hold(result) => !matches!(result, HoldResult::Failed | HoldResult::Refused),
+            Answer::Poll(result) => !matches!(result, HoldResult::Failed | HoldResult::Refused),
             Answer::Start(result) => !matches!(result, StartResult::Unknown | StartResult::NotSent),
             Answer::Stop(result) => *result != StopResult::Unknown,
             Answer::Pace(result) => *result != PaceResult::Unknown,
@@ -124,9 +124,9 @@
 
 impl Call {
     /// The answer to a call that a relay didn't carry out.
-    pub fn withheld(&self) -> Answer {
+    pub fn withheld_answer(&self) -> Answer {
         match self {
-            Call::Hold { .. } => Answer::Hold(HoldResult::Failed),
+            Call::Poll { .. } => Answer::Poll(HoldResult::Failed),
             Call::Start { .. } => Answer::Start(StartResult::Withheld),
             Call::Stop { .. } => Answer::Stop(StopResult::Unknown),
             Call::Pace { .. } => Answer::Pace(PaceResult::Unknown),
@@ -134,10 +134,10 @@
     }
 
     /// The answer to a call of which nothing more will be heard.
-    pub fn unanswered(&self) -> Answer {
+    pub fn lost_answer(&self) -> Answer {
         match self {
             Call::Start { .. } => Answer::Start(StartResult::Unknown),
-            Call::Hold { .. } | Call::Stop { .. } | Call::Pace { .. } => self.withheld(),
+            Call::Poll { .. } | Call::Stop { .. } | Call::Pace { .. } => self.withheld_answer(),
         }
     }
 }
--- a/crates/relay/tests/assignment.rs
+++ b/crates/relay/tests/assignment.rs
@@ -1,7 +1,7 @@
 //! Which relay carries which worker.
 
 use {
-    egretlb_relay::{Assignment, Loss, RelayNo, Route, WORKERS_PER_RELAY, relays_wanted},
+    egretlb_relay::{Assignment, RelayNo, RemovalReason, Route, WORKERS_PER_RELAY, relays_wanted},
     egretlb_types::Time,
     egretlb_workflow::WorkerId,
     std::time::Duration,
@@ -22,7 +22,7 @@
 fn fleet(workers: usize) -> Assignment {
     let mut assignment = Assignment::new(Time::ZERO);
     for number in 0..relays_wanted(workers) {
-        assignment.add(Time::ZERO, RelayNo(number as u32), "dc".into());
+        assignment.add_relay(Time::ZERO, RelayNo(number as u32), "dc".into());
     }
     for number in 0..workers {
         assignment.route(settled(), &worker(number), "dc", workers);
@@ -31,7 +31,7 @@
 }
 
 fn loads(assignment: &Assignment, relays: usize) -> Vec<usize> {
-    (0..relays).map(|number| assignment.load(RelayNo(number as u32))).collect()
+    (0..relays).map(|number| assignment.worker_count(RelayNo(number as u32))).collect()
 }
 
 #[test]
@@ -59,15 +59,15 @@
 fn first_offers_awaited() {
     let mut assignment = Assignment::new(Time::ZERO);
     let early = Time::ZERO + Duration::from_millis(100);
-    assert_eq!(assignment.route(early, &worker(1), "dc", 300), Route::Later);
+    assert_eq!(assignment.route(early, &worker(1), "dc", 300), Route::Wait);
     assert_eq!(assignment.route(settled(), &worker(1), "dc", 300), Route::Direct);
 }
 
 #[test]
 fn nearest_first() {
     let mut assignment = Assignment::new(Time::ZERO);
-    assignment.add(Time::ZERO, RelayNo(1), "north".into());
-    assignment.add(Time::ZERO, RelayNo(2), "south".into());
+    assignment.add_relay(Time::ZERO, RelayNo(1), "north".into());
+    assignment.add_relay(Time::ZERO, RelayNo(2), "south".into());
     for number in 0..40 {
         let route = assignment.route(settled(), &worker(number), "south", 100);
         assert_eq!(route, Route::Via(RelayNo(2)));
@@ -85,7 +85,7 @@
     let mut assignment = fleet(300);
     let before: Vec<Route> =
         (0..300).map(|n| assignment.route(settled(), &worker(n), "dc", 300)).collect();
-    assignment.remove(RelayNo(2));
+    assignment.remove_relay(RelayNo(2));
     for (number, route) in before.iter().enumerate() {
         let now = assignment.route(settled(), &worker(number), "dc", 300);
         if *route == Route::Via(RelayNo(2)) {
@@ -103,13 +103,13 @@
     for number in 128..250 {
         assignment.route(settled(), &worker(number), "dc", 250);
     }
-    assignment.add(settled(), RelayNo(7), "dc".into());
-    assignment.add(settled(), RelayNo(8), "dc".into());
+    assignment.add_relay(settled(), RelayNo(7), "dc".into());
+    assignment.add_relay(settled(), RelayNo(8), "dc".into());
     for number in 0..250 {
         assignment.route(settled(), &worker(number), "dc", 250);
     }
-    assert!(assignment.load(RelayNo(7)) >= 50, "{}", assignment.load(RelayNo(7)));
-    assert!(assignment.load(RelayNo(8)) >= 50, "{}", assignment.load(RelayNo(8)));
+    assert!(assignment.worker_count(RelayNo(7)) >= 50, "{}", assignment.worker_count(RelayNo(7)));
+    assert!(assignment.worker_count(RelayNo(8)) >= 50, "{}", assignment.worker_count(RelayNo(8)));
 }
 
 /// A relay is cut off from the workers, and not from the leader. All that it carries looks silent, and leases
@@ -122,9 +122,10 @@
         let now = settled() + Duration::from_millis(100) * number;
         let route = assignment.route(now, &worker(number as usize * 5), "dc", 300);
         assert_eq!(route, Route::Via(RelayNo(0)));
-        lost = lost.or(assignment.note(now, RelayNo(0), &worker(number as usize * 5), false));
+        lost =
+            lost.or(assignment.record_answer(now, RelayNo(0), &worker(number as usize * 5), false));
     }
-    assert_eq!(lost, Some(Loss::CutOff));
+    assert_eq!(lost, Some(RemovalReason::CutOff));
 }
 
 /// A rack of workers dies. Their calls get no answer, whoever makes them; the relay that carries them stays.
@@ -133,8 +134,8 @@
     let mut assignment = fleet(300);
     for number in 0..60 {
         let now = settled() + Duration::from_millis(10) * number as u32;
-        let heard = number % 5 != 0;
-        assert_eq!(assignment.note(now, RelayNo(0), &worker(number * 5), heard), None);
+        let answered = number % 5 != 0;
+        assert_eq!(assignment.record_answer(now, RelayNo(0), &worker(number * 5), answered), None);
     }
 }
 
@@ -145,7 +146,7 @@
     let (now, id) = (settled(), worker(5));
     assert_eq!(assignment.route(now, &id, "dc", 300), Route::Via(RelayNo(0)));
     for _ in 0..2 {
-        assert_eq!(assignment.note(now, RelayNo(0), &id, false), None);
+        assert_eq!(assignment.record_answer(now, RelayNo(0), &id, false), None);
     }
     assert_eq!(assignment.route(now + SECOND, &id, "dc", 300), Route::Direct);
     assert_eq!(assignment.route(now + 6 * SECOND, &id, "dc", 300), Route::Via(RelayNo(0)));
@@ -155,6 +156,6 @@
 #[test]
 fn gone_forgotten() {
     let mut assignment = fleet(300);
-    assignment.retain(|id| id.0.len() < 3);
+    assignment.retain_workers(|id| id.0.len() < 3);
     assert_eq!(loads(&assignment, 5).iter().sum::<usize>(), 10);
 }
--- a/crates/relay/tests/codec_ends.rs
+++ b/crates/relay/tests/codec_ends.rs
@@ -29,13 +29,13 @@
         run: RunId(7_000),
         payload: "p".repeat(300).into(),
         until_ms: 480_000,
-        saved: "".into(),
+        checkpoint: "".into(),
         ticket: "".into(),
     }
 }
 
 fn hold() -> Call {
-    Call::Hold { recorded: 57, until_ms: Some(486_000), wait_ms: 450 }
+    Call::Poll { recorded: 57, until_ms: Some(486_000), wait_ms: 450 }
 }
 
 fn running(index: u32, percent: u32) -> RunningTask {
@@ -53,7 +53,7 @@
     };
     let odd = OddRows { foreign_ends: vec![4], ..OddRows::default() };
     let reply = HoldReply { clock_ms: 482_113, running: runs, ended: vec![end], odd };
-    Answer::Hold(HoldResult::Lists(reply))
+    Answer::Poll(HoldResult::Lists(reply))
 }
 
 #[test]
@@ -71,7 +71,7 @@
             let (id, addr) = worker(number as u64 % 2);
             leader.add(&id, addr, call.clone());
         }
-        let frame = leader.frame(EPOCH, 1_234 + round);
+        let frame = leader.next_frame(EPOCH, 1_234 + round);
         let (until_ms, carried) = relay.read(&frame).expect("a frame");
         assert_eq!(until_ms, 1_234 + round);
         let (id, addr) = worker(1);
@@ -88,13 +88,13 @@
     for percent in [10, 20, 20, 90] {
         let polled = leader.add(&id, addr, hold());
         let started = leader.add(&id, addr, start(1, 0));
-        relay.read(&leader.frame(EPOCH, 0)).expect("a frame");
+        relay.read(&leader.next_frame(EPOCH, 0)).expect("a frame");
         // Runs come and go between two answers.
         let runs: Vec<RunningTask> = (percent / 10..8).map(|n| running(n, percent)).collect();
         let started_answer = Answer::Start(StartResult::Started { clock_ms: 5 });
         relay.add(started, started_answer.clone());
         relay.add(polled, lists(runs.clone()));
-        let (clock_ms, answers) = leader.read(&relay.frame(77)).expect("a frame");
+        let (clock_ms, answers) = leader.read(&relay.next_frame(77)).expect("a frame");
         assert_eq!(clock_ms, 77);
         assert_eq!(answers, [(started, started_answer), (polled, lists(runs))]);
     }
@@ -107,17 +107,17 @@
     let (mut leader, mut relay) = (LeaderCodec::default(), RelayCodec::default());
     let (id, addr) = worker(1);
     leader.add(&id, addr, start(1, 0));
-    relay.read(&leader.frame(EPOCH, 0)).expect("a frame");
+    relay.read(&leader.next_frame(EPOCH, 0)).expect("a frame");
     for index in 1..101 {
         leader.add(&id, addr, start(1, index));
     }
-    let frame = leader.frame(EPOCH, 480_000);
+    let frame = leader.next_frame(EPOCH, 480_000);
     assert!(frame.len() <= 100 * 40, "{} bytes for 100 starts", frame.len());
     relay.read(&frame).expect("a frame");
     for _ in 0..100 {
         leader.add(&id, addr, hold());
     }
-    let frame = leader.frame(EPOCH, 480_000);
+    let frame = leader.next_frame(EPOCH, 480_000);
     assert!(frame.len() <= 100 * 20, "{} bytes for 100 polls", frame.len());
 }
 
@@ -129,11 +129,11 @@
     let mut lengths = Vec::new();
     for percent in [10, 11] {
         let polled = leader.add(&id, addr, hold());
-        relay.read(&leader.frame(EPOCH, 0)).expect("a frame");
+        relay.read(&leader.next_frame(EPOCH, 0)).expect("a frame");
         let running = (0..8).map(|index| running(index, percent)).collect();
         let reply = HoldReply { clock_ms: 482_113, running, ..HoldReply::default() };
-        relay.add(polled, Answer::Hold(HoldResult::Lists(reply)));
-        lengths.push(relay.frame(77).len());
+        relay.add(polled, Answer::Poll(HoldResult::Lists(reply)));
+        lengths.push(relay.next_frame(77).len());
     }
     assert!(lengths[1] <= 64, "{lengths:?}");
 }
@@ -151,11 +151,11 @@
             run: RunId(1),
             payload: format_compact!("of {workflow}"),
             until_ms: 0,
-            saved: "".into(),
+            checkpoint: "".into(),
             ticket: "".into(),
         };
         leader.add(&id, addr, call.clone());
-        let (_, carried) = relay.read(&leader.frame(EPOCH, 0)).expect("a frame");
+        let (_, carried) = relay.read(&leader.next_frame(EPOCH, 0)).expect("a frame");
         assert_eq!(carried[0].call, call);
     }
 }
@@ -168,11 +168,11 @@
     let (id, addr) = worker(1);
     let first = leader.add(&id, addr, hold());
     let second = leader.add(&id, addr, hold());
-    relay.read(&leader.frame(EPOCH, 0)).expect("a frame");
+    relay.read(&leader.next_frame(EPOCH, 0)).expect("a frame");
     relay.add(second, lists(vec![running(1, 10), running(2, 10)]));
-    leader.read(&relay.frame(1)).expect("a frame");
+    leader.read(&relay.next_frame(1)).expect("a frame");
     relay.add(first, lists(vec![running(2, 5)]));
-    let (_, answers) = leader.read(&relay.frame(2)).expect("a frame");
+    let (_, answers) = leader.read(&relay.next_frame(2)).expect("a frame");
     assert_eq!(answers, [(first, lists(vec![running(2, 5)]))]);
 }
 
@@ -192,7 +192,7 @@
     let (mut leader, mut relay) = (LeaderCodec::default(), RelayCodec::default());
     let (id, addr) = worker(1);
     leader.add(&id, addr, hold());
-    leader.frame(EPOCH, 0);
+    leader.next_frame(EPOCH, 0);
     leader.add(&id, addr, hold());
-    assert_eq!(relay.read(&leader.frame(EPOCH, 0)), Err(CodecError::UnknownName));
+    assert_eq!(relay.read(&leader.next_frame(EPOCH, 0)), Err(CodecError::UnknownName));
 }
--- a/crates/runtime/src/append.rs
+++ b/crates/runtime/src/append.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        border::{Append, Store},
         clock::Clock,
+        platform::{Append, Store},
         reads::Reads,
     },
     egretlb_types::Time,
--- a/crates/runtime/src/bad_entries.rs
+++ b/crates/runtime/src/bad_entries.rs
@@ -1,4 +1,4 @@
-//! Telling of entries that can't be read.
+//! Logging of entries that can't be read.
 //!
 //! Another writer may leave any number of them, and a worker lists the same row in each of its answers. Each
 //! is told and counted once; a flood neither fills the log nor the memory.
@@ -86,13 +86,13 @@
 
 /// What is to be done about an entry that can't be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Telling {
+pub enum LogAction {
     /// Nothing: it was told before.
-    Known,
+    Ignore,
     /// It is counted, and there are too many for a line each.
     Count,
     /// It is counted and gets a line.
-    Line {
+    Log {
         /// How many got none since the last line.
         untold: u64,
     },
@@ -111,10 +111,10 @@
 
 impl BadEntryLog {
     /// An entry that can't be read was met.
-    pub fn note(&mut self, now: Time, entry: &BadEntry) -> Telling {
+    pub fn record(&mut self, now: Time, entry: &BadEntry) -> LogAction {
         let key = (entry.kind, entry.key.clone());
         match self.told.insert(key.clone(), entry.version) {
-            Some(version) if version == entry.version => return Telling::Known,
+            Some(version) if version == entry.version => return LogAction::Ignore,
             Some(_) => {}
             None => self.order.push_back(key),
         }
@@ -127,9 +127,9 @@
         let (since, lines) = fresh.unwrap_or((now, 0));
         if lines >= MOST_LINES {
             self.untold += 1;
-            return Telling::Count;
+            return LogAction::Count;
         }
         self.lines = Some((since, lines + 1));
-        Telling::Line { untold: std::mem::take(&mut self.untold) }
+        LogAction::Log { untold: std::mem::take(&mut self.untold) }
     }
 }
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -77,7 +77,7 @@
 }
 
 fn fault(node: &Node, status: u16, error: &dyn std::fmt::Display) -> Response {
-    let body = node.formats().fault(&error.to_string());
+    let body = node.formats().error(&error.to_string());
     Response { body, ..Response::empty(status) }
 }
 
--- a/crates/runtime/src/orders.rs
+++ b/crates/runtime/src/commands.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        border::{HoldCall, PaceCall, StartCall, StopCall},
         node::Node,
+        platform::{PaceCall, PollCall, StartCall, StopCall},
     },
     egretlb_types::{Epoch, Time},
     egretlb_workflow::{
@@ -48,7 +48,7 @@
     pub(crate) fn perform(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Hold { worker, addr, epoch, recorded, until_ms, wait_ms } => {
-                let call = HoldCall { worker, addr, epoch, recorded, until_ms, wait_ms };
+                let call = PollCall { worker, addr, epoch, recorded, until_ms, wait_ms };
                 spawn_local(Rc::clone(self).hold(call));
             }
             Effect::Start { .. } => {
@@ -72,7 +72,7 @@
                 spawn_local(Rc::clone(self).upkeep(vm, wave, epoch));
             }
             Effect::TellWave { wave, state } => {
-                spawn_local(Rc::clone(self).tell_wave(wave, state));
+                spawn_local(Rc::clone(self).report_wave(wave, state));
             }
             Effect::Record { records } => {
                 spawn_local(Rc::clone(self).record(records));
@@ -105,10 +105,10 @@
         });
     }
 
-    async fn hold(self: Rc<Self>, call: HoldCall) {
+    async fn hold(self: Rc<Self>, call: PollCall) {
         let (worker, epoch, sent) = (call.worker.clone(), call.epoch, self.clock.now());
         let result = if self.may_order(epoch) {
-            self.heed(self.workers.hold(call).await)
+            self.heed(self.workers.poll(call).await)
         } else {
             HoldResult::Failed
         };
@@ -135,9 +135,9 @@
         let result = if self.may_start(epoch, &worker, task, run) {
             let payload = submission.workflow.payload.as_str();
             let worker = &worker;
-            let (saved, ticket) = (saved.as_str(), ticket.as_str());
+            let (checkpoint, ticket) = (saved.as_str(), ticket.as_str());
             let call =
-                StartCall { worker, addr, epoch, task, run, payload, until_ms, saved, ticket };
+                StartCall { worker, addr, epoch, task, run, payload, until_ms, checkpoint, ticket };
             self.workers.start(call).await
         } else {
             StartResult::Withheld
@@ -189,7 +189,7 @@
 
     async fn upkeep(self: Rc<Self>, vm: VmId, wave: u64, epoch: Epoch) {
         let result = if self.may_order(epoch) {
-            self.fleet.upkeep(&self.name, epoch, &vm, wave).await
+            self.fleet.start_maintenance(&self.name, epoch, &vm, wave).await
         } else {
             MaintenanceResult::Unknown
         };
@@ -198,10 +198,10 @@
         });
     }
 
-    async fn tell_wave(self: Rc<Self>, wave: u64, state: WaveState) {
+    async fn report_wave(self: Rc<Self>, wave: u64, state: WaveState) {
         let Some(epoch) = self.core.borrow().leadership.term() else { return };
         let told = if self.may_order(epoch) {
-            self.store.tell_wave(wave, state).await
+            self.store.report_wave(wave, state).await
         } else {
             AppendResult::Unknown
         };
--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -1,7 +1,7 @@
 //! The state of a node, between two events.
 
 use {
-    crate::border::{BadEntry, EntryKind, OperatorChange, Stored},
+    crate::platform::{BadEntry, EntryKind, OperatorChange, StoredRecord},
     compact_str::CompactString,
     egretlb_types::{Epoch, Time},
     egretlb_workflow::{
@@ -81,7 +81,7 @@
     }
 
     /// A record of the system's own topic was read.
-    pub(crate) fn on_work(&mut self, now: Time, stored: &Stored, out: &mut Effects) {
+    pub(crate) fn on_work(&mut self, now: Time, stored: &StoredRecord, out: &mut Effects) {
         let change = match self.ledger.apply(stored.offset, &stored.key, &stored.value) {
             Ok(change) => change,
             Err(error) => {
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -2,9 +2,11 @@
 
 use {
     crate::{
-        border::{BadEntry, EntryError, EntryKind, NewestResult, ReadResult, Stored, Topic},
         core::Reading,
         node::Node,
+        platform::{
+            BadEntry, EntryError, EntryKind, NewestResult, ReadResult, StoredRecord, Topic,
+        },
     },
     bytes::Bytes,
     compact_str::CompactString,
@@ -83,17 +85,17 @@
     let mut after: Option<Bytes> = None;
     let mut start = None;
     let mut found = HashSet::new();
-    let mut complete = true;
+    let mut all_complete = true;
     // A term that begins with the leader's record would know nothing of the keys behind it: neither which
     // workers may still run something, nor that workflows aren't new.
     let mut leaders = Vec::new();
     loop {
         let page = node.heed(node.store().newest(topic, after.clone()).await);
-        let NewestResult::Page { records, unreadable, end, more, whole } = page else {
+        let NewestResult::Page { records, unreadable, end, next_after, complete } = page else {
             return None;
         };
         let next = *start.get_or_insert(end);
-        complete &= whole;
+        all_complete &= complete;
         for stored in records {
             if topic == Topic::Work && Key::from_bytes(&stored.key) == Ok(Key::Leader) {
                 leaders.push(stored);
@@ -105,13 +107,13 @@
             found.extend(unreadable.iter().map(|key| lose_entry(node, key)));
         }
         // The same page again would never end.
-        let stuck = more.is_some() && more == after;
-        after = more;
+        let stuck = next_after.is_some() && next_after == after;
+        after = next_after;
         if after.is_none() || stuck {
             for stored in &leaders {
                 apply(node, topic, stored);
             }
-            if topic == Topic::Directory && complete && !stuck {
+            if topic == Topic::Directory && all_complete && !stuck {
                 node.directory_loaded(&found);
             }
             node.read_done(topic, Reading { loaded: true, ..Reading::default() });
@@ -139,7 +141,7 @@
             node.read_done(topic, Reading { loaded: true, at_end, fresh, known_to });
             true
         }
-        ReadResult::Forgotten => false,
+        ReadResult::OffsetTooOld => false,
         ReadResult::Failed => {
             node.read_failed(topic);
             sleep(RETRY).await;
@@ -149,7 +151,7 @@
 }
 
 /// Takes a record in; returns the worker whose entry it is. An entry that can't be read costs no other.
-fn apply(node: &Rc<Node>, topic: Topic, stored: &Stored) -> Option<WorkerId> {
+fn apply(node: &Rc<Node>, topic: Topic, stored: &StoredRecord) -> Option<WorkerId> {
     match topic {
         Topic::Work => {
             node.step(|core, now, out| core.on_work(now, stored, out));
@@ -167,7 +169,7 @@
     }
 }
 
-fn apply_directory(node: &Rc<Node>, stored: &Stored) -> WorkerId {
+fn apply_directory(node: &Rc<Node>, stored: &StoredRecord) -> WorkerId {
     match node.formats().directory(&stored.key, &stored.value) {
         Ok(change) => {
             let id = change.worker().clone();
@@ -194,7 +196,7 @@
     id
 }
 
-fn bad_entry(stored: &Stored, error: &EntryError) -> BadEntry {
+fn bad_entry(stored: &StoredRecord, error: &EntryError) -> BadEntry {
     let key = CompactString::from_utf8_lossy(&stored.key);
     BadEntry::new(error.kind, key, stored.offset.0, error)
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -2,19 +2,19 @@
 //!
 //! A [`Node`] follows the store's records, takes clients' requests, and performs what the leadership
 //! and the scheduler decide. Everything runs on one thread; what speaks to the platform is behind the
-//! traits of [`border`].
+//! traits of [`platform`].
 
-pub mod border;
+pub mod platform;
 
 mod append;
 mod bad_entries;
 mod clients;
 mod clock;
+mod commands;
 mod core;
 mod dump;
 mod follow;
 mod node;
-mod orders;
 mod peers;
 mod reads;
 mod records;
@@ -22,7 +22,7 @@
 mod serve;
 
 pub use crate::{
-    bad_entries::{BadEntry, BadEntryLog, Decoded, Telling},
+    bad_entries::{BadEntry, BadEntryLog, Decoded, LogAction},
     clock::Clock,
     node::{Node, NodeOptions},
     serve::{Listeners, run},
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -3,12 +3,12 @@
 use {
     crate::{
         append::{Appender, STUCK_AFTER},
-        bad_entries::{BadEntry, BadEntryLog, Decoded, Telling},
-        border::{Advisor, Append, Fence, Fleet, Formats, Platform, Store, Topic, Workers},
+        bad_entries::{BadEntry, BadEntryLog, Decoded, LogAction},
         clock::Clock,
+        commands::Turns,
         core::{Core, Effects, Reading},
-        orders::Turns,
         peers::{Leader, Waiting},
+        platform::{Advisor, Append, Fence, Fleet, Formats, Platform, Store, Topic, Workers},
         reads::Reads,
         relays::{self, Relays},
     },
@@ -52,7 +52,7 @@
     /// Drawn at random at each start.
     pub incarnation: u64,
     /// The VM's share of the processor, in thousandths of a core.
-    pub power: u32,
+    pub cpu_millicores: u32,
     /// Spans of time.
     pub limits: Limits,
 }
@@ -64,8 +64,9 @@
     let mut hasher = DefaultHasher::new();
     options.incarnation.hash(&mut hasher);
     let chance = u32::try_from(hasher.finish() % u64::from(CHANCE_RANGE)).unwrap_or(0);
-    let weakness = FULL_POWER.saturating_sub(options.power) * (999 - CHANCE_RANGE) / FULL_POWER;
-    let behind = if options.power < FIT_POWER { FIT_RANGE } else { 0 };
+    let weakness =
+        FULL_POWER.saturating_sub(options.cpu_millicores) * (999 - CHANCE_RANGE) / FULL_POWER;
+    let behind = if options.cpu_millicores < FIT_POWER { FIT_RANGE } else { 0 };
     weakness + chance + behind
 }
 
@@ -103,7 +104,7 @@
     pub(crate) fleet: Rc<dyn Fleet>,
     pub(crate) name: CompactString,
     pub(crate) data_centre: CompactString,
-    power: u32,
+    cpu_millicores: u32,
     formats: Rc<dyn Formats>,
     pub(crate) appender: Rc<Appender>,
     pub(crate) leader: Leader,
@@ -127,8 +128,8 @@
     /// A node that follows nothing yet.
     pub fn new(options: NodeOptions, platform: Platform) -> Rc<Node> {
         let Platform { store, workers, advisor, fleet, formats } = platform;
-        let (name, data_centre, power) =
-            (options.name.clone(), options.data_centre.clone(), options.power);
+        let (name, data_centre, cpu_millicores) =
+            (options.name.clone(), options.data_centre.clone(), options.cpu_millicores);
         let clock = Clock;
         let place = place(&options);
         let leadership =
@@ -146,7 +147,7 @@
             fleet,
             name,
             data_centre,
-            power,
+            cpu_millicores,
             formats,
             appender: Rc::new(appender),
             leader: Leader::default(),
@@ -177,7 +178,7 @@
 
     /// Whether its VM has so little of a core that others come first.
     pub(crate) fn is_weak(&self) -> bool {
-        self.power < FIT_POWER
+        self.cpu_millicores < FIT_POWER
     }
 
     pub(crate) fn core(&self) -> Ref<'_, Core> {
@@ -298,11 +299,11 @@
     pub(crate) fn tell(&self, bad: &[BadEntry]) {
         let now = self.clock.now();
         for entry in bad {
-            let telling = self.bad_entries.borrow_mut().note(now, entry);
-            if telling != Telling::Known {
+            let action = self.bad_entries.borrow_mut().record(now, entry);
+            if action != LogAction::Ignore {
                 self.metrics.unreadable(entry.kind);
             }
-            if let Telling::Line { untold } = telling {
+            if let LogAction::Log { untold } = action {
                 let BadEntry { kind, key, version, detail } = entry;
                 log::warn!(kind:?, key:%, version, error:% = detail, untold; "entry_unreadable");
             }
--- a/crates/runtime/src/border.rs
+++ b/crates/runtime/src/platform.rs
@@ -41,7 +41,7 @@
 
 /// A record as the store returns it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Stored {
+pub struct StoredRecord {
     /// Its offset.
     pub offset: Offset,
     /// Its key.
@@ -56,14 +56,14 @@
     /// Records in order, perhaps none.
     Records {
         /// The records.
-        records: Vec<Stored>,
+        records: Vec<StoredRecord>,
         /// Where to read on. It is past records that can't be read, too: they would be met again for good.
         next: Offset,
         /// Where the partition ended.
         end: Offset,
     },
     /// Records from the offset on were forgotten: the newest ones must be read.
-    Forgotten,
+    OffsetTooOld,
     /// No answer, or none that can be used.
     Failed,
 }
@@ -74,15 +74,15 @@
     /// A page.
     Page {
         /// The records.
-        records: Vec<Stored>,
+        records: Vec<StoredRecord>,
         /// Keys whose newest records can't be read.
         unreadable: Vec<Bytes>,
         /// Where the partition ended.
         end: Offset,
         /// The key after which another page follows, if there is one.
-        more: Option<Bytes>,
+        next_after: Option<Bytes>,
         /// Whether each key could be read. Otherwise one that isn't here may be there all the same.
-        whole: bool,
+        complete: bool,
     },
     /// No answer, or none that can be used.
     Failed,
@@ -120,7 +120,7 @@
     ) -> LocalBoxFuture<'_, Decoded<ReadResult>>;
 
     /// Tells the operator how far a wave of upkeep is.
-    fn tell_wave(&self, wave: u64, state: WaveState) -> LocalBoxFuture<'_, AppendResult>;
+    fn report_wave(&self, wave: u64, state: WaveState) -> LocalBoxFuture<'_, AppendResult>;
 
     /// Reads a page of the newest records, the first or the one after a key.
     fn newest(
@@ -132,7 +132,7 @@
 
 /// A poll of a worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct HoldCall {
+pub struct PollCall {
     /// The incarnation that is meant.
     pub worker: WorkerId,
     /// Where it takes orders.
@@ -165,7 +165,7 @@
     /// The end of the lease on the worker's clock in milliseconds.
     pub until_ms: u64,
     /// The checkpoint to resume from; empty for none.
-    pub saved: &'a str,
+    pub checkpoint: &'a str,
     /// Says that the worker may run it; empty if that needs no ticket.
     pub ticket: &'a str,
 }
@@ -205,7 +205,7 @@
 /// The workers.
 pub trait Workers {
     /// Asks what runs and what ended.
-    fn hold(&self, call: HoldCall) -> LocalBoxFuture<'_, Decoded<HoldResult>>;
+    fn poll(&self, call: PollCall) -> LocalBoxFuture<'_, Decoded<HoldResult>>;
 
     /// Starts a task.
     fn start<'a>(&'a self, call: StartCall<'a>) -> LocalBoxFuture<'a, StartResult>;
@@ -217,7 +217,7 @@
     fn pace(&self, call: PaceCall) -> LocalBoxFuture<'_, PaceResult>;
 
     /// Closes idle connections to the worker at `addr`: it will be called in another way.
-    fn release(&self, addr: SocketAddr);
+    fn close_idle(&self, addr: SocketAddr);
 }
 
 /// The service that knows which workers a policy allows to run a step.
@@ -237,7 +237,7 @@
     fn list(&self) -> LocalBoxFuture<'_, Decoded<Option<VmList>>>;
 
     /// Begins a VM's upkeep, on behalf of the process `holder`.
-    fn upkeep<'a>(
+    fn start_maintenance<'a>(
         &'a self,
         holder: &'a str,
         epoch: Epoch,
@@ -310,7 +310,7 @@
     fn pending(&self, count: usize) -> Bytes;
 
     /// The body that tells a client what was wrong.
-    fn fault(&self, message: &str) -> Bytes;
+    fn error(&self, message: &str) -> Bytes;
 
     /// How long a client waits for its answer, if it says so.
     fn deadline(&self, headers: &http::HeaderMap) -> Option<Duration>;
--- a/crates/runtime/src/records.rs
+++ b/crates/runtime/src/records.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         append::Stored,
-        border::{self, Append, Fence},
         node::Node,
         peers::Waiting,
+        platform::{self, Append, Fence},
     },
     egretlb_types::Offset,
     egretlb_workflow::{AppendResult, Record},
@@ -61,7 +61,8 @@
         for waiting in waiting {
             let Record { key, value } = waiting.record.clone();
             // Neither a submission nor a cancellation depends on its place among the records.
-            let stored = border::Stored { offset: Offset(0), key: key.into(), value: value.into() };
+            let stored =
+                platform::StoredRecord { offset: Offset(0), key: key.into(), value: value.into() };
             self.step(|core, now, out| core.on_work(now, &stored, out));
         }
     }
--- a/crates/runtime/src/relays/leader.rs
+++ b/crates/runtime/src/relays/leader.rs
@@ -3,9 +3,9 @@
 use {
     super::{FRAME_GAP, PROTOCOL, SILENT_AFTER, frames},
     crate::{
-        border::{Decoded, HoldCall, PaceCall, StartCall, StopCall, Workers},
         clock::Clock,
         core::Core,
+        platform::{Decoded, PaceCall, PollCall, StartCall, StopCall, Workers},
     },
     bytes::Bytes,
     compact_str::CompactString,
@@ -144,7 +144,7 @@
             session.used.set(true);
             // The empty frame tells it so.
             session.wake.notify_one();
-            self.assignment.add(now, session.number, session.data_centre.clone());
+            self.assignment.add_relay(now, session.number, session.data_centre.clone());
             log::info!(relay:% = session.name, used = self.assignment.relays(), wanted; "relay_used");
             any = true;
         }
@@ -203,7 +203,7 @@
         let row = |session: &Rc<Session>| UsedRelay {
             name: session.name.clone(),
             data_centre: session.data_centre.clone(),
-            workers: term.assignment.load(session.number),
+            workers: term.assignment.worker_count(session.number),
         };
         used.map(row).collect()
     }
@@ -270,7 +270,7 @@
             loop {
                 session.wake.notified().await;
                 let until_ms = session.until_ms();
-                let frame = session.codec.borrow_mut().frame(epoch, until_ms);
+                let frame = session.codec.borrow_mut().next_frame(epoch, until_ms);
                 if sink.send(Bytes::from(frame)).await.is_err() {
                     return End::Closed;
                 }
@@ -323,7 +323,7 @@
         let mut term = self.term.borrow_mut();
         let Some(term) = term.as_mut().filter(|term| term.epoch == epoch) else { return };
         term.sessions.remove(&session.number);
-        term.assignment.remove(session.number);
+        term.assignment.remove_relay(session.number);
         term.use_wanted(now, wanted);
     }
 
@@ -334,7 +334,7 @@
             let core = self.core.borrow();
             let mut term = self.term.borrow_mut();
             let Some(term) = term.as_mut().filter(|term| term.epoch == epoch) else { return };
-            term.assignment.retain(|id| core.directory.contains_key(id));
+            term.assignment.retain_workers(|id| core.directory.contains_key(id));
             term.use_wanted(self.clock.now(), wanted);
         }
     }
@@ -353,7 +353,7 @@
                 match term.assignment.route(now, worker, &data_centre, known) {
                     Route::Direct => return None,
                     Route::Via(number) => return term.sessions.get(&number).cloned(),
-                    Route::Later => {}
+                    Route::Wait => {}
                 }
             }
             // Either way the route is asked for again.
@@ -366,17 +366,17 @@
         let session = self.relay_of(worker).await;
         // The process may have been paused meanwhile.
         if self.core.borrow().leadership.authority(self.clock.now()).is_none() {
-            return Ok(call.withheld());
+            return Ok(call.withheld_answer());
         }
         let Some(session) = session else { return Err(call) };
-        if !session.codec.borrow().knows(worker) {
-            self.direct.release(addr);
+        if !session.codec.borrow().has_worker(worker) {
+            self.direct.close_idle(addr);
         }
         let own_wait = match &call {
-            Call::Hold { wait_ms, .. } => Duration::from_millis(*wait_ms),
+            Call::Poll { wait_ms, .. } => Duration::from_millis(*wait_ms),
             Call::Start { .. } | Call::Stop { .. } | Call::Pace { .. } => Duration::ZERO,
         };
-        let unanswered = call.unanswered();
+        let unanswered = call.lost_answer();
         let (tx, rx) = oneshot::channel();
         let number = session.add(self.clock.now(), worker, addr, call);
         session.pending.borrow_mut().insert(number, tx);
@@ -391,7 +391,7 @@
         };
         let loss = self.term.borrow_mut().as_mut().and_then(|term| {
             let now = self.clock.now();
-            term.assignment.note(now, session.number, worker, answer.is_heard())
+            term.assignment.record_answer(now, session.number, worker, answer.is_from_worker())
         });
         if let Some(loss) = loss {
             log::warn!(relay:% = session.name, why:? = loss; "relay_given_up");
@@ -402,14 +402,14 @@
 }
 
 impl Workers for Relays {
-    fn hold(&self, call: HoldCall) -> LocalBoxFuture<'_, Decoded<HoldResult>> {
+    fn poll(&self, call: PollCall) -> LocalBoxFuture<'_, Decoded<HoldResult>> {
         Box::pin(async move {
-            let HoldCall { recorded, until_ms, wait_ms, .. } = call;
-            let carried = Call::Hold { recorded, until_ms, wait_ms };
+            let PollCall { recorded, until_ms, wait_ms, .. } = call;
+            let carried = Call::Poll { recorded, until_ms, wait_ms };
             match self.carry(&call.worker, call.addr, carried).await {
-                Ok(Answer::Hold(result)) => result.into(),
+                Ok(Answer::Poll(result)) => result.into(),
                 Ok(_) => HoldResult::Failed.into(),
-                Err(_) => self.direct.hold(call).await,
+                Err(_) => self.direct.poll(call).await,
             }
         })
     }
@@ -422,7 +422,7 @@
                 run,
                 payload: call.payload.into(),
                 until_ms,
-                saved: call.saved.into(),
+                checkpoint: call.checkpoint.into(),
                 ticket: call.ticket.into(),
             };
             match self.carry(call.worker, call.addr, carried).await {
@@ -456,7 +456,7 @@
         })
     }
 
-    fn release(&self, addr: SocketAddr) {
-        self.direct.release(addr);
+    fn close_idle(&self, addr: SocketAddr) {
+        self.direct.close_idle(addr);
     }
 }
--- a/crates/runtime/src/relays/offer.rs
+++ b/crates/runtime/src/relays/offer.rs
@@ -3,14 +3,14 @@
 use {
     super::{FRAME_GAP, PATH, PROTOCOL, SIGN_EVERY, frames},
     crate::{
-        border::{HoldCall, PaceCall, StartCall, StopCall},
         core::Core,
         node::Node,
+        platform::{PaceCall, PollCall, StartCall, StopCall},
     },
     bytes::Bytes,
     compact_str::CompactString,
     egretlb_http::{Duplex, Upgrade, upgrade},
-    egretlb_relay::{Answer, Call, Carried, Hello, RelayCodec},
+    egretlb_relay::{Answer, Call, Hello, RelayCodec, RelayedCall},
     futures::{SinkExt, StreamExt},
     http::StatusCode,
     std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration},
@@ -103,7 +103,7 @@
         while !node.core().stopping {
             // With nothing to report, the frame is a sign of life.
             let _ = timeout(SIGN_EVERY, link.wake.notified()).await;
-            let frame = link.codec.borrow_mut().frame(clock_ms(node));
+            let frame = link.codec.borrow_mut().next_frame(clock_ms(node));
             if sink.send(Bytes::from(frame)).await.is_err() {
                 return;
             }
@@ -127,7 +127,7 @@
             }
             for carried in calls {
                 if late {
-                    report(link, carried.number, carried.call.withheld());
+                    report(link, carried.number, carried.call.withheld_answer());
                 } else {
                     spawn_local(carry(Rc::clone(node), Rc::clone(link), carried));
                 }
@@ -149,19 +149,19 @@
     link.wake.notify_one();
 }
 
-async fn carry(node: Rc<Node>, link: Rc<Link>, carried: Carried) {
-    let Carried { number, epoch, worker, addr, call } = carried;
+async fn carry(node: Rc<Node>, link: Rc<Link>, carried: RelayedCall) {
+    let RelayedCall { number, epoch, worker, addr, call } = carried;
     let workers = node.relays.direct();
     let answer = match call {
-        Call::Hold { recorded, until_ms, wait_ms } => {
-            let call = HoldCall { worker, addr, epoch, recorded, until_ms, wait_ms };
-            Answer::Hold(node.heed(workers.hold(call).await))
+        Call::Poll { recorded, until_ms, wait_ms } => {
+            let call = PollCall { worker, addr, epoch, recorded, until_ms, wait_ms };
+            Answer::Poll(node.heed(workers.poll(call).await))
         }
-        Call::Start { task, run, payload, until_ms, saved, ticket } => {
+        Call::Start { task, run, payload, until_ms, checkpoint, ticket } => {
             let (worker, payload): (_, &CompactString) = (&worker, &payload);
-            let (saved, ticket) = (saved.as_str(), ticket.as_str());
+            let (checkpoint, ticket) = (checkpoint.as_str(), ticket.as_str());
             let call =
-                StartCall { worker, addr, epoch, task, run, payload, until_ms, saved, ticket };
+                StartCall { worker, addr, epoch, task, run, payload, until_ms, checkpoint, ticket };
             Answer::Start(workers.start(call).await)
         }
         Call::Stop { task, run } => {
--- a/crates/runtime/tests/bad_entry_log.rs
+++ b/crates/runtime/tests/bad_entry_log.rs
@@ -1,7 +1,7 @@
 //! Each entry that can't be read is told once, and a flood of them stays small.
 
 use {
-    egretlb_runtime::{BadEntry, BadEntryLog, Telling, border::EntryKind},
+    egretlb_runtime::{BadEntry, BadEntryLog, LogAction, platform::EntryKind},
     egretlb_types::Time,
     std::time::Duration,
 };
@@ -15,13 +15,13 @@
 #[test]
 fn told_once() {
     let mut log = BadEntryLog::default();
-    let line = Telling::Line { untold: 0 };
-    assert_eq!(log.note(NOW, &entry("a", 1)), line);
-    assert_eq!(log.note(NOW, &entry("a", 1)), Telling::Known);
-    assert_eq!(log.note(NOW, &entry("a", 2)), line);
-    assert_eq!(log.note(NOW, &entry("b", 2)), line);
+    let line = LogAction::Log { untold: 0 };
+    assert_eq!(log.record(NOW, &entry("a", 1)), line);
+    assert_eq!(log.record(NOW, &entry("a", 1)), LogAction::Ignore);
+    assert_eq!(log.record(NOW, &entry("a", 2)), line);
+    assert_eq!(log.record(NOW, &entry("b", 2)), line);
     let other = BadEntry { kind: EntryKind::Vm, ..entry("a", 2) };
-    assert_eq!(log.note(NOW, &other), line);
+    assert_eq!(log.record(NOW, &other), line);
 }
 
 /// Another writer leaves thousands of entries in a second. Each line of it would push the lines that explain
@@ -29,17 +29,17 @@
 #[test]
 fn flood_bounded() {
     let mut log = BadEntryLog::default();
-    let told: Vec<Telling> =
-        (0..100_000).map(|number| log.note(NOW, &entry(&format!("flood-{number}"), 1))).collect();
-    let lines = told.iter().filter(|telling| matches!(telling, Telling::Line { .. }));
+    let actions: Vec<LogAction> =
+        (0..100_000).map(|number| log.record(NOW, &entry(&format!("flood-{number}"), 1))).collect();
+    let lines = actions.iter().filter(|action| matches!(action, LogAction::Log { .. }));
     assert_eq!(lines.count(), 20);
-    assert!(!told.contains(&Telling::Known));
+    assert!(!actions.contains(&LogAction::Ignore));
     // Those of late are remembered, the others aren't.
-    assert_eq!(log.note(NOW, &entry("flood-99999", 1)), Telling::Known);
-    assert_eq!(log.note(NOW, &entry("flood-0", 1)), Telling::Count);
+    assert_eq!(log.record(NOW, &entry("flood-99999", 1)), LogAction::Ignore);
+    assert_eq!(log.record(NOW, &entry("flood-0", 1)), LogAction::Count);
     let later = NOW + Duration::from_secs(10);
     let untold = 100_000 - 20 + 1;
-    assert_eq!(log.note(later, &entry("next", 1)), Telling::Line { untold });
+    assert_eq!(log.record(later, &entry("next", 1)), LogAction::Log { untold });
 }
 
 #[test]
