--- a/crates/lab/src/experiments/keys.rs
+++ b/crates/lab/src/experiments/keys.rs
@@ -13,8 +13,8 @@
     egretlb_requests::{
         BodyHash, RequestId,
         keys::{
-            KeyBook, KeyBookEffect, KeyBookEvent, KeyOutcome, OutcomeReport, PermitAsk,
-            PermitHolder, RecordedAnswer,
+            KeyOutcome, KeyTable, KeyTableEffect, KeyTableEvent, OutcomeReport, PermitHolder,
+            PermitRequest, RecordedAnswer,
         },
     },
     egretlb_types::{RequestKey, SHARD_COUNT, ShardId, Time, shard_of_key},
@@ -54,10 +54,10 @@
 }
 
 struct Book {
-    book: KeyBook,
+    book: KeyTable,
     held: Held,
     now: Time,
-    out: Vec<KeyBookEffect>,
+    out: Vec<KeyTableEffect>,
     journal_bytes: usize,
     entries: usize,
 }
@@ -65,7 +65,7 @@
 impl Book {
     fn new(shards: &[ShardId]) -> Self {
         let mut book = Book {
-            book: KeyBook::new(),
+            book: KeyTable::new(),
             held: Held::new(shards),
             now: Time::ZERO,
             out: Vec::new(),
@@ -73,19 +73,19 @@
             entries: 0,
         };
         for shard in shards {
-            book.step(KeyBookEvent::Owned { shard: *shard, epoch: Held::EPOCH });
+            book.step(KeyTableEvent::Owned { shard: *shard, epoch: Held::EPOCH });
         }
         book
     }
 
     /// Takes one step and acknowledges what it journals.
-    fn step(&mut self, event: KeyBookEvent) {
+    fn step(&mut self, event: KeyTableEvent) {
         self.book.step(self.now, event, &self.held, &mut self.out);
         while let Some(effect) = self.out.pop() {
-            if let KeyBookEffect::Journal { entry, ticket, .. } = effect {
+            if let KeyTableEffect::Journal { entry, ticket, .. } = effect {
                 self.entries += 1;
                 self.journal_bytes += postcard::to_stdvec(&entry).map_or(0, |b| b.len());
-                let event = KeyBookEvent::Journaled { ticket };
+                let event = KeyTableEvent::Journaled { ticket };
                 self.book.step(self.now, event, &self.held, &mut self.out);
             }
         }
@@ -99,10 +99,12 @@
         let shard = shard_of_key(&key);
         let holder = PermitHolder { entry: node_id(n % 17), request: RequestId(n as u64) };
         let body = BodyHash(n as u64);
-        self.step(KeyBookEvent::Ask { ask: PermitAsk { shard, key: key.clone(), body, holder } });
+        self.step(KeyTableEvent::Request {
+            request: PermitRequest { shard, key: key.clone(), body, holder },
+        });
         let answer = RecordedAnswer { status: 200, body: Some(vec![b'x'; ANSWER_BYTES]) };
         let report = OutcomeReport { shard, key, holder, outcome: KeyOutcome::Ran(answer) };
-        self.step(KeyBookEvent::Report { report });
+        self.step(KeyTableEvent::Report { report });
     }
 
     fn snapshot_bytes(&self, shards: &[ShardId]) -> usize {
--- a/crates/lab/src/models/requests.rs
+++ b/crates/lab/src/models/requests.rs
@@ -10,8 +10,8 @@
         timeline::Timeline,
     },
     egretlb_requests::{
-        AttemptId, BodyHash, Entry, EntryEffect, EntryEvent, EntryOptions, RequestId, ShareBook,
-        ShareBookEffect, ShareBookEvent,
+        AttemptId, BodyHash, Entry, EntryEffect, EntryEvent, EntryOptions, RequestId, ShareTable,
+        ShareTableEffect, ShareTableEvent,
         entry::{Arrival, AttemptResult, ShardOwner, Verdict},
         shares::{ServerInfo, ServerSpec},
     },
@@ -65,7 +65,7 @@
     Tick,
     Arrive,
     Entry(EntryEvent),
-    Grantor(ShareBookEvent),
+    Grantor(ShareTableEvent),
 }
 
 /// The entries and their surroundings.
@@ -74,7 +74,7 @@
     rng: SmallRng,
     entries: Vec<Entry>,
     index: BTreeMap<NodeId, usize>,
-    grantor: ShareBook,
+    grantor: ShareTable,
     held: Held,
     due: Timeline<(usize, Event)>,
     gaps: Option<Exp<f64>>,
@@ -93,7 +93,7 @@
             rng: SmallRng::seed_from_u64(seed),
             entries: Vec::new(),
             index: (0..entries).map(|n| (node_id(n), n)).collect(),
-            grantor: ShareBook::new(),
+            grantor: ShareTable::new(),
             held: Held::new(&shards),
             due: Timeline::new(),
             gaps: None,
@@ -113,10 +113,10 @@
     fn own(&mut self, shards: &[ShardId], list: &[VmRecord]) {
         for shard in shards {
             let (shard, epoch) = (*shard, Held::EPOCH);
-            self.grant(ShareBookEvent::Owned { shard, epoch, had_owner: false });
+            self.grant(ShareTableEvent::Owned { shard, epoch, had_owner: false });
             let here = list.iter().enumerate().filter(|(_, r)| shard_of_rack(&r.rack) == shard);
             let servers = here.map(|(n, record)| spec(n, record)).collect();
-            self.grant(ShareBookEvent::Servers { shard, servers });
+            self.grant(ShareTableEvent::Servers { shard, servers });
         }
     }
 
@@ -130,7 +130,7 @@
     ) {
         let data_centre = list[0].data_centre.clone();
         let options = EntryOptions::new(node_id(n), data_centre, seed.wrapping_add(n as u64));
-        self.entries.push(Entry::new(options.queue_max(usize::MAX)));
+        self.entries.push(Entry::new(options.max_queue_len(usize::MAX)));
         let owner = |shard: &ShardId| ShardOwner {
             shard: *shard,
             node: node_id(GRANTOR),
@@ -229,12 +229,12 @@
                 let time = Duration::from_secs_f64(self.service.sample(&mut self.rng));
                 self.push(time, n, answered(attempt));
             }
-            EntryEffect::AskShares { ask, .. } => {
+            EntryEffect::RequestShares { request, .. } => {
                 self.counts.asks += 1;
-                self.counts.ask_bytes += len(&ask);
-                self.push(PEER_DELAY, n, Event::Grantor(ShareBookEvent::Ask { ask }));
+                self.counts.ask_bytes += len(&request);
+                self.push(PEER_DELAY, n, Event::Grantor(ShareTableEvent::Request { request }));
             }
-            EntryEffect::Answer { verdict: Verdict::PassOn { .. }, .. } => {
+            EntryEffect::Answer { verdict: Verdict::Forward { .. }, .. } => {
                 self.counts.answered += 1;
             }
             EntryEffect::Answer { .. } => self.counts.refused += 1,
@@ -245,18 +245,18 @@
         }
     }
 
-    fn grant(&mut self, event: ShareBookEvent) {
+    fn grant(&mut self, event: ShareTableEvent) {
         let mut out = Vec::new();
         let start = Instant::now();
         self.grantor.step(self.now, event, &self.held, &mut out);
         self.counts.grantor_time += start.elapsed();
         for effect in out {
             let (to, event) = match effect {
-                ShareBookEffect::Grant { entry, grant } => {
+                ShareTableEffect::Grant { entry, grant } => {
                     self.counts.grant_bytes += len(&grant);
                     (entry, EntryEvent::SharesGranted { grant })
                 }
-                ShareBookEffect::Recall { entry, shard, .. } => {
+                ShareTableEffect::Recall { entry, shard, .. } => {
                     (entry, EntryEvent::SharesRecalled { shard })
                 }
             };
@@ -267,8 +267,8 @@
 }
 
 fn answered(attempt: AttemptId) -> Event {
-    let result = AttemptResult::Whole { status: 200, record: None };
-    Event::Entry(EntryEvent::Answered { attempt, result })
+    let result = AttemptResult::Complete { status: 200, recorded_body: None };
+    Event::Entry(EntryEvent::AttemptEnded { attempt, result })
 }
 
 fn len(value: &impl Serialize) -> u64 {
--- a/crates/net/src/runtime/callers.rs
+++ b/crates/net/src/runtime/callers.rs
@@ -11,7 +11,7 @@
     egretlb_api::{CALLS_PREFIX, DEADLINE_MS, IDEMPOTENCY_KEY, RAN, RETRY_AFTER},
     egretlb_node::{CallerArrival, EntryNodeEvent},
     egretlb_requests::{
-        AttemptId, BodyHash, RECORDED_BODY_MAX, RequestId,
+        AttemptId, BodyHash, MAX_RECORDED_BODY_BYTES, RequestId,
         entry::{AttemptResult, ErrorReason, Verdict},
         keys::RecordedAnswer,
     },
@@ -72,7 +72,7 @@
 
 /// What the handler of a request is told in the end.
 enum Final {
-    PassOn(Box<HttpAnswer>),
+    Forward(Box<HttpAnswer>),
     Verdict(Box<Verdict>),
 }
 
@@ -123,14 +123,14 @@
     pub(super) fn end(&self, id: RequestId, verdict: Verdict) {
         let Some(mut waiting) = self.lock().remove(&id) else { return };
         let kept = match verdict {
-            Verdict::PassOn { attempt } => {
+            Verdict::Forward { attempt } => {
                 let at = waiting.answers.iter().position(|(of, _)| *of == attempt);
                 at.map(|at| waiting.answers.swap_remove(at).1)
             }
             _ => None,
         };
         let last = match kept {
-            Some(answer) => Final::PassOn(Box::new(answer)),
+            Some(answer) => Final::Forward(Box::new(answer)),
             None => Final::Verdict(Box::new(verdict)),
         };
         // The handler waits as long as the request is in the table.
@@ -181,7 +181,7 @@
     let last = rx.recv();
     count(metrics, &class, last.as_ref().ok(), arrived.elapsed());
     match last {
-        Ok(Final::PassOn(answer)) => pass_on(*answer),
+        Ok(Final::Forward(answer)) => pass_on(*answer),
         Ok(Final::Verdict(verdict)) => answer_verdict(*verdict),
         Err(_) => error_answer(ErrorReason::Broken, Ran::Unknown, None),
     }
@@ -191,7 +191,7 @@
 /// caller's text, and each new text would take memory for good.
 fn count(metrics: &EntryMetrics, class: &ClassName, last: Option<&Final>, took: Duration) {
     let verdict = match last {
-        Some(Final::PassOn(_)) => return metrics.ended(class, Outcome::Answered, took),
+        Some(Final::Forward(_)) => return metrics.ended(class, Outcome::Answered, took),
         Some(Final::Verdict(verdict)) => &**verdict,
         None => return metrics.ended(class, Outcome::Failed, took),
     };
@@ -202,7 +202,7 @@
                 metrics.ended(class, Outcome::Refused, took);
             }
         }
-        Verdict::PassOn { .. } | Verdict::Error { .. } => {
+        Verdict::Forward { .. } | Verdict::Error { .. } => {
             metrics.ended(class, Outcome::Failed, took);
         }
         Verdict::Recorded(_) => metrics.ended(class, Outcome::Answered, took),
@@ -317,11 +317,11 @@
         Err(CallFailure::Truncated { .. }) => return (AttemptResult::Truncated, None),
     };
     if let Some(why) = answer.headers.get(DECLINED_HEADER) {
-        return (AttemptResult::Declined { leaving: why == DECLINED_LEAVING }, None);
+        return (AttemptResult::Declined { draining: why == DECLINED_LEAVING }, None);
     }
-    let small = req.keyed && answer.body.len() <= RECORDED_BODY_MAX;
-    let record = small.then(|| answer.body.clone());
-    (AttemptResult::Whole { status: answer.status.as_u16(), record }, Some(answer))
+    let small = req.keyed && answer.body.len() <= MAX_RECORDED_BODY_BYTES;
+    let recorded_body = small.then(|| answer.body.clone());
+    (AttemptResult::Complete { status: answer.status.as_u16(), recorded_body }, Some(answer))
 }
 
 fn with_headers(
@@ -371,7 +371,7 @@
 fn answer_verdict(verdict: Verdict) -> Response<Body> {
     match verdict {
         // Its answer was kept until now, or the reducer wouldn't have said so.
-        Verdict::PassOn { .. } => error_answer(ErrorReason::Broken, Ran::Yes, None),
+        Verdict::Forward { .. } => error_answer(ErrorReason::Broken, Ran::Yes, None),
         Verdict::Recorded(recorded) => repeat_recorded(recorded),
         Verdict::Refuse { reason, retry_after } => refuse(reason, retry_after),
         Verdict::Error { reason, ran, retry_after } => error_answer(reason, ran, Some(retry_after)),
--- a/crates/node/src/entry/mod.rs
+++ b/crates/node/src/entry/mod.rs
@@ -70,7 +70,7 @@
                 self.requests(now, EntryEvent::CallerGone { request }, &mut out);
             }
             EntryNodeEvent::Answered { attempt, result } => {
-                self.requests(now, EntryEvent::Answered { attempt, result }, &mut out);
+                self.requests(now, EntryEvent::AttemptEnded { attempt, result }, &mut out);
             }
         }
         effects.extend(out.node.effects.into_iter().map(EntryNodeEffect::Node));
@@ -210,7 +210,7 @@
         };
         let event = match message {
             PeerMessage::Permit { request, permit } => EntryEvent::PermitAnswer { request, permit },
-            PeerMessage::OutcomeKept { request } => EntryEvent::ReportDone { request },
+            PeerMessage::OutcomeKept { request } => EntryEvent::ReportConfirmed { request },
             PeerMessage::Shares(grant) => EntryEvent::SharesGranted { grant },
             PeerMessage::RecallShares { shard } => EntryEvent::SharesRecalled { shard },
             // For a scheduler that had this address before.
@@ -225,7 +225,7 @@
         // may have given the permit, and the entry has to report that nothing ran.
         if let (PeerMessage::AskPermit(ask), Delivery::NeverSent) = (message, delivery) {
             let request = ask.holder.request;
-            let permit = Permit::NoPermit;
+            let permit = Permit::Unavailable;
             self.requests(now, EntryEvent::PermitAnswer { request, permit }, out);
         }
     }
@@ -266,14 +266,14 @@
             EntryEffect::Forget { request } => {
                 out.requests.push(RequestEffect::Forget { request });
             }
-            EntryEffect::AskPermit { node, ask } => {
-                out.node.send(control, node, PeerMessage::AskPermit(ask));
+            EntryEffect::RequestPermit { node, request } => {
+                out.node.send(control, node, PeerMessage::AskPermit(request));
             }
             EntryEffect::ReportOutcome { node, report } => {
                 out.node.send(control, node, PeerMessage::Outcome(report));
             }
-            EntryEffect::AskShares { node, ask } => {
-                out.node.send(control, node, PeerMessage::AskShares(ask));
+            EntryEffect::RequestShares { node, request } => {
+                out.node.send(control, node, PeerMessage::AskShares(request));
             }
             EntryEffect::ReportLoad { class, load } => {
                 let shard = shard_of_class(&class);
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -4,8 +4,8 @@
     egretlb_control::{ConfigVersion, Heartbeat},
     egretlb_requests::{
         RequestId,
-        keys::{OutcomeReport, Permit, PermitAsk},
-        shares::{ShareAsk, ShareGrant},
+        keys::{OutcomeReport, Permit, PermitRequest},
+        shares::{ShareGrant, ShareRequest},
     },
     egretlb_tasks::{
         CallId, JobReply, JobSpec,
@@ -34,7 +34,7 @@
         document: String,
     },
     /// An entry asks a key's owner for a permit.
-    AskPermit(PermitAsk),
+    AskPermit(PermitRequest),
     /// The answer.
     Permit {
         /// The entry's request.
@@ -50,7 +50,7 @@
         request: RequestId,
     },
     /// An entry asks a rack's owner for shares of its backend servers.
-    AskShares(ShareAsk),
+    AskShares(ShareRequest),
     /// The answer.
     Shares(ShareGrant),
     /// Others go short: ask again soon.
--- a/crates/node/src/scheduler/books.rs
+++ b/crates/node/src/scheduler/books.rs
@@ -13,8 +13,8 @@
     egretlb_control::Control,
     egretlb_log::Recovered,
     egretlb_requests::{
-        KeyBook, KeyBookEffect, KeyBookEvent, ShareBook, ShareBookEffect, ShareBookEvent,
-        keys::{KeyEntry, KeySnapshot, Permit},
+        KeyTable, KeyTableEffect, KeyTableEvent, ShareTable, ShareTableEffect, ShareTableEvent,
+        keys::{KeyJournalEntry, KeySnapshot, Permit},
         shares::{ServerInfo, ServerSpec},
     },
     egretlb_tasks::{
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum ShardChange {
     Job(JobEntry),
-    Key(KeyEntry),
+    Key(KeyJournalEntry),
 }
 
 impl ShardSnapshot {
@@ -65,8 +65,8 @@
 pub(super) struct Books {
     jobs: JobBook,
     racks: RackBook,
-    shares: ShareBook,
-    keys: KeyBook,
+    shares: ShareTable,
+    keys: KeyTable,
     callers: BTreeMap<CallId, Caller>,
     next_call: u64,
     entries: Vec<BookEntry>,
@@ -79,8 +79,8 @@
         Books {
             jobs: JobBook::builder().seed(seed).build(),
             racks: RackBook::builder().seed(seed.wrapping_add(node.0)).build(),
-            shares: ShareBook::new(),
-            keys: KeyBook::new(),
+            shares: ShareTable::new(),
+            keys: KeyTable::new(),
             callers: BTreeMap::new(),
             next_call: 0,
             entries: Vec::new(),
@@ -93,7 +93,7 @@
         &self.racks
     }
 
-    pub(super) fn keys(&self) -> &KeyBook {
+    pub(super) fn keys(&self) -> &KeyTable {
         &self.keys
     }
 
@@ -136,16 +136,16 @@
         let Past { had_owner, waited } = past;
         let released = !had_owner || !waited;
         self.step_racks(now, RackEvent::Owned { shard, epoch, released }, control, out);
-        let owned = ShareBookEvent::Owned { shard, epoch, had_owner };
+        let owned = ShareTableEvent::Owned { shard, epoch, had_owner };
         self.step_shares(now, owned, control, out);
-        self.step_keys(now, KeyBookEvent::Owned { shard, epoch }, control, out);
+        self.step_keys(now, KeyTableEvent::Owned { shard, epoch }, control, out);
         self.step_jobs(now, JobEvent::Owned { shard, epoch }, control, out);
     }
 
     pub(super) fn lose(&mut self, now: Time, shard: ShardId, control: &Control, out: &mut Out) {
         self.step_jobs(now, JobEvent::Lost { shard }, control, out);
-        self.step_keys(now, KeyBookEvent::Lost { shard }, control, out);
-        self.step_shares(now, ShareBookEvent::Lost { shard }, control, out);
+        self.step_keys(now, KeyTableEvent::Lost { shard }, control, out);
+        self.step_shares(now, ShareTableEvent::Lost { shard }, control, out);
         self.step_racks(now, RackEvent::Lost { shard }, control, out);
     }
 
@@ -164,8 +164,8 @@
 
     pub(super) fn tick(&mut self, now: Time, control: &Control, out: &mut Out) {
         self.step_racks(now, RackEvent::Tick, control, out);
-        self.step_shares(now, ShareBookEvent::Tick, control, out);
-        self.step_keys(now, KeyBookEvent::Tick, control, out);
+        self.step_shares(now, ShareTableEvent::Tick, control, out);
+        self.step_keys(now, KeyTableEvent::Tick, control, out);
         self.step_jobs(now, JobEvent::Tick, control, out);
     }
 
@@ -186,7 +186,7 @@
     pub(super) fn log_state(&mut self, now: Time, up: bool, control: &Control, out: &mut Out) {
         if up != self.log_up {
             self.log_up = up;
-            self.step_keys(now, KeyBookEvent::LogState { up }, control, out);
+            self.step_keys(now, KeyTableEvent::LogState { up }, control, out);
         }
     }
 
@@ -202,7 +202,7 @@
                 self.step_jobs(now, JobEvent::Journaled { ticket }, control, out);
             }
             BookTicket::Keys(ticket) => {
-                self.step_keys(now, KeyBookEvent::Journaled { ticket }, control, out);
+                self.step_keys(now, KeyTableEvent::Journaled { ticket }, control, out);
             }
         }
     }
@@ -229,14 +229,14 @@
         out: &mut Out,
     ) {
         match message {
-            PeerMessage::AskPermit(ask) => {
-                self.step_keys(now, KeyBookEvent::Ask { ask }, control, out);
+            PeerMessage::AskPermit(request) => {
+                self.step_keys(now, KeyTableEvent::Request { request }, control, out);
             }
             PeerMessage::Outcome(report) => {
-                self.step_keys(now, KeyBookEvent::Report { report }, control, out);
+                self.step_keys(now, KeyTableEvent::Report { report }, control, out);
             }
-            PeerMessage::AskShares(ask) => {
-                self.step_shares(now, ShareBookEvent::Ask { ask }, control, out);
+            PeerMessage::AskShares(request) => {
+                self.step_shares(now, ShareTableEvent::Request { request }, control, out);
             }
             PeerMessage::Load { class, load } => {
                 self.step_jobs(now, JobEvent::Load { from, class, load }, control, out);
@@ -325,39 +325,39 @@
             }
             RackEffect::Backends { shard, backends } => {
                 let servers = backends.into_iter().map(server_spec).collect();
-                self.step_shares(now, ShareBookEvent::Servers { shard, servers }, control, out);
+                self.step_shares(now, ShareTableEvent::Servers { shard, servers }, control, out);
             }
             RackEffect::Alarm(alarm) => out.notice(Notice::Rack(alarm)),
         }
     }
 
-    fn step_shares(&mut self, now: Time, event: ShareBookEvent, control: &Control, out: &mut Out) {
+    fn step_shares(&mut self, now: Time, event: ShareTableEvent, control: &Control, out: &mut Out) {
         let mut effects = Vec::new();
         self.shares.step(now, event, control, &mut effects);
         for effect in effects {
             match effect {
-                ShareBookEffect::Grant { entry, grant } => {
+                ShareTableEffect::Grant { entry, grant } => {
                     if control.epoch_if_held(now, grant.shard) == Some(grant.epoch) {
                         out.node.send(control, entry, PeerMessage::Shares(grant));
                     }
                 }
-                ShareBookEffect::Recall { entry, shard, .. } => {
+                ShareTableEffect::Recall { entry, shard, .. } => {
                     out.node.send(control, entry, PeerMessage::RecallShares { shard });
                 }
             }
         }
     }
 
-    fn step_keys(&mut self, now: Time, event: KeyBookEvent, control: &Control, out: &mut Out) {
+    fn step_keys(&mut self, now: Time, event: KeyTableEvent, control: &Control, out: &mut Out) {
         let mut effects = Vec::new();
         self.keys.step(now, event, control, &mut effects);
         for effect in effects {
             match effect {
-                KeyBookEffect::Journal { shard, entry, ticket } => {
+                KeyTableEffect::Journal { shard, entry, ticket } => {
                     let body = ShardChange::Key(entry).encode();
                     self.entries.push(BookEntry { shard, ticket: BookTicket::Keys(ticket), body });
                 }
-                KeyBookEffect::Answer { shard, holder, permit } => {
+                KeyTableEffect::Answer { shard, holder, permit } => {
                     let held = control.epoch_if_held(now, shard).is_some();
                     // Without a word the entry gives up on the permit and frees the key.
                     if held || permit != Permit::Granted {
@@ -365,7 +365,7 @@
                         out.node.send(control, holder.entry, message);
                     }
                 }
-                KeyBookEffect::ReportDone { holder } => {
+                KeyTableEffect::ConfirmReport { holder } => {
                     let message = PeerMessage::OutcomeKept { request: holder.request };
                     out.node.send(control, holder.entry, message);
                 }
--- a/crates/requests/examples/request_cost.rs
+++ b/crates/requests/examples/request_cost.rs
@@ -7,8 +7,8 @@
 
 use {
     egretlb_requests::{
-        AttemptId, BodyHash, Entry, EntryEffect, EntryEvent, EntryOptions, RequestId, ShareBook,
-        ShareBookEffect, ShareBookEvent,
+        AttemptId, BodyHash, Entry, EntryEffect, EntryEvent, EntryOptions, RequestId, ShareTable,
+        ShareTableEffect, ShareTableEvent,
         entry::{Arrival, AttemptResult, QueueOrder, ShardOwner},
         shares::{ServerInfo, ServerSpec},
     },
@@ -40,7 +40,7 @@
 /// One entry, the grantor, and the clock.
 struct Bench {
     entry: Entry,
-    book: ShareBook,
+    book: ShareTable,
     now: Time,
     next: u64,
     sent: VecDeque<AttemptId>,
@@ -54,10 +54,10 @@
         let names = (0..classes).map(|i| format!("class-{i}").parse().unwrap());
         let opts = EntryOptions::new(NodeId(1), "dc-0".parse().unwrap(), 7)
             .order(order)
-            .queue_max(usize::MAX);
+            .max_queue_len(usize::MAX);
         let mut bench = Bench {
             entry: Entry::new(opts),
-            book: ShareBook::new(),
+            book: ShareTable::new(),
             now: Time::from_secs(100),
             next: 0,
             sent: VecDeque::new(),
@@ -75,12 +75,12 @@
         for shard in &shards {
             let in_shard = vms.iter().filter(|vm| shard_of_rack(&vm.rack) == *shard);
             let servers = in_shard.map(|vm| self.spec(vm)).collect();
-            self.grantor(ShareBookEvent::Owned {
+            self.grantor(ShareTableEvent::Owned {
                 shard: *shard,
                 epoch: Epoch(1),
                 had_owner: false,
             });
-            self.grantor(ShareBookEvent::Servers { shard: *shard, servers });
+            self.grantor(ShareTableEvent::Servers { shard: *shard, servers });
         }
         let owner =
             |shard: &ShardId| ShardOwner { shard: *shard, node: SCHEDULER, epoch: Epoch(1) };
@@ -121,11 +121,11 @@
         ConfigDocument { classes: classes.collect(), ..ConfigDocument::default() }
     }
 
-    fn grantor(&mut self, event: ShareBookEvent) {
+    fn grantor(&mut self, event: ShareTableEvent) {
         let mut out = Vec::new();
         self.book.step(self.now, event, &Owner, &mut out);
         for effect in out {
-            if let ShareBookEffect::Grant { grant, .. } = effect {
+            if let ShareTableEffect::Grant { grant, .. } = effect {
                 self.step(EntryEvent::SharesGranted { grant });
             }
         }
@@ -137,10 +137,10 @@
         for effect in out {
             match effect {
                 EntryEffect::Send { attempt, .. } => self.sent.push_back(attempt),
-                EntryEffect::AskShares { ask, .. } => {
-                    self.ask_bytes += postcard::to_allocvec(&ask).unwrap().len();
+                EntryEffect::RequestShares { request, .. } => {
+                    self.ask_bytes += postcard::to_allocvec(&request).unwrap().len();
                     self.asks += 1;
-                    self.grantor(ShareBookEvent::Ask { ask });
+                    self.grantor(ShareTableEvent::Request { request });
                 }
                 _ => {}
             }
@@ -163,8 +163,8 @@
 
     fn answer_oldest(&mut self) {
         if let Some(attempt) = self.sent.pop_front() {
-            let result = AttemptResult::Whole { status: 200, record: None };
-            self.step(EntryEvent::Answered { attempt, result });
+            let result = AttemptResult::Complete { status: 200, recorded_body: None };
+            self.step(EntryEvent::AttemptEnded { attempt, result });
         }
     }
 
--- a/crates/requests/src/entry/arrive.rs
+++ b/crates/requests/src/entry/arrive.rs
@@ -10,7 +10,7 @@
     },
     crate::{
         ids::RequestId,
-        limits::{ATTEMPT_MAX, PERMIT_WAIT},
+        limits::{MAX_ATTEMPT_DURATION, PERMIT_TIMEOUT},
     },
     egretlb_types::{NotRunReason, RetryAfter, Time, shard_of_key},
     smallvec::SmallVec,
@@ -48,8 +48,8 @@
         let keyed = entered.keyed.is_some();
         self.requests.insert(request, entered);
         if keyed {
-            self.timers.insert((now + PERMIT_WAIT, Timer::PermitWait(request)));
-            self.ask_permit(now, request, out);
+            self.timers.insert((now + PERMIT_TIMEOUT, Timer::PermitWait(request)));
+            self.request_permit(now, request, out);
         } else {
             self.enqueue(now, request);
         }
@@ -74,7 +74,7 @@
         if self.servers.serving(class) == 0 || self.lacks_share(now, class) {
             return Some((NotRunReason::NoBackendServer, backlog));
         }
-        if state.queue.len() >= self.opts.queue_max {
+        if state.queue.len() >= self.opts.max_queue_len {
             return Some((NotRunReason::QueueFull, backlog));
         }
         let patience = arrival.deadline.unwrap_or(service.target).min(service.target);
@@ -102,7 +102,8 @@
         service: &Service,
         arrival: Arrival,
     ) -> Request {
-        let deadline = now + arrival.deadline.unwrap_or(ATTEMPT_MAX).min(ATTEMPT_MAX);
+        let deadline =
+            now + arrival.deadline.unwrap_or(MAX_ATTEMPT_DURATION).min(MAX_ATTEMPT_DURATION);
         // A key on an idempotent class changes nothing: running twice does no harm there.
         let key = arrival.key.filter(|_| !service.idempotent);
         let keyed = key.map(|key| {
@@ -135,7 +136,7 @@
         if starved {
             state.starved_since.get_or_insert(now);
         }
-        let target = state.service.as_ref().map_or(ATTEMPT_MAX, |service| service.target);
+        let target = state.service.as_ref().map_or(MAX_ATTEMPT_DURATION, |service| service.target);
         let patience = request.answer_by.since(request.arrived).min(target);
         let give_up_at = request.answer_by - state.service_time(patience);
         let key = QueueKey { give_up_at: give_up_at.max(now), request: id };
--- a/crates/requests/src/entry/class.rs
+++ b/crates/requests/src/entry/class.rs
@@ -96,7 +96,7 @@
     /// The one to be sent next.
     pub(super) fn head(&self, order: QueueOrder) -> Option<(QueueKey, RequestId)> {
         let head = match order {
-            QueueOrder::EarliestDeadline | QueueOrder::AgeBound => self.queue.first_key_value(),
+            QueueOrder::EarliestDeadline | QueueOrder::OldestFirst => self.queue.first_key_value(),
             QueueOrder::NewestFirst => self.queue.last_key_value(),
         };
         head.map(|(key, request)| (*key, *request))
--- a/crates/requests/src/entry/dispatch.rs
+++ b/crates/requests/src/entry/dispatch.rs
@@ -7,7 +7,7 @@
     },
     crate::{
         ids::{AttemptId, RequestId},
-        limits::ATTEMPT_MAX,
+        limits::MAX_ATTEMPT_DURATION,
     },
     egretlb_types::Time,
     std::time::Duration,
@@ -83,7 +83,7 @@
         // An exchange isn't broken off at its caller's deadline. The backend server may work on it
         // all the same, and a slot that is taken for free too early overloads it; and the outcome
         // of a key is worth knowing.
-        let timeout = ATTEMPT_MAX;
+        let timeout = MAX_ATTEMPT_DURATION;
         let deadline = request.deadline.since(now);
         let attempt = AttemptId(self.next_attempt);
         self.next_attempt += 1;
--- a/crates/requests/src/entry/event.rs
+++ b/crates/requests/src/entry/event.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         ids::{AttemptId, BodyHash, RequestId},
-        keys::{OutcomeReport, Permit, PermitAsk, RecordedAnswer},
-        shares::{ShareAsk, ShareGrant},
+        keys::{OutcomeReport, Permit, PermitRequest, RecordedAnswer},
+        shares::{ShareGrant, ShareRequest},
     },
     compact_str::CompactString,
     egretlb_types::{
@@ -35,12 +35,12 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AttemptResult {
     /// The answer came whole, to the last byte that its headers promised.
-    Whole {
+    Complete {
         /// The HTTP status.
         status: u16,
         /// For a request with a key, the answer's body if it has at most
-        /// [`crate::RECORDED_BODY_MAX`] bytes.
-        record: Option<Vec<u8>>,
+        /// [`crate::MAX_RECORDED_BODY_BYTES`] bytes.
+        recorded_body: Option<Vec<u8>>,
     },
     /// No byte of the request left this process: the connection couldn't be opened.
     NotSent,
@@ -51,7 +51,7 @@
     /// The backend server says that it didn't run the request.
     Declined {
         /// Whether it declined because it is leaving, rather than for want of room.
-        leaving: bool,
+        draining: bool,
     },
 }
 
@@ -105,19 +105,19 @@
     PermitAnswer {
         /// The request that the permit is for.
         request: RequestId,
-        /// The answer; [`Permit::NoPermit`] if the owner certainly never got the ask.
+        /// The answer; [`Permit::Unavailable`] if the owner certainly never got the ask.
         permit: Permit,
     },
     /// An attempt ended. The runtime tells this exactly once for each [`EntryEffect::Send`], also
     /// after [`EntryEffect::CancelAttempt`].
-    Answered {
+    AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
         /// How it ended.
         result: AttemptResult,
     },
     /// The key's owner has the outcome.
-    ReportDone {
+    ReportConfirmed {
         /// The request whose outcome was reported.
         request: RequestId,
     },
@@ -130,7 +130,7 @@
 /// Why a request that may have run has no answer of its own.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ErrorReason {
-    /// No answer came by the caller's deadline or within [`crate::ATTEMPT_MAX`].
+    /// No answer came by the caller's deadline or within [`crate::MAX_ATTEMPT_DURATION`].
     TimedOut,
     /// The connection to the backend server broke, or its answer was cut off.
     Broken,
@@ -142,7 +142,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// Pass on the whole answer of the attempt; it ran.
-    PassOn {
+    Forward {
         /// The attempt whose answer it is.
         attempt: AttemptId,
     },
@@ -170,7 +170,7 @@
     /// What the caller is told in `Egretlb-Ran`.
     pub fn ran(&self) -> Ran {
         match self {
-            Verdict::PassOn { .. } | Verdict::Recorded(_) => Ran::Yes,
+            Verdict::Forward { .. } | Verdict::Recorded(_) => Ran::Yes,
             Verdict::Refuse { .. } => Ran::No,
             Verdict::Error { ran, .. } => *ran,
         }
@@ -217,14 +217,14 @@
         request: RequestId,
     },
     /// Ask a key's owner for a permit.
-    AskPermit {
+    RequestPermit {
         /// The owner.
         node: NodeId,
         /// The ask.
-        ask: PermitAsk,
+        request: PermitRequest,
     },
     /// Tell a key's owner what became of a permitted request; sent again until
-    /// [`EntryEvent::ReportDone`].
+    /// [`EntryEvent::ReportConfirmed`].
     ReportOutcome {
         /// The owner.
         node: NodeId,
@@ -232,11 +232,11 @@
         report: OutcomeReport,
     },
     /// Ask a rack shard's owner for shares; an ask that wants nothing gives them back.
-    AskShares {
+    RequestShares {
         /// The owner.
         node: NodeId,
         /// The ask.
-        ask: ShareAsk,
+        request: ShareRequest,
     },
     /// Tell the owner of the class's shard what load was measured.
     ReportLoad {
--- a/crates/requests/src/entry/grantors.rs
+++ b/crates/requests/src/entry/grantors.rs
@@ -47,7 +47,7 @@
     pub(super) waiting: bool,
     /// When the shares held lapse.
     pub(super) lapses: Time,
-    pub(super) known: u64,
+    pub(super) known_version: u64,
     pub(super) servers: BTreeSet<ServerIx>,
     pub(super) granted: u32,
     /// What was needed in all when the last ask was sent.
--- a/crates/requests/src/entry/keyed.rs
+++ b/crates/requests/src/entry/keyed.rs
@@ -8,7 +8,7 @@
     },
     crate::{
         ids::RequestId,
-        keys::{KeyOutcome, OutcomeReport, Permit, PermitAsk, PermitHolder},
+        keys::{KeyOutcome, OutcomeReport, Permit, PermitHolder, PermitRequest},
     },
     egretlb_types::{NotRunReason, Ran, RetryAfter, Time},
     std::{collections::BTreeMap, time::Duration},
@@ -55,20 +55,20 @@
 }
 
 impl Entry {
-    pub(super) fn ask_permit(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
+    pub(super) fn request_permit(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
         let Some(keyed) = self.requests.get(&id).and_then(|request| request.keyed.as_ref()) else {
             return;
         };
         let Some((node, _)) = self.owners.get(&keyed.shard).copied() else {
             return self.refuse_permit(now, id, NotRunReason::NoPermit, out);
         };
-        let ask = PermitAsk {
+        let request = PermitRequest {
             shard: keyed.shard,
             key: keyed.key.clone(),
             body: keyed.body,
             holder: PermitHolder { entry: self.opts.node, request: id },
         };
-        out.push(EntryEffect::AskPermit { node, ask });
+        out.push(EntryEffect::RequestPermit { node, request });
     }
 
     pub(super) fn take_permit(
@@ -98,8 +98,8 @@
             Permit::InProgress => {
                 self.refuse_permit(now, id, NotRunReason::KeyInProgress, out);
             }
-            Permit::OtherBody => self.refuse_permit(now, id, NotRunReason::KeyReused, out),
-            Permit::NoPermit => self.refuse_permit(now, id, NotRunReason::NoPermit, out),
+            Permit::BodyMismatch => self.refuse_permit(now, id, NotRunReason::KeyReused, out),
+            Permit::Unavailable => self.refuse_permit(now, id, NotRunReason::NoPermit, out),
         }
     }
 
--- a/crates/requests/src/entry/mod.rs
+++ b/crates/requests/src/entry/mod.rs
@@ -112,8 +112,10 @@
             EntryEvent::PermitAnswer { request, permit } => {
                 self.take_permit(now, request, permit, out);
             }
-            EntryEvent::Answered { attempt, result } => self.answered(now, attempt, result, out),
-            EntryEvent::ReportDone { request } => self.report_done(request),
+            EntryEvent::AttemptEnded { attempt, result } => {
+                self.answered(now, attempt, result, out)
+            }
+            EntryEvent::ReportConfirmed { request } => self.report_done(request),
             EntryEvent::Tick => self.tick(now, out),
             EntryEvent::Shutdown => {
                 self.shut_down_at.get_or_insert(now);
@@ -121,7 +123,7 @@
         }
         self.dispatch(now, out);
         self.run_timers(now, out);
-        self.ask_for_demand(now, out);
+        self.request_on_demand(now, out);
         self.finish_drain(now, out);
     }
 
@@ -163,7 +165,7 @@
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
-        self.ask_due(now, self.is_short(), out);
+        self.send_due_requests(now, self.is_short(), out);
         for ix in self.classes.indices() {
             let class = self.classes.get_mut(ix);
             if let Some(load) = class.load.take(now) {
--- a/crates/requests/src/entry/options.rs
+++ b/crates/requests/src/entry/options.rs
@@ -15,7 +15,7 @@
     /// The newest first; the others wait until they can't be answered in time any more.
     NewestFirst,
     /// The oldest first, refused when it can't be answered in time any more.
-    AgeBound,
+    OldestFirst,
 }
 
 /// What an entry is created with.
@@ -24,7 +24,7 @@
     pub(super) node: NodeId,
     pub(super) data_centre: DataCentre,
     pub(super) seed: u64,
-    pub(super) queue_max: usize,
+    pub(super) max_queue_len: usize,
     pub(super) order: QueueOrder,
     pub(super) protections: Protections,
 }
@@ -32,7 +32,7 @@
 impl EntryOptions {
     /// The most requests of one class that wait in one entry. A queue worth waiting in is far
     /// shorter; the bound keeps the memory of an entry finite before anything is measured.
-    pub const QUEUE_MAX: usize = 2_048;
+    pub const MAX_QUEUE_LEN: usize = 2_048;
 
     /// Options of the entry `node` in `data_centre`, whose random choices come from `seed`.
     pub fn new(node: NodeId, data_centre: DataCentre, seed: u64) -> Self {
@@ -40,15 +40,15 @@
             node,
             data_centre,
             seed,
-            queue_max: EntryOptions::QUEUE_MAX,
+            max_queue_len: EntryOptions::MAX_QUEUE_LEN,
             order: QueueOrder::default(),
             protections: Protections::default(),
         }
     }
 
     /// Sets the most requests of one class that wait.
-    pub fn queue_max(mut self, queue_max: usize) -> Self {
-        self.queue_max = queue_max;
+    pub fn max_queue_len(mut self, max_queue_len: usize) -> Self {
+        self.max_queue_len = max_queue_len;
         self
     }
 
--- a/crates/requests/src/entry/outcome.rs
+++ b/crates/requests/src/entry/outcome.rs
@@ -9,7 +9,7 @@
     crate::{
         ids::{AttemptId, RequestId},
         keys::{KeyOutcome, RecordedAnswer},
-        limits::PERMIT_WAIT,
+        limits::PERMIT_TIMEOUT,
     },
     egretlb_types::{NotRunReason, Ran, RetryAfter, Time},
     std::time::Duration,
@@ -41,10 +41,10 @@
         let Some(request) = self.requests.get_mut(&attempt.request) else { return };
         request.attempts.retain(|open| *open != id);
         match result {
-            AttemptResult::Whole { status, record } => {
-                self.whole(now, id, &attempt, RecordedAnswer { status, body: record }, out);
+            AttemptResult::Complete { status, recorded_body } => {
+                self.whole(now, id, &attempt, RecordedAnswer { status, body: recorded_body }, out);
             }
-            AttemptResult::Truncated if !self.opts.protections.whole_answers => {
+            AttemptResult::Truncated if !self.opts.protections.reject_truncated_answers => {
                 let answer = RecordedAnswer { status: 200, body: None };
                 self.whole(now, id, &attempt, answer, out);
             }
@@ -67,7 +67,7 @@
         let mean = state.latency.mean().max(Duration::from_micros(1));
         let ratio = took.as_secs_f64() / mean.as_secs_f64();
         let answered =
-            matches!(result, AttemptResult::Whole { status, .. } if *status < SERVER_ERROR);
+            matches!(result, AttemptResult::Complete { status, .. } if *status < SERVER_ERROR);
         if answered {
             state.latency.record(took);
             let target = state.service.as_ref().map_or(Duration::MAX, |service| service.target);
@@ -82,12 +82,12 @@
             grantor.hurry = true;
         }
         self.fairness.ended(attempt.member, attempt.expected, took);
-        if let AttemptResult::Declined { leaving: true } = result {
+        if let AttemptResult::Declined { draining: true } = result {
             let until = self.servers.said_leaving(attempt.server, now);
             self.timers.insert((until, Timer::Server(attempt.server)));
         }
         let judge = |health: &mut Health| match result {
-            AttemptResult::Declined { leaving: true } => {}
+            AttemptResult::Declined { draining: true } => {}
             _ if answered => health.answered(ratio),
             _ => health.failed(),
         };
@@ -112,7 +112,7 @@
         if request.caller_waits {
             let in_time = now <= request.answer_by;
             self.classes.get_mut(attempt.class).load.answered(in_time);
-            self.answer(attempt.request, Verdict::PassOn { attempt: id }, out);
+            self.answer(attempt.request, Verdict::Forward { attempt: id }, out);
         }
         self.end_if_done(now, attempt.request, out);
     }
@@ -179,7 +179,7 @@
         self.dequeue(id);
         let Some(request) = self.requests.remove(&id) else { return };
         self.timers.remove(&(request.deadline, Timer::Deadline(id)));
-        self.timers.remove(&(request.arrived + PERMIT_WAIT, Timer::PermitWait(id)));
+        self.timers.remove(&(request.arrived + PERMIT_TIMEOUT, Timer::PermitWait(id)));
         if let Some(at) = request.hedge_at {
             self.timers.remove(&(at, Timer::Hedge(id)));
         }
@@ -240,7 +240,7 @@
         };
         let other = self.attempts.values().find(waits).map(|attempt| attempt.request);
         if let Some(request) = other {
-            self.answer(request, Verdict::PassOn { attempt: id }, out);
+            self.answer(request, Verdict::Forward { attempt: id }, out);
         }
     }
 }
--- a/crates/requests/src/entry/sharing.rs
+++ b/crates/requests/src/entry/sharing.rs
@@ -8,7 +8,7 @@
         grantors::{Demand, Grantor},
         servers::{Server, ServerIx},
     },
-    crate::shares::{ServerAsk, ServerInfo, ShareAsk, ShareGrant},
+    crate::shares::{ServerDemand, ServerInfo, ShareGrant, ShareRequest},
     egretlb_types::{ShardId, Time, VmRecord, VmState, shard_of_rack},
     smallvec::SmallVec,
     std::{
@@ -51,7 +51,7 @@
                 grantor.hurry = true;
             }
         }
-        self.ask_due(now, false, out);
+        self.send_due_requests(now, false, out);
     }
 
     /// Takes the platform's list as a hint: which racks there are, and who is leaving.
@@ -80,13 +80,13 @@
     }
 
     /// Asks soon when demand grows, without waiting for the next tick.
-    pub(super) fn ask_for_demand(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
+    pub(super) fn request_on_demand(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
         if now < self.look_at {
             return;
         }
         self.look_at = now + LOOK_PERIOD;
         if self.is_short() {
-            self.ask_due(now, true, out);
+            self.send_due_requests(now, true, out);
         }
     }
 
@@ -94,10 +94,10 @@
         if let Some(grantor) = self.grantors.get_mut(shard) {
             grantor.hurry = true;
         }
-        self.ask_due(now, false, out);
+        self.send_due_requests(now, false, out);
     }
 
-    pub(super) fn ask_due(&mut self, now: Time, short: bool, out: &mut Vec<EntryEffect>) {
+    pub(super) fn send_due_requests(&mut self, now: Time, short: bool, out: &mut Vec<EntryEffect>) {
         if self.drained {
             return;
         }
@@ -108,7 +108,7 @@
         }
         let plan = self.plan();
         for shard in due {
-            self.ask(now, shard, &plan, out);
+            self.send_request(now, shard, &plan, out);
         }
     }
 
@@ -118,12 +118,18 @@
             for server in servers.unwrap_or_default() {
                 self.servers.set_share(server, 0);
             }
-            self.ask(now, shard, &[], out);
+            self.send_request(now, shard, &[], out);
         }
     }
 
     /// Sends an ask that says what is held until its answer, and what is wanted.
-    fn ask(&mut self, now: Time, shard: ShardId, plan: &[Planned], out: &mut Vec<EntryEffect>) {
+    fn send_request(
+        &mut self,
+        now: Time,
+        shard: ShardId,
+        plan: &[Planned],
+        out: &mut Vec<EntryEffect>,
+    ) {
         let Some(grantor) = self.grantors.get_mut(shard) else { return };
         let Some((node, epoch)) = grantor.owner else { return };
         let servers = &self.servers;
@@ -140,23 +146,23 @@
             let want = server.useful(planned.want);
             let need = planned.need.min(want);
             let named = holding > 0 || want > 0;
-            named.then(|| ServerAsk { vm: server.vm.clone(), holding, need, want })
+            named.then(|| ServerDemand { vm: server.vm.clone(), holding, need, want })
         });
-        let servers: Vec<ServerAsk> = asks.collect();
+        let servers: Vec<ServerDemand> = asks.collect();
         grantor.seq += 1;
         grantor.asked_at = Some(now);
         grantor.waiting = true;
         grantor.hurry = false;
         grantor.asked_need = self.waiting + self.attempts.len();
-        let ask = ShareAsk {
+        let request = ShareRequest {
             shard,
             epoch,
             entry: self.opts.node,
             seq: grantor.seq,
-            known: grantor.known,
+            known_version: grantor.known_version,
             servers,
         };
-        out.push(EntryEffect::AskShares { node, ask });
+        out.push(EntryEffect::RequestShares { node, request });
     }
 
     pub(super) fn take_grant(&mut self, now: Time, grant: ShareGrant, out: &mut Vec<EntryEffect>) {
@@ -171,18 +177,18 @@
         }
         let asked_at = grantor.asked_at.unwrap_or(now);
         let old_lapse = grantor.lapses;
-        grantor.lapses = if self.opts.protections.lapse_shares {
+        grantor.lapses = if self.opts.protections.expire_shares {
             Grantor::lease_end(asked_at, grant.lease)
         } else {
             Time::from_micros(u64::MAX)
         };
         let lapses = grantor.lapses;
-        let changed = grantor.known != grant.version;
-        grantor.known = grant.version;
-        grantor.answered(grant.servers.iter().map(|server| u32::from(server.open)).sum());
+        let changed = grantor.known_version != grant.version;
+        grantor.known_version = grant.version;
+        grantor.answered(grant.servers.iter().map(|server| u32::from(server.max_open)).sum());
         self.timers.remove(&(old_lapse, Timer::Lapse(shard)));
         if changed {
-            self.describe(shard, &grant.described);
+            self.describe(shard, &grant.descriptions);
         }
         let lowered = self.set_shares(&grant);
         self.timers.insert((lapses, Timer::Lapse(shard)));
@@ -191,12 +197,12 @@
         if let Some(grantor) = self.grantors.get_mut(shard) {
             grantor.hurry = changed || lowered;
         }
-        self.ask_due(now, false, out);
+        self.send_due_requests(now, false, out);
     }
 
-    fn describe(&mut self, shard: ShardId, described: &[ServerInfo]) {
+    fn describe(&mut self, shard: ShardId, descriptions: &[ServerInfo]) {
         let mut seen = BTreeSet::new();
-        for info in described {
+        for info in descriptions {
             let classes: SmallVec<[ClassIx; 4]> =
                 info.classes.iter().map(|name| self.classes.find_or_add(name)).collect();
             seen.insert(self.servers.describe(info, shard, classes, &self.opts.data_centre));
@@ -217,7 +223,7 @@
         let granted: BTreeMap<ServerIx, u16> = grant
             .servers
             .iter()
-            .filter_map(|server| Some((self.servers.find(&server.vm)?, server.open)))
+            .filter_map(|server| Some((self.servers.find(&server.vm)?, server.max_open)))
             .collect();
         for ix in &grantor.servers {
             let server = self.servers.get(*ix);
--- a/crates/requests/src/keys/message.rs
+++ b/crates/requests/src/keys/message.rs
@@ -9,7 +9,7 @@
 
 /// An entry's ask for a permit to send a non-idempotent request once.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// The key's shard.
     pub shard: ShardId,
     /// The key.
@@ -41,9 +41,9 @@
     /// An earlier request with the key may have run; it isn't run again.
     InDoubt,
     /// The key came with another body before.
-    OtherBody,
+    BodyMismatch,
     /// No permit can be given now; nothing was or will be run for this ask.
-    NoPermit,
+    Unavailable,
 }
 
 /// A backend server's answer as remembered with a key.
@@ -51,7 +51,7 @@
 pub struct RecordedAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The body, if it has at most [`crate::RECORDED_BODY_MAX`] bytes.
+    /// The body, if it has at most [`crate::MAX_RECORDED_BODY_BYTES`] bytes.
     pub body: Option<Vec<u8>>,
 }
 
@@ -81,7 +81,7 @@
 
 /// What the owner of a key's shard journals.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub enum KeyEntry {
+pub enum KeyJournalEntry {
     /// A request with the key may be sent from now on.
     Intent {
         /// The key.
--- a/crates/requests/src/keys/mod.rs
+++ b/crates/requests/src/keys/mod.rs
@@ -4,14 +4,14 @@
 //! the entry reports it. A key whose permit has no outcome stays closed: the earlier request may
 //! have run. Keys are remembered for [`crate::KEY_RETENTION`] after that.
 
-mod book;
 mod message;
 mod state;
+mod table;
 
 pub use self::{
-    book::{KeyBook, KeyBookEffect, KeyBookEvent},
     message::{
-        KeyEntry, KeyOutcome, KeyRecord, KeySnapshot, OutcomeReport, Permit, PermitAsk,
-        PermitHolder, RecordedAnswer,
+        KeyJournalEntry, KeyOutcome, KeyRecord, KeySnapshot, OutcomeReport, Permit, PermitHolder,
+        PermitRequest, RecordedAnswer,
     },
+    table::{KeyTable, KeyTableEffect, KeyTableEvent},
 };
--- a/crates/requests/src/keys/state.rs
+++ b/crates/requests/src/keys/state.rs
@@ -1,8 +1,8 @@
 //! What is known of one key, and what an ask for it is answered.
 
 use {
-    super::message::{KeyOutcome, Permit, PermitAsk, PermitHolder},
-    crate::{ids::BodyHash, limits::IN_DOUBT_AFTER, protections::Protections},
+    super::message::{KeyOutcome, Permit, PermitHolder, PermitRequest},
+    crate::{ids::BodyHash, limits::OUTCOME_TIMEOUT, protections::Protections},
     egretlb_types::{Epoch, RequestKey, Ticket, Time},
     std::{collections::BTreeMap, time::Duration},
 };
@@ -52,12 +52,12 @@
     pub(super) fn answer(
         &self,
         now: Time,
-        ask: &PermitAsk,
+        request: &PermitRequest,
         protections: Protections,
     ) -> Option<Permit> {
-        let own = self.holder == ask.holder;
-        if self.body != ask.body {
-            return Some(Permit::OtherBody);
+        let own = self.holder == request.holder;
+        if self.body != request.body {
+            return Some(Permit::BodyMismatch);
         }
         match &self.phase {
             Phase::Intending { .. } if own => None,
@@ -76,6 +76,6 @@
     }
 
     fn overdue(&self, now: Time) -> bool {
-        matches!(self.since, Since::At(at) if now.since(at) >= IN_DOUBT_AFTER)
+        matches!(self.since, Since::At(at) if now.since(at) >= OUTCOME_TIMEOUT)
     }
 }
--- a/crates/requests/src/keys/book.rs
+++ b/crates/requests/src/keys/table.rs
@@ -3,13 +3,13 @@
 use {
     super::{
         message::{
-            KeyEntry, KeyOutcome, KeyRecord, KeySnapshot, OutcomeReport, Permit, PermitAsk,
-            PermitHolder,
+            KeyJournalEntry, KeyOutcome, KeyRecord, KeySnapshot, OutcomeReport, Permit,
+            PermitHolder, PermitRequest,
         },
         state::{KeyState, Phase, ShardKeys, Since},
     },
     crate::{
-        limits::{KEY_RETENTION, MAX_KEYS_PER_SHARD, PERMIT_WAIT},
+        limits::{KEY_RETENTION, MAX_KEYS_PER_SHARD, PERMIT_TIMEOUT},
         protections::Protections,
     },
     egretlb_types::{Authority, Epoch, ShardId, Ticket, Time},
@@ -27,7 +27,7 @@
 
 /// What the book is told.
 #[derive(Clone, Debug)]
-pub enum KeyBookEvent {
+pub enum KeyTableEvent {
     /// This process owns the shard now; its keys were replayed and restored before.
     Owned {
         /// The shard.
@@ -41,9 +41,9 @@
         shard: ShardId,
     },
     /// An entry asks for a permit.
-    Ask {
+    Request {
         /// The ask.
-        ask: PermitAsk,
+        request: PermitRequest,
     },
     /// An entry reports an outcome.
     Report {
@@ -66,15 +66,15 @@
 
 /// What the book asks the runtime to do.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum KeyBookEffect {
+pub enum KeyTableEffect {
     /// Append to the shard's journal, in the order of these effects; again until it is known to
     /// have been appended, also across an outage of the log.
     Journal {
         /// The shard.
         shard: ShardId,
         /// The entry.
-        entry: KeyEntry,
-        /// What [`KeyBookEvent::Journaled`] is to name.
+        entry: KeyJournalEntry,
+        /// What [`KeyTableEvent::Journaled`] is to name.
         ticket: Ticket,
     },
     /// Answer an entry's ask. Authority for the shard is asked again before a
@@ -88,7 +88,7 @@
         permit: Permit,
     },
     /// Tell an entry that its report is kept.
-    ReportDone {
+    ConfirmReport {
         /// The holder whose report it is.
         holder: PermitHolder,
     },
@@ -96,7 +96,7 @@
 
 /// Remembers the keys of all shards that this process owns.
 #[derive(Debug)]
-pub struct KeyBook {
+pub struct KeyTable {
     shards: BTreeMap<ShardId, ShardKeys>,
     next_ticket: Ticket,
     log_up: bool,
@@ -104,21 +104,21 @@
     protections: Protections,
 }
 
-impl Default for KeyBook {
+impl Default for KeyTable {
     fn default() -> Self {
-        KeyBook::new()
+        KeyTable::new()
     }
 }
 
-impl KeyBook {
+impl KeyTable {
     /// An empty book.
     pub fn new() -> Self {
-        KeyBook::with_protections(Protections::default())
+        KeyTable::with_protections(Protections::default())
     }
 
     /// A book with some protections off, for tests.
     pub fn with_protections(protections: Protections) -> Self {
-        KeyBook {
+        KeyTable {
             shards: BTreeMap::new(),
             next_ticket: Ticket(1),
             log_up: true,
@@ -131,24 +131,24 @@
     pub fn step(
         &mut self,
         now: Time,
-        event: KeyBookEvent,
+        event: KeyTableEvent,
         auth: &dyn Authority,
-        out: &mut Vec<KeyBookEffect>,
+        out: &mut Vec<KeyTableEffect>,
     ) {
         match event {
-            KeyBookEvent::Owned { shard, epoch } => self.own(now, shard, epoch),
-            KeyBookEvent::Lost { shard } => self.lose(shard, out),
-            KeyBookEvent::Ask { ask } => self.ask(now, ask, auth, out),
-            KeyBookEvent::Report { report } => self.report(now, report, auth, out),
-            KeyBookEvent::Journaled { ticket } => self.journaled(now, ticket, auth, out),
-            KeyBookEvent::LogState { up } => {
+            KeyTableEvent::Owned { shard, epoch } => self.own(now, shard, epoch),
+            KeyTableEvent::Lost { shard } => self.lose(shard, out),
+            KeyTableEvent::Request { request } => self.handle_request(now, request, auth, out),
+            KeyTableEvent::Report { report } => self.report(now, report, auth, out),
+            KeyTableEvent::Journaled { ticket } => self.journaled(now, ticket, auth, out),
+            KeyTableEvent::LogState { up } => {
                 self.log_up = up;
                 if !up {
                     self.refuse_waiting(now, Duration::ZERO, out);
                 }
             }
-            KeyBookEvent::Tick => {
-                self.refuse_waiting(now, PERMIT_WAIT, out);
+            KeyTableEvent::Tick => {
+                self.refuse_waiting(now, PERMIT_TIMEOUT, out);
                 for keys in self.shards.values_mut() {
                     keys.given_up.retain(|_, since| now.since(*since) < ASK_UNDER_WAY);
                 }
@@ -158,17 +158,17 @@
     }
 
     /// Folds an entry of a predecessor's journal, in its order.
-    pub fn replay(&mut self, shard: ShardId, entry: &KeyEntry) {
+    pub fn replay(&mut self, shard: ShardId, entry: &KeyJournalEntry) {
         let keys = &mut self.shards.entry(shard).or_default().keys;
         let since = Since::Age(Duration::ZERO);
         match entry {
-            KeyEntry::Intent { key, body, holder } => {
+            KeyJournalEntry::Intent { key, body, holder } => {
                 // The permit may have been given: whether it was, only the holder knows.
                 let state =
                     KeyState { body: *body, holder: *holder, phase: Phase::Permitted, since };
                 keys.insert(key.clone(), state);
             }
-            KeyEntry::Outcome { key, holder, outcome } => {
+            KeyJournalEntry::Outcome { key, holder, outcome } => {
                 let Some(state) = keys.get_mut(key).filter(|state| state.holder == *holder) else {
                     return;
                 };
@@ -231,35 +231,35 @@
     }
 
     /// Whoever waits for a permit is told at once that there will be none from here.
-    fn lose(&mut self, shard: ShardId, out: &mut Vec<KeyBookEffect>) {
+    fn lose(&mut self, shard: ShardId, out: &mut Vec<KeyTableEffect>) {
         let Some(lost) = self.shards.remove(&shard) else { return };
         for state in lost.keys.values() {
             if matches!(state.phase, Phase::Intending { .. }) {
                 let holder = state.holder;
-                out.push(KeyBookEffect::Answer { shard, holder, permit: Permit::NoPermit });
+                out.push(KeyTableEffect::Answer { shard, holder, permit: Permit::Unavailable });
             }
         }
     }
 
-    fn ask(
+    fn handle_request(
         &mut self,
         now: Time,
-        ask: PermitAsk,
+        request: PermitRequest,
         auth: &dyn Authority,
-        out: &mut Vec<KeyBookEffect>,
+        out: &mut Vec<KeyTableEffect>,
     ) {
-        let shard = ask.shard;
-        let holder = ask.holder;
-        let mut answer = |permit| out.push(KeyBookEffect::Answer { shard, holder, permit });
+        let shard = request.shard;
+        let holder = request.holder;
+        let mut answer = |permit| out.push(KeyTableEffect::Answer { shard, holder, permit });
         let held = auth.epoch_if_held(now, shard);
         let Some(keys) = self.shards.get_mut(&shard).filter(|keys| keys.epoch.is_some()) else {
-            return answer(Permit::NoPermit);
+            return answer(Permit::Unavailable);
         };
         if held != keys.epoch || keys.given_up.contains_key(&holder) {
-            return answer(Permit::NoPermit);
+            return answer(Permit::Unavailable);
         }
-        if let Some(state) = keys.keys.get(&ask.key) {
-            if let Some(permit) = state.answer(now, &ask, self.protections) {
+        if let Some(state) = keys.keys.get(&request.key) {
+            if let Some(permit) = state.answer(now, &request, self.protections) {
                 return answer(permit);
             }
             if state.holder == holder {
@@ -270,28 +270,35 @@
         // once rather than after a wait that the caller gains nothing from.
         let full = keys.keys.len() >= MAX_KEYS_PER_SHARD;
         if full || (!self.log_up && self.protections.journal_intent) {
-            return answer(Permit::NoPermit);
+            return answer(Permit::Unavailable);
         }
-        self.intend(now, ask, out);
+        self.intend(now, request, out);
     }
 
-    fn intend(&mut self, now: Time, ask: PermitAsk, out: &mut Vec<KeyBookEffect>) {
+    fn intend(&mut self, now: Time, request: PermitRequest, out: &mut Vec<KeyTableEffect>) {
         let ticket = self.next_ticket();
-        let Some(keys) = self.shards.get_mut(&ask.shard) else { return };
-        let entry = KeyEntry::Intent { key: ask.key.clone(), body: ask.body, holder: ask.holder };
-        out.push(KeyBookEffect::Journal { shard: ask.shard, entry, ticket });
+        let Some(keys) = self.shards.get_mut(&request.shard) else { return };
+        let entry = KeyJournalEntry::Intent {
+            key: request.key.clone(),
+            body: request.body,
+            holder: request.holder,
+        };
+        out.push(KeyTableEffect::Journal { shard: request.shard, entry, ticket });
         let mut phase = Phase::Intending { ticket };
         if !self.protections.journal_intent {
             phase = Phase::Permitted;
-            out.push(KeyBookEffect::Answer {
-                shard: ask.shard,
-                holder: ask.holder,
+            out.push(KeyTableEffect::Answer {
+                shard: request.shard,
+                holder: request.holder,
                 permit: Permit::Granted,
             });
         }
         let since = Since::At(now);
-        keys.intents.insert(ticket, ask.key.clone());
-        keys.keys.insert(ask.key, KeyState { body: ask.body, holder: ask.holder, phase, since });
+        keys.intents.insert(ticket, request.key.clone());
+        keys.keys.insert(
+            request.key,
+            KeyState { body: request.body, holder: request.holder, phase, since },
+        );
     }
 
     fn journaled(
@@ -299,11 +306,11 @@
         now: Time,
         ticket: Ticket,
         auth: &dyn Authority,
-        out: &mut Vec<KeyBookEffect>,
+        out: &mut Vec<KeyTableEffect>,
     ) {
         for (shard, keys) in &mut self.shards {
             if let Some(holder) = keys.reports.remove(&ticket) {
-                out.push(KeyBookEffect::ReportDone { holder });
+                out.push(KeyTableEffect::ConfirmReport { holder });
                 return;
             }
             let Some(key) = keys.intents.remove(&ticket) else { continue };
@@ -318,8 +325,8 @@
             let granted = held.is_some() && held == keys.epoch;
             state.phase = Phase::Permitted;
             state.since = Since::At(now);
-            let permit = if granted { Permit::Granted } else { Permit::NoPermit };
-            out.push(KeyBookEffect::Answer { shard: *shard, holder: state.holder, permit });
+            let permit = if granted { Permit::Granted } else { Permit::Unavailable };
+            out.push(KeyTableEffect::Answer { shard: *shard, holder: state.holder, permit });
             return;
         }
     }
@@ -329,7 +336,7 @@
         now: Time,
         report: OutcomeReport,
         auth: &dyn Authority,
-        out: &mut Vec<KeyBookEffect>,
+        out: &mut Vec<KeyTableEffect>,
     ) {
         let held = auth.epoch_if_held(now, report.shard);
         let Some(keys) = self.shards.get_mut(&report.shard) else { return };
@@ -344,14 +351,14 @@
             if keys.given_up.len() < GIVEN_UP_MAX {
                 keys.given_up.insert(report.holder, now);
             }
-            out.push(KeyBookEffect::ReportDone { holder: report.holder });
+            out.push(KeyTableEffect::ConfirmReport { holder: report.holder });
             return;
         };
         if matches!(state.phase, Phase::Ended(_)) {
             // Said before; if its entry is still on the way to the log, that one's answer counts.
             let waits = keys.reports.values().any(|holder| *holder == report.holder);
             if !waits {
-                out.push(KeyBookEffect::ReportDone { holder: report.holder });
+                out.push(KeyTableEffect::ConfirmReport { holder: report.holder });
             }
             return;
         }
@@ -364,7 +371,7 @@
         now: Time,
         report: OutcomeReport,
         reported: bool,
-        out: &mut Vec<KeyBookEffect>,
+        out: &mut Vec<KeyTableEffect>,
     ) {
         let ticket = self.next_ticket();
         let Some(keys) = self.shards.get_mut(&report.shard) else { return };
@@ -378,14 +385,14 @@
             keys.reports.insert(ticket, report.holder);
         }
         let OutcomeReport { shard, key, holder, outcome } = report;
-        let entry = KeyEntry::Outcome { key, holder, outcome };
-        out.push(KeyBookEffect::Journal { shard, entry, ticket });
+        let entry = KeyJournalEntry::Outcome { key, holder, outcome };
+        out.push(KeyTableEffect::Journal { shard, entry, ticket });
     }
 
     /// Refuses permits whose intent has waited for the log for `wait`. The key is free again: its
     /// holder is told that nothing will run, and the journal says so behind the intent, should
     /// that turn out to be in the log after all.
-    fn refuse_waiting(&mut self, now: Time, wait: Duration, out: &mut Vec<KeyBookEffect>) {
+    fn refuse_waiting(&mut self, now: Time, wait: Duration, out: &mut Vec<KeyTableEffect>) {
         let mut refused = Vec::new();
         for (shard, keys) in &self.shards {
             for key in keys.intents.values() {
@@ -397,7 +404,7 @@
             }
         }
         for (shard, key, holder) in refused {
-            out.push(KeyBookEffect::Answer { shard, holder, permit: Permit::NoPermit });
+            out.push(KeyTableEffect::Answer { shard, holder, permit: Permit::Unavailable });
             let report = OutcomeReport { shard, key, holder, outcome: KeyOutcome::NotRun };
             self.end(now, report, false, out);
         }
--- a/crates/requests/src/lib.rs
+++ b/crates/requests/src/lib.rs
@@ -1,7 +1,7 @@
 //! Requests under load: admission, queues, routing, retries, shares and request keys, as reducers.
 //!
-//! [`Entry`] decides for one entry process what becomes of each caller's request. [`ShareBook`]
-//! grants entries their shares of backend servers, and [`KeyBook`] remembers idempotency keys;
+//! [`Entry`] decides for one entry process what becomes of each caller's request. [`ShareTable`]
+//! grants entries their shares of backend servers, and [`KeyTable`] remembers idempotency keys;
 //! both run in a scheduler, for the shards that it owns. None of them does input or output or
 //! reads a clock, and request bodies never come near them: they handle ids, hashes and sizes.
 //!
@@ -19,8 +19,8 @@
 pub use crate::{
     entry::{Entry, EntryEffect, EntryEvent, EntryOptions},
     ids::{AttemptId, BodyHash, RequestId},
-    keys::{KeyBook, KeyBookEffect, KeyBookEvent},
+    keys::{KeyTable, KeyTableEffect, KeyTableEvent},
     limits::*,
     protections::Protections,
-    shares::{ShareBook, ShareBookEffect, ShareBookEvent},
+    shares::{ShareTable, ShareTableEffect, ShareTableEvent},
 };
--- a/crates/requests/src/limits.rs
+++ b/crates/requests/src/limits.rs
@@ -20,22 +20,22 @@
 ///
 /// A grantor keeps a lapsed share aside for this long, because exchanges begun under it may still
 /// be open; every millisecond is capacity lost after an entry's death.
-pub const ATTEMPT_MAX: Duration = Duration::from_secs(10);
+pub const MAX_ATTEMPT_DURATION: Duration = Duration::from_secs(10);
 
 /// How far two monotonic clocks may run apart, in thousandths of the time measured.
-pub const CLOCK_RATE_PERMILLE: u32 = 10;
+pub const MAX_CLOCK_DRIFT_PERMILLE: u32 = 10;
 
 /// How long an entry waits for a permit before it refuses the request.
 ///
 /// A permit takes one group commit of the log, some tens of milliseconds. A caller who waits a
 /// whole second gains nothing from a longer wait.
-pub const PERMIT_WAIT: Duration = Duration::from_secs(1);
+pub const PERMIT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long after a permit its outcome must have been reported, or the key is in doubt.
 ///
-/// An entry sends at once after the permit came, and an exchange ends within [`ATTEMPT_MAX`]; the
+/// An entry sends at once after the permit came, and an exchange ends within [`MAX_ATTEMPT_DURATION`]; the
 /// rest is for reports that have to be sent again.
-pub const IN_DOUBT_AFTER: Duration = Duration::from_secs(20);
+pub const OUTCOME_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How long a key is remembered after its outcome was recorded or it fell in doubt. A request with
 /// an older key is taken as new, and runs.
@@ -50,9 +50,9 @@
 
 /// The longest answer body recorded with a key's outcome, in bytes; a longer one is recorded by its
 /// status alone. The log and the owner's memory keep it for a day.
-pub const RECORDED_BODY_MAX: usize = 256;
+pub const MAX_RECORDED_BODY_BYTES: usize = 256;
 
 /// The span as the slower of two clocks may measure what the faster one calls `span`.
 pub fn with_clock_margin(span: Duration) -> Duration {
-    span + span * CLOCK_RATE_PERMILLE / 1_000
+    span + span * MAX_CLOCK_DRIFT_PERMILLE / 1_000
 }
--- a/crates/requests/src/protections.rs
+++ b/crates/requests/src/protections.rs
@@ -7,11 +7,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Protections {
     /// A share counts from the sending of its ask, and nothing is sent under a lapsed one.
-    pub lapse_shares: bool,
+    pub expire_shares: bool,
     /// A grantor keeps a lapsed share aside until exchanges begun under it must have ended.
-    pub outwait_exchanges: bool,
+    pub await_open_exchanges: bool,
     /// A new grantor waits out its predecessor's shares before it grants from the same pool.
-    pub outwait_predecessor: bool,
+    pub await_predecessor_expiry: bool,
     /// An entry takes only the grant that answers its last ask, from the newest epoch.
     pub fence_grants: bool,
     /// A request that may have run is sent again only if its class is idempotent.
@@ -23,7 +23,7 @@
     /// An answer belongs to the request of its attempt; one of a finished request is dropped.
     pub match_answers: bool,
     /// A truncated answer isn't passed on.
-    pub whole_answers: bool,
+    pub reject_truncated_answers: bool,
     /// A request whose bytes may have left is never called not run.
     pub truthful_ran: bool,
 }
@@ -31,15 +31,15 @@
 impl Default for Protections {
     fn default() -> Self {
         Protections {
-            lapse_shares: true,
-            outwait_exchanges: true,
-            outwait_predecessor: true,
+            expire_shares: true,
+            await_open_exchanges: true,
+            await_predecessor_expiry: true,
             fence_grants: true,
             at_most_once: true,
             journal_intent: true,
             keep_in_doubt: true,
             match_answers: true,
-            whole_answers: true,
+            reject_truncated_answers: true,
             truthful_ran: true,
         }
     }
--- a/crates/requests/src/shares/message.rs
+++ b/crates/requests/src/shares/message.rs
@@ -13,7 +13,7 @@
 /// It says what the entry holds at most from now on until it takes the answer to this very ask, so
 /// the grantor knows what is in use whatever became of earlier answers.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct ShareAsk {
+pub struct ShareRequest {
     /// The rack shard.
     pub shard: ShardId,
     /// The owner's epoch that the ask is meant for.
@@ -23,14 +23,14 @@
     /// Grows with each ask of this entry to this shard; an ask overtaken by a later one is void.
     pub seq: u64,
     /// The version of the servers' descriptions that the entry has, 0 for none.
-    pub known: u64,
+    pub known_version: u64,
     /// What the entry holds and wants; servers not named are neither held nor wanted.
-    pub servers: Vec<ServerAsk>,
+    pub servers: Vec<ServerDemand>,
 }
 
-/// One backend server in a [`ShareAsk`].
+/// One backend server in a [`ShareRequest`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct ServerAsk {
+pub struct ServerDemand {
     /// The server's VM.
     pub vm: VmId,
     /// The most requests that the entry has or will have open there before the answer.
@@ -41,7 +41,7 @@
     pub want: u16,
 }
 
-/// A grantor's answer to a [`ShareAsk`].
+/// A grantor's answer to a [`ShareRequest`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ShareGrant {
     /// The rack shard.
@@ -57,7 +57,7 @@
     /// The version of the descriptions.
     pub version: u64,
     /// All the servers of the shard, if the entry has another version; else empty.
-    pub described: Vec<ServerInfo>,
+    pub descriptions: Vec<ServerInfo>,
 }
 
 /// The share of one backend server in a [`ShareGrant`].
@@ -66,7 +66,7 @@
     /// The server's VM.
     pub vm: VmId,
     /// How many requests the entry may have open there. Each takes a slot and a connection.
-    pub open: u16,
+    pub max_open: u16,
 }
 
 /// What an entry needs to know of a backend server.
--- a/crates/requests/src/shares/mod.rs
+++ b/crates/requests/src/shares/mod.rs
@@ -6,11 +6,11 @@
 //! entries' asks what they hold, and grants nothing more before all that its predecessor granted
 //! must have lapsed.
 
-mod book;
 mod message;
 mod pool;
+mod table;
 
 pub use self::{
-    book::{ServerSpec, ShareBook, ShareBookEffect, ShareBookEvent},
-    message::{ServerAsk, ServerGrant, ServerInfo, ShareAsk, ShareGrant},
+    message::{ServerDemand, ServerGrant, ServerInfo, ShareGrant, ShareRequest},
+    table::{ServerSpec, ShareTable, ShareTableEffect, ShareTableEvent},
 };
--- a/crates/requests/src/shares/pool.rs
+++ b/crates/requests/src/shares/pool.rs
@@ -26,7 +26,7 @@
 
 /// One entry's ask, as a pool needs it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PoolAsk {
+pub(super) struct PoolRequest {
     pub(super) entry: NodeId,
     pub(super) holding: u16,
     pub(super) need: u16,
@@ -77,14 +77,20 @@
     ///
     /// `adopt_only` is for a new grantor that doesn't know yet what its predecessor granted to
     /// others: it confirms what is held and adds nothing.
-    pub(super) fn ask(&mut self, now: Time, vm: &VmId, ask: PoolAsk, adopt_only: bool) -> u16 {
-        self.charges.retain(|charge| charge.entry != ask.entry);
-        if ask.holding == 0 && ask.want == 0 {
+    pub(super) fn grant(
+        &mut self,
+        now: Time,
+        vm: &VmId,
+        request: PoolRequest,
+        adopt_only: bool,
+    ) -> u16 {
+        self.charges.retain(|charge| charge.entry != request.entry);
+        if request.holding == 0 && request.want == 0 {
             return 0;
         }
         let free = u32::from(self.size).saturating_sub(self.charged());
-        let most = if adopt_only { u32::from(ask.holding) } else { free };
-        let PoolAsk { entry, holding, need, want, lapses, free_at } = ask;
+        let most = if adopt_only { u32::from(request.holding) } else { free };
+        let PoolRequest { entry, holding, need, want, lapses, free_at } = request;
         let charge = Charge { entry, open: holding, need, want, lapses, free_at };
         self.charges.push(charge);
         let parts = self.parts(now, vm);
--- a/crates/requests/src/shares/book.rs
+++ b/crates/requests/src/shares/table.rs
@@ -2,11 +2,11 @@
 
 use {
     super::{
-        message::{ServerGrant, ServerInfo, ShareAsk, ShareGrant},
-        pool::{Pool, PoolAsk},
+        message::{ServerGrant, ServerInfo, ShareGrant, ShareRequest},
+        pool::{Pool, PoolRequest},
     },
     crate::{
-        limits::{ATTEMPT_MAX, SHARE_LEASE, with_clock_margin},
+        limits::{MAX_ATTEMPT_DURATION, SHARE_LEASE, with_clock_margin},
         protections::Protections,
     },
     egretlb_types::{Authority, Epoch, NodeId, ShardId, Time, VmId, VmState},
@@ -30,7 +30,7 @@
 
 /// What the book is told.
 #[derive(Clone, Debug)]
-pub enum ShareBookEvent {
+pub enum ShareTableEvent {
     /// This process owns the shard now.
     Owned {
         /// The shard.
@@ -47,7 +47,7 @@
         shard: ShardId,
     },
     /// All backend servers of the shard's racks, with the classes that they serve. No ask is
-    /// answered before this was told; after [`ShareBookEvent::Lost`] it is to be told anew.
+    /// answered before this was told; after [`ShareTableEvent::Lost`] it is to be told anew.
     Servers {
         /// The shard.
         shard: ShardId,
@@ -55,9 +55,9 @@
         servers: Vec<ServerSpec>,
     },
     /// An entry asks.
-    Ask {
+    Request {
         /// The ask.
-        ask: ShareAsk,
+        request: ShareRequest,
     },
     /// Time passed.
     Tick,
@@ -65,7 +65,7 @@
 
 /// What the book asks the runtime to do.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ShareBookEffect {
+pub enum ShareTableEffect {
     /// Answer an entry's ask. Authority for the shard is asked again before it is sent.
     Grant {
         /// The entry.
@@ -96,7 +96,7 @@
     servers: BTreeMap<VmId, ServerShares>,
     /// Grows when a description changes.
     version: u64,
-    entries: BTreeMap<NodeId, EntryAsks>,
+    entries: BTreeMap<NodeId, EntryRequests>,
 }
 
 #[derive(Debug, Default)]
@@ -108,7 +108,7 @@
 
 /// What the book remembers of one entry's asks.
 #[derive(Clone, Copy, Debug, Default)]
-struct EntryAsks {
+struct EntryRequests {
     last_seq: u64,
     asked_at: Time,
     recalled_at: Time,
@@ -116,40 +116,40 @@
 
 /// Grants shares of the backend servers of all rack shards that this process owns.
 #[derive(Debug, Default)]
-pub struct ShareBook {
+pub struct ShareTable {
     shards: BTreeMap<ShardId, ShardShares>,
     protections: Protections,
 }
 
-impl ShareBook {
+impl ShareTable {
     /// An empty book.
     pub fn new() -> Self {
-        ShareBook::default()
+        ShareTable::default()
     }
 
     /// A book with some protections off, for tests.
     pub fn with_protections(protections: Protections) -> Self {
-        ShareBook { protections, ..ShareBook::default() }
+        ShareTable { protections, ..ShareTable::default() }
     }
 
     /// Takes one event and appends what is to be done.
     pub fn step(
         &mut self,
         now: Time,
-        event: ShareBookEvent,
+        event: ShareTableEvent,
         auth: &dyn Authority,
-        out: &mut Vec<ShareBookEffect>,
+        out: &mut Vec<ShareTableEffect>,
     ) {
         match event {
-            ShareBookEvent::Owned { shard, epoch, had_owner } => {
+            ShareTableEvent::Owned { shard, epoch, had_owner } => {
                 self.own(now, shard, epoch, had_owner);
             }
-            ShareBookEvent::Lost { shard } => {
+            ShareTableEvent::Lost { shard } => {
                 self.shards.remove(&shard);
             }
-            ShareBookEvent::Servers { shard, servers } => self.set_servers(shard, servers),
-            ShareBookEvent::Ask { ask } => self.ask(now, ask, auth, out),
-            ShareBookEvent::Tick => self.tick(now, out),
+            ShareTableEvent::Servers { shard, servers } => self.set_servers(shard, servers),
+            ShareTableEvent::Request { request } => self.handle_request(now, request, auth, out),
+            ShareTableEvent::Tick => self.tick(now, out),
         }
     }
 
@@ -167,7 +167,7 @@
     fn own(&mut self, now: Time, shard: ShardId, epoch: Epoch, had_owner: bool) {
         // The predecessor may have granted up to the moment at which its authority ended, which
         // precedes `now`. What it granted then lapses last.
-        let wait = had_owner && self.protections.outwait_predecessor;
+        let wait = had_owner && self.protections.await_predecessor_expiry;
         let span = if wait { self.charge_span() } else { Duration::ZERO };
         let shares = self.shards.entry(shard).or_default();
         shares.epoch = Some(epoch);
@@ -176,8 +176,11 @@
 
     /// How long after its ask a share and the exchanges begun under it may last.
     fn charge_span(&self) -> Duration {
-        let exchanges =
-            if self.protections.outwait_exchanges { ATTEMPT_MAX } else { Duration::ZERO };
+        let exchanges = if self.protections.await_open_exchanges {
+            MAX_ATTEMPT_DURATION
+        } else {
+            Duration::ZERO
+        };
         with_clock_margin(SHARE_LEASE + exchanges)
     }
 
@@ -207,44 +210,45 @@
         shares.version += 1;
     }
 
-    fn ask(
+    fn handle_request(
         &mut self,
         now: Time,
-        ask: ShareAsk,
+        request: ShareRequest,
         auth: &dyn Authority,
-        out: &mut Vec<ShareBookEffect>,
+        out: &mut Vec<ShareTableEffect>,
     ) {
         let span = self.charge_span();
-        let Some(shares) = self.shards.get_mut(&ask.shard) else { return };
-        let held = auth.epoch_if_held(now, ask.shard);
+        let Some(shares) = self.shards.get_mut(&request.shard) else { return };
+        let held = auth.epoch_if_held(now, request.shard);
         // An ask meant for another owner says what was held then, not now.
-        let current = held.is_some() && held == shares.epoch && held == Some(ask.epoch);
+        let current = held.is_some() && held == shares.epoch && held == Some(request.epoch);
         if !current || !shares.servers_known {
             return;
         }
-        let asks = shares.entries.entry(ask.entry).or_default();
+        let asks = shares.entries.entry(request.entry).or_default();
         // An overtaken ask would take back what the entry was given since.
-        if ask.seq <= asks.last_seq {
+        if request.seq <= asks.last_seq {
             return;
         }
-        asks.last_seq = ask.seq;
+        asks.last_seq = request.seq;
         asks.asked_at = now;
-        let granted = shares.grant_all(now, span, &ask);
-        let described = if ask.known == shares.version { Vec::new() } else { shares.describe() };
+        let granted = shares.grant_all(now, span, &request);
+        let descriptions =
+            if request.known_version == shares.version { Vec::new() } else { shares.describe() };
         let grant = ShareGrant {
-            shard: ask.shard,
-            epoch: ask.epoch,
-            seq: ask.seq,
+            shard: request.shard,
+            epoch: request.epoch,
+            seq: request.seq,
             lease: SHARE_LEASE,
             servers: granted,
             version: shares.version,
-            described,
+            descriptions,
         };
-        out.push(ShareBookEffect::Grant { entry: ask.entry, grant });
-        shares.recall(now, ask.shard, Some(ask.entry), out);
+        out.push(ShareTableEffect::Grant { entry: request.entry, grant });
+        shares.recall(now, request.shard, Some(request.entry), out);
     }
 
-    fn tick(&mut self, now: Time, out: &mut Vec<ShareBookEffect>) {
+    fn tick(&mut self, now: Time, out: &mut Vec<ShareTableEffect>) {
         let span = self.charge_span();
         for (shard, shares) in &mut self.shards {
             for server in shares.servers.values_mut() {
@@ -258,19 +262,19 @@
 }
 
 impl ShardShares {
-    fn grant_all(&mut self, now: Time, span: Duration, ask: &ShareAsk) -> Vec<ServerGrant> {
+    fn grant_all(&mut self, now: Time, span: Duration, request: &ShareRequest) -> Vec<ServerGrant> {
         let adopt_only = now < self.outwaited;
-        for held in ask.servers.iter().filter(|held| held.holding > 0) {
+        for held in request.servers.iter().filter(|held| held.holding > 0) {
             self.servers.entry(held.vm.clone()).or_default();
         }
         let mut granted = Vec::new();
         for (vm, server) in &mut self.servers {
-            let named = ask.servers.iter().find(|wanted| wanted.vm == *vm);
+            let named = request.servers.iter().find(|wanted| wanted.vm == *vm);
             let (holding, need, want) =
                 named.map_or((0, 0, 0), |wanted| (wanted.holding, wanted.need, wanted.want));
             let leaving = server.spec.as_ref().is_none_or(ServerSpec::is_leaving);
-            let pool_ask = PoolAsk {
-                entry: ask.entry,
+            let pool_request = PoolRequest {
+                entry: request.entry,
                 holding,
                 need: if leaving { 0 } else { need },
                 want: if leaving { 0 } else { want },
@@ -278,9 +282,9 @@
                 free_at: now + span,
             };
             server.pool.expire(now);
-            let open = server.pool.ask(now, vm, pool_ask, adopt_only);
-            if open > 0 {
-                granted.push(ServerGrant { vm: vm.clone(), open });
+            let max_open = server.pool.grant(now, vm, pool_request, adopt_only);
+            if max_open > 0 {
+                granted.push(ServerGrant { vm: vm.clone(), max_open });
             }
         }
         granted
@@ -299,7 +303,7 @@
         now: Time,
         shard: ShardId,
         asking: Option<NodeId>,
-        out: &mut Vec<ShareBookEffect>,
+        out: &mut Vec<ShareTableEffect>,
     ) {
         let Some(epoch) = self.epoch else { return };
         for (vm, server) in &self.servers {
@@ -309,7 +313,7 @@
                     continue;
                 }
                 asks.recalled_at = now;
-                out.push(ShareBookEffect::Recall { entry, shard, epoch });
+                out.push(ShareTableEffect::Recall { entry, shard, epoch });
             }
         }
     }
--- a/crates/requests/tests/going_away.rs
+++ b/crates/requests/tests/going_away.rs
@@ -68,7 +68,7 @@
     for record in world.requests.iter().filter(|record| record.entry == 0) {
         let (_, verdict) = record.answers.first().expect("an answer");
         if record.arrived < told_at {
-            assert!(matches!(verdict, Verdict::PassOn { .. }), "{record:?}");
+            assert!(matches!(verdict, Verdict::Forward { .. }), "{record:?}");
         } else {
             let reason = NotRunReason::ShuttingDown;
             assert!(matches!(verdict, Verdict::Refuse { reason: given, .. } if *given == reason));
--- a/crates/requests/tests/load_shapes.rs
+++ b/crates/requests/tests/load_shapes.rs
@@ -79,7 +79,7 @@
 /// time and refuses soonest.
 #[test]
 fn orders_under_saturation() {
-    let orders = [QueueOrder::EarliestDeadline, QueueOrder::NewestFirst, QueueOrder::AgeBound];
+    let orders = [QueueOrder::EarliestDeadline, QueueOrder::NewestFirst, QueueOrder::OldestFirst];
     let outcomes = orders.map(|order| {
         let outcome = saturate(SRI_LANKA, order, 30_000).ours(0, 12_000..30_000);
         println!("{}", outcome.row("Sri Lanka 2x, 20 s", &format!("{order:?}")));
--- a/crates/requests/tests/protections_off.rs
+++ b/crates/requests/tests/protections_off.rs
@@ -56,7 +56,7 @@
 #[test]
 fn half_an_answer_is_passed_on() {
     let cells = cells(&[Kind::Idempotent], &[Fault::AnswerTruncated]);
-    let seen = noticed(|p| p.whole_answers = false, &cells, "truncated answer as whole");
+    let seen = noticed(|p| p.reject_truncated_answers = false, &cells, "truncated answer as whole");
     assert!(seen.is_some());
 }
 
@@ -97,6 +97,6 @@
 #[test]
 fn shares_are_used_after_their_lease() {
     let cells = cells(&Kind::ALL[..2], &[Fault::AsksLost, Fault::EntryPaused]);
-    let seen = noticed(|p| p.lapse_shares = false, &cells, "requests at once");
+    let seen = noticed(|p| p.expire_shares = false, &cells, "requests at once");
     assert!(seen.is_some());
 }
--- a/crates/requests/tests/queue_bounds.rs
+++ b/crates/requests/tests/queue_bounds.rs
@@ -13,7 +13,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-const QUEUE_MAX: usize = 5;
+const MAX_QUEUE_LEN: usize = 5;
 const TARGET: Duration = Duration::from_secs(2);
 
 struct Desk {
@@ -24,8 +24,8 @@
 impl Desk {
     fn new() -> Self {
         let opts = EntryOptions::new(NodeId(1), "dc-0".parse().unwrap(), 3)
-            .queue_max(QUEUE_MAX)
-            .order(QueueOrder::AgeBound);
+            .max_queue_len(MAX_QUEUE_LEN)
+            .order(QueueOrder::OldestFirst);
         let mut desk = Desk { entry: Entry::new(opts), now: Time::from_secs(50) };
         let class = ClassSpec {
             name: "check".parse().unwrap(),
@@ -60,7 +60,7 @@
         self.step(EntryEvent::Vms { vms: vec![vm.clone()] });
         let owners = vec![ShardOwner { shard, node: NodeId(9), epoch: Epoch(1) }];
         let asked = self.step(EntryEvent::Owners { owners });
-        let [EntryEffect::AskShares { ask, .. }] = &asked[..] else { panic!("{asked:?}") };
+        let [EntryEffect::RequestShares { request, .. }] = &asked[..] else { panic!("{asked:?}") };
         let info = ServerInfo {
             vm: vm.vm.clone(),
             addr: vm.addr,
@@ -71,11 +71,11 @@
         let grant = ShareGrant {
             shard,
             epoch: Epoch(1),
-            seq: ask.seq,
+            seq: request.seq,
             lease: Duration::from_secs(10),
-            servers: vec![ServerGrant { vm: vm.vm, open: 1 }],
+            servers: vec![ServerGrant { vm: vm.vm, max_open: 1 }],
             version: 1,
-            described: vec![info],
+            descriptions: vec![info],
         };
         self.step(EntryEvent::SharesGranted { grant });
     }
@@ -128,7 +128,7 @@
 fn the_queue_is_bounded() {
     let mut desk = Desk::new();
     assert_eq!(sent(&desk.arrive(0, "check", None)).len(), 1);
-    for i in 1..=QUEUE_MAX as u64 {
+    for i in 1..=MAX_QUEUE_LEN as u64 {
         assert_eq!(refusal(&desk.arrive(i, "check", None), i), None);
     }
     assert_eq!(refusal(&desk.arrive(90, "check", None), 90), Some(NotRunReason::QueueFull));
@@ -146,8 +146,8 @@
     for i in 0..30 {
         let (_, attempt) = sent(&desk.arrive(i, "check", None))[0];
         desk.now = desk.now + work;
-        let result = AttemptResult::Whole { status: 200, record: None };
-        desk.step(EntryEvent::Answered { attempt, result });
+        let result = AttemptResult::Complete { status: 200, recorded_body: None };
+        desk.step(EntryEvent::AttemptEnded { attempt, result });
     }
     desk.arrive(100, "check", None);
     let deadline = desk.now + Duration::from_secs(1);
@@ -182,8 +182,8 @@
     });
     assert!(told, "{out:?}");
     assert!(sent(&desk.arrive(1, "check", None)).is_empty());
-    let result = AttemptResult::Whole { status: 200, record: None };
-    let out = desk.step(EntryEvent::Answered { attempt: first[0].1, result });
+    let result = AttemptResult::Complete { status: 200, recorded_body: None };
+    let out = desk.step(EntryEvent::AttemptEnded { attempt: first[0].1, result });
     assert!(!out.iter().any(|effect| matches!(effect, EntryEffect::Answer { .. })));
     assert_eq!(sent(&out)[0].0, RequestId(1));
 }
--- a/crates/requests/tests/share_limits.rs
+++ b/crates/requests/tests/share_limits.rs
@@ -56,7 +56,7 @@
 #[test]
 fn a_new_grantor_waits() {
     let faults = [Fault::ShareOwnerKilled, Fault::AsksLost];
-    let off = Protections { outwait_predecessor: false, ..Protections::default() };
+    let off = Protections { await_predecessor_expiry: false, ..Protections::default() };
     assert_ne!(overloads(BUSY, SENT, &faults, off), Vec::<String>::new());
     assert_eq!(overloads(BUSY, SENT, &faults, Protections::default()), Vec::<String>::new());
 }
@@ -66,7 +66,7 @@
 #[test]
 fn exchanges_outlast_their_lease() {
     let faults = [Fault::EntryKilled];
-    let off = Protections { outwait_exchanges: false, ..Protections::default() };
+    let off = Protections { await_open_exchanges: false, ..Protections::default() };
     assert_ne!(overloads(LONG, DIES, &faults, off), Vec::<String>::new());
     assert_eq!(overloads(LONG, DIES, &faults, Protections::default()), Vec::<String>::new());
 }
--- a/crates/requests/tests/share_shortage.rs
+++ b/crates/requests/tests/share_shortage.rs
@@ -4,7 +4,7 @@
     egretlb_requests::{
         BodyHash, Entry, EntryEffect, EntryEvent, EntryOptions, RequestId,
         entry::{Arrival, ShardOwner},
-        shares::{ServerGrant, ServerInfo, ShareAsk, ShareGrant},
+        shares::{ServerGrant, ServerInfo, ShareGrant, ShareRequest},
     },
     egretlb_types::{
         ClassKind, ClassName, ClassSpec, ConfigDocument, Epoch, NodeId, Resources, Time, VmId,
@@ -53,7 +53,7 @@
 }
 
 /// One share at a server of each class.
-fn grant(ask: &ShareAsk) -> ShareGrant {
+fn grant(request: &ShareRequest) -> ShareGrant {
     let server = |name: &str, of: &str| ServerInfo {
         vm: vm(name),
         addr: "10.0.0.1:1".into(),
@@ -62,13 +62,13 @@
         classes: [class(of)].into_iter().collect(),
     };
     ShareGrant {
-        shard: ask.shard,
+        shard: request.shard,
         epoch: EPOCH,
-        seq: ask.seq,
+        seq: request.seq,
         lease: Duration::from_secs(10),
-        servers: ["w-1", "w-2"].map(|name| ServerGrant { vm: vm(name), open: 1 }).into(),
+        servers: ["w-1", "w-2"].map(|name| ServerGrant { vm: vm(name), max_open: 1 }).into(),
         version: 1,
-        described: vec![server("w-1", "check"), server("w-2", "filing")],
+        descriptions: vec![server("w-1", "check"), server("w-2", "filing")],
     }
 }
 
@@ -91,9 +91,9 @@
         let mut out = Vec::new();
         entry.step(now, event, &mut out);
         for effect in out {
-            if let EntryEffect::AskShares { ask, .. } = effect {
+            if let EntryEffect::RequestShares { request, .. } = effect {
                 asks += 1;
-                events.push(EntryEvent::SharesGranted { grant: grant(&ask) });
+                events.push(EntryEvent::SharesGranted { grant: grant(&request) });
             }
         }
     }
--- a/crates/requests/tests/support/check.rs
+++ b/crates/requests/tests/support/check.rs
@@ -40,7 +40,7 @@
         found.push(format!("request {i} waited {waited:?} for its answer"));
     }
     match record.answers.first().map(|(_, verdict)| verdict) {
-        Some(Verdict::PassOn { attempt }) => {
+        Some(Verdict::Forward { attempt }) => {
             let own = world.sent.get(&(record.entry, record.incarnation, *attempt));
             if own != Some(&RequestId(i as u64)) {
                 found.push(format!("request {i} got the answer of {own:?}"));
@@ -65,7 +65,7 @@
     if verdict.ran() == Ran::No && record.runs > 0 {
         found.push(format!("request {i} was said not to have run, and ran {}", record.runs));
     }
-    if matches!(verdict, Verdict::PassOn { .. }) && record.runs == 0 {
+    if matches!(verdict, Verdict::Forward { .. }) && record.runs == 0 {
         found.push(format!("request {i} was said to have run, and did not"));
     }
 }
--- a/crates/requests/tests/support/faults.rs
+++ b/crates/requests/tests/support/faults.rs
@@ -202,7 +202,7 @@
         self.plan.tries += 1;
         let repeatable = record.key.is_some() || self.setup.classes[record.class].idempotent;
         let wait = match record.answers.last().map(|(_, verdict)| verdict) {
-            Some(Verdict::PassOn { .. } | Verdict::Recorded(_)) => return,
+            Some(Verdict::Forward { .. } | Verdict::Recorded(_)) => return,
             Some(Verdict::Refuse { retry_after, .. }) => {
                 Duration::from_secs(retry_after.as_secs().into())
             }
@@ -322,7 +322,7 @@
         None if record.caller_gone => "caller gone".into(),
         None if record.cut_off => "connection cut".into(),
         None => "nothing".into(),
-        Some(Verdict::PassOn { .. }) => "answer".into(),
+        Some(Verdict::Forward { .. }) => "answer".into(),
         Some(Verdict::Recorded(_)) => "recorded answer".into(),
         Some(Verdict::Refuse { reason, .. }) => format!("refused {reason:?}"),
         Some(Verdict::Error { reason, ran, .. }) => {
--- a/crates/requests/tests/support/load.rs
+++ b/crates/requests/tests/support/load.rs
@@ -197,7 +197,7 @@
     let (at, verdict) = record.answers.first().expect("every request gets an answer");
     Sample {
         took: at.since(record.arrived),
-        answered: matches!(verdict, Verdict::PassOn { .. }),
+        answered: matches!(verdict, Verdict::Forward { .. }),
         sends: record.sends,
         ..job.sample()
     }
--- a/crates/requests/tests/support/owners.rs
+++ b/crates/requests/tests/support/owners.rs
@@ -3,8 +3,8 @@
 
 use {
     egretlb_requests::{
-        KeyBook, Protections, ShareBook,
-        keys::{KeyEntry, KeySnapshot},
+        KeyTable, Protections, ShareTable,
+        keys::{KeyJournalEntry, KeySnapshot},
     },
     egretlb_types::{Authority, Epoch, NodeId, ShardId, Ticket, Time},
     std::{
@@ -35,8 +35,8 @@
 #[derive(Debug)]
 pub struct Scheduler {
     pub node: NodeId,
-    pub book: ShareBook,
-    pub keys: KeyBook,
+    pub book: ShareTable,
+    pub keys: KeyTable,
     pub held: Held,
     pub alive: bool,
     pub paused_until: Time,
@@ -46,8 +46,8 @@
     pub fn new(node: NodeId, protections: Protections) -> Self {
         Scheduler {
             node,
-            book: ShareBook::with_protections(protections),
-            keys: KeyBook::with_protections(protections),
+            book: ShareTable::with_protections(protections),
+            keys: KeyTable::with_protections(protections),
             held: Held::default(),
             alive: true,
             paused_until: Time::ZERO,
@@ -61,7 +61,7 @@
     pub scheduler: usize,
     pub shard: ShardId,
     pub epoch: Epoch,
-    pub entry: KeyEntry,
+    pub entry: KeyJournalEntry,
     pub ticket: Ticket,
 }
 
@@ -71,7 +71,7 @@
     pub down_until: Time,
     pub lose_answers: u32,
     seen: BTreeSet<(usize, Ticket)>,
-    entries: BTreeMap<ShardId, Vec<(Epoch, KeyEntry)>>,
+    entries: BTreeMap<ShardId, Vec<(Epoch, KeyJournalEntry)>>,
     snapshots: BTreeMap<ShardId, (Epoch, KeySnapshot)>,
 }
 
@@ -90,7 +90,7 @@
     }
 
     /// What a successor folds before it owns the shard.
-    pub fn read(&self, shard: ShardId) -> (Option<KeySnapshot>, Vec<KeyEntry>) {
+    pub fn read(&self, shard: ShardId) -> (Option<KeySnapshot>, Vec<KeyJournalEntry>) {
         let snapshot = self.snapshots.get(&shard).map(|(_, snapshot)| snapshot.clone());
         let entries = self.entries.get(&shard).into_iter().flatten();
         (snapshot, entries.map(|(_, entry)| entry.clone()).collect())
--- a/crates/requests/tests/support/world/mod.rs
+++ b/crates/requests/tests/support/world/mod.rs
@@ -7,10 +7,10 @@
         servers::{Run, Server},
     },
     egretlb_requests::{
-        AttemptId, BodyHash, Entry, EntryEffect, EntryEvent, EntryOptions, KeyBookEffect,
-        KeyBookEvent, Protections, RequestId, ShareBookEffect, ShareBookEvent,
+        AttemptId, BodyHash, Entry, EntryEffect, EntryEvent, EntryOptions, KeyTableEffect,
+        KeyTableEvent, Protections, RequestId, ShareTableEffect, ShareTableEvent,
         entry::{Arrival, AttemptResult, QueueOrder, ShardOwner, Verdict},
-        keys::{KeyEntry, Permit},
+        keys::{KeyJournalEntry, Permit},
         shares::{ServerInfo, ServerSpec},
     },
     egretlb_types::{
@@ -100,8 +100,8 @@
     Recv(usize, Run),
     Back(Run, AttemptResult),
     Ran(usize, u32, Run),
-    ToShares(usize, usize, ShareBookEvent),
-    ToKeys(usize, usize, KeyBookEvent),
+    ToShares(usize, usize, ShareTableEvent),
+    ToKeys(usize, usize, KeyTableEvent),
     SchedTick(usize),
     LogApply(Append),
     LogAck(Append),
@@ -368,7 +368,7 @@
             Ev::LogApply(append) => self.log_apply(append),
             Ev::LogAck(append) => {
                 let ticket = append.ticket;
-                self.key_event(append.scheduler, usize::MAX, KeyBookEvent::Journaled { ticket });
+                self.key_event(append.scheduler, usize::MAX, KeyTableEvent::Journaled { ticket });
             }
             Ev::Own(s, shard, epoch) => self.own(s, shard, epoch),
             Ev::Restart(i) => self.restart_entry(i),
--- a/crates/requests/tests/support/world/performing.rs
+++ b/crates/requests/tests/support/world/performing.rs
@@ -23,22 +23,22 @@
                 self.step(Step::Answered, request);
                 self.caller_next(request);
             }
-            EntryEffect::AskPermit { node, ask } => {
-                let request = ask.holder.request;
-                self.step(Step::PermitAsked, request);
+            EntryEffect::RequestPermit { node, request } => {
+                let id = request.holder.request;
+                self.step(Step::PermitAsked, id);
                 self.send_scheduler(i, node, |s, from| {
-                    Ev::ToKeys(s, from, KeyBookEvent::Ask { ask })
+                    Ev::ToKeys(s, from, KeyTableEvent::Request { request })
                 });
             }
             EntryEffect::ReportOutcome { node, report } => {
                 let request = report.holder.request;
                 self.step(Step::Reported, request);
-                let event = KeyBookEvent::Report { report };
+                let event = KeyTableEvent::Report { report };
                 self.send_scheduler(i, node, |s, from| Ev::ToKeys(s, from, event));
             }
-            EntryEffect::AskShares { node, ask } => {
-                self.share_bytes += encoded(&ask);
-                let event = ShareBookEvent::Ask { ask };
+            EntryEffect::RequestShares { node, request } => {
+                self.share_bytes += encoded(&request);
+                let event = ShareTableEvent::Request { request };
                 self.send_scheduler(i, node, |s, from| Ev::ToShares(s, from, event));
             }
             EntryEffect::Drained => self.entries[i].drained = true,
@@ -89,7 +89,7 @@
         // A process paused between the decision and the first byte looks at the time again.
         let starts = self.now.max(self.entries[i].paused_until);
         let send_by = self.entries[i].world_time(send_by);
-        if starts > send_by && self.setup.protections.lapse_shares {
+        if starts > send_by && self.setup.protections.expire_shares {
             self.end_attempt(i, attempt, AttemptResult::NotSent);
             return;
         }
@@ -102,7 +102,7 @@
     pub fn end_attempt(&mut self, i: usize, attempt: AttemptId, result: AttemptResult) {
         let incarnation = self.entries[i].incarnation;
         if self.entries[i].open.remove(&attempt).is_some() {
-            let event = EntryEvent::Answered { attempt, result };
+            let event = EntryEvent::AttemptEnded { attempt, result };
             self.at(self.now, Ev::ToEntry(i, incarnation, Box::new(event)));
         }
     }
@@ -129,7 +129,7 @@
             return;
         }
         if self.servers[server].leaving {
-            self.back(&run, AttemptResult::Declined { leaving: true }, delay);
+            self.back(&run, AttemptResult::Declined { draining: true }, delay);
             return;
         }
         if let Some(run) = self.servers[server].receive(run) {
@@ -158,7 +158,7 @@
         self.step(Step::Finished, run.request);
         let intent = self.requests[run.request.0 as usize].intent as u64;
         let body = Some(intent.to_le_bytes().to_vec());
-        let whole = AttemptResult::Whole { status: 200, record: body };
+        let whole = AttemptResult::Complete { status: 200, recorded_body: body };
         let delay = self.hop();
         let whole = if self.servers[server].truncates { AttemptResult::Truncated } else { whole };
         match self.plan.take_answer(run.request) {
@@ -176,7 +176,7 @@
         }
     }
 
-    pub(super) fn share_event(&mut self, s: usize, from: usize, event: ShareBookEvent) {
+    pub(super) fn share_event(&mut self, s: usize, from: usize, event: ShareTableEvent) {
         if !self.schedulers[s].alive {
             return;
         }
@@ -190,18 +190,18 @@
         book.step(self.now, event, held, &mut out);
         for effect in out {
             match effect {
-                ShareBookEffect::Grant { entry, grant } => {
+                ShareTableEffect::Grant { entry, grant } => {
                     self.share_bytes += encoded(&grant);
                     self.send_entry(s, entry, EntryEvent::SharesGranted { grant });
                 }
-                ShareBookEffect::Recall { entry, shard, .. } => {
+                ShareTableEffect::Recall { entry, shard, .. } => {
                     self.send_entry(s, entry, EntryEvent::SharesRecalled { shard });
                 }
             }
         }
     }
 
-    pub(super) fn key_event(&mut self, s: usize, from: usize, event: KeyBookEvent) {
+    pub(super) fn key_event(&mut self, s: usize, from: usize, event: KeyTableEvent) {
         if !self.schedulers[s].alive {
             return;
         }
@@ -218,23 +218,23 @@
         }
     }
 
-    fn key_effect(&mut self, s: usize, effect: KeyBookEffect) {
+    fn key_effect(&mut self, s: usize, effect: KeyTableEffect) {
         match effect {
-            KeyBookEffect::Journal { shard, entry, ticket } => {
+            KeyTableEffect::Journal { shard, entry, ticket } => {
                 let epoch = self.schedulers[s].held.shards.get(&shard).copied();
                 let epoch = epoch.unwrap_or_default();
                 let append = Append { scheduler: s, shard, epoch, entry, ticket };
                 self.at(self.now + LOG_HALF, Ev::LogApply(append));
             }
-            KeyBookEffect::Answer { holder, permit, .. } => {
+            KeyTableEffect::Answer { holder, permit, .. } => {
                 if permit == Permit::Granted {
                     self.step(Step::PermitGiven, holder.request);
                 }
                 let event = EntryEvent::PermitAnswer { request: holder.request, permit };
                 self.send_entry(s, holder.entry, event);
             }
-            KeyBookEffect::ReportDone { holder } => {
-                let event = EntryEvent::ReportDone { request: holder.request };
+            KeyTableEffect::ConfirmReport { holder } => {
+                let event = EntryEvent::ReportConfirmed { request: holder.request };
                 self.send_entry(s, holder.entry, event);
             }
         }
@@ -250,15 +250,15 @@
             return;
         }
         if !self.log.is_up(self.now) {
-            self.key_event(s, usize::MAX, KeyBookEvent::LogState { up: false });
+            self.key_event(s, usize::MAX, KeyTableEvent::LogState { up: false });
             self.at(self.now + LOG_AGAIN, Ev::LogApply(append));
             return;
         }
-        self.key_event(s, usize::MAX, KeyBookEvent::LogState { up: true });
+        self.key_event(s, usize::MAX, KeyTableEvent::LogState { up: true });
         self.log.append(&append);
         let (step, holder) = match &append.entry {
-            KeyEntry::Intent { holder, .. } => (Step::IntentInLog, *holder),
-            KeyEntry::Outcome { holder, .. } => (Step::OutcomeInLog, *holder),
+            KeyJournalEntry::Intent { holder, .. } => (Step::IntentInLog, *holder),
+            KeyJournalEntry::Outcome { holder, .. } => (Step::OutcomeInLog, *holder),
         };
         self.step(step, holder.request);
         if self.log.lose_answers > 0 {
@@ -290,13 +290,13 @@
         if self.log.is_up(self.now) {
             for shard in deposed {
                 self.schedulers[s].held.shards.remove(&shard);
-                self.share_event(s, usize::MAX, ShareBookEvent::Lost { shard });
-                self.key_event(s, usize::MAX, KeyBookEvent::Lost { shard });
+                self.share_event(s, usize::MAX, ShareTableEvent::Lost { shard });
+                self.key_event(s, usize::MAX, KeyTableEvent::Lost { shard });
             }
             self.schedulers[s].held.until = self.now + AUTHORITY;
         }
-        self.share_event(s, usize::MAX, ShareBookEvent::Tick);
-        self.key_event(s, usize::MAX, KeyBookEvent::Tick);
+        self.share_event(s, usize::MAX, ShareTableEvent::Tick);
+        self.key_event(s, usize::MAX, KeyTableEvent::Tick);
     }
 
     /// The scheduler begins to act for a shard, after the wait for its predecessor.
@@ -320,8 +320,8 @@
         shards.insert(shard, epoch);
         *until = self.now + AUTHORITY;
         let had_owner = epoch > Epoch(1);
-        self.share_event(s, usize::MAX, ShareBookEvent::Owned { shard, epoch, had_owner });
-        self.key_event(s, usize::MAX, KeyBookEvent::Owned { shard, epoch });
+        self.share_event(s, usize::MAX, ShareTableEvent::Owned { shard, epoch, had_owner });
+        self.key_event(s, usize::MAX, KeyTableEvent::Owned { shard, epoch });
         self.tell_servers(shard);
     }
 
@@ -347,7 +347,7 @@
             .collect();
         let (owner, _) = self.owners[&shard];
         if !specs.is_empty() {
-            self.share_event(owner, usize::MAX, ShareBookEvent::Servers { shard, servers: specs });
+            self.share_event(owner, usize::MAX, ShareTableEvent::Servers { shard, servers: specs });
         }
     }
 
