--- a/crates/workflow/src/scheduler/regroup.rs
+++ b/crates/workflow/src/scheduler/regroup.rs
@@ -31,7 +31,7 @@
 const LEAST_STAY: Duration = Duration::from_secs(3);
 
 /// A task that may be moved, and where it runs.
-struct MovableTask {
+struct Candidate {
     worker: WorkerId,
     task: TaskId,
     run: RunId,
@@ -50,7 +50,7 @@
         let services: BTreeSet<CompactString> =
             self.workers.values().map(|worker| worker.info.service.clone()).collect();
         for service in services {
-            for MovableTask { worker, task, run } in self.better_elsewhere(now, &service) {
+            for Candidate { worker, task, run } in self.better_elsewhere(now, &service) {
                 self.stats.regrouped += 1;
                 log::info!(task:%, run:%, worker:% = worker; "serving_regrouped");
                 self.stop_runs(now, &worker, StopReason::Regrouped, out, |of, number| {
@@ -60,7 +60,7 @@
         }
     }
 
-    fn better_elsewhere(&self, now: Time, service: &CompactString) -> Vec<MovableTask> {
+    fn better_elsewhere(&self, now: Time, service: &CompactString) -> Vec<Candidate> {
         let takes = |worker: &Worker| {
             worker.info.service == *service && worker.accepts_work(now, &self.limits)
         };
@@ -77,7 +77,7 @@
                         image: copy.image,
                         resources: copy.reserved,
                     });
-                    candidates.push(MovableTask { worker: (*id).clone(), task: *task, run: *run });
+                    candidates.push(Candidate { worker: (*id).clone(), task: *task, run: *run });
                 }
             }
         }
