--- a/crates/relay/src/assignment.rs
+++ b/crates/relay/src/assignment.rs
@@ -1,4 +1,4 @@
-//! Which relay carries which worker.
+//! Assignment of workers to relays.
 
 use {
     compact_str::CompactString,
@@ -11,34 +11,33 @@
     },
 };
 
-/// A relay's load: with three calls a second for each task slot, a VM of an eighth of a core carries so many
-/// workers with a quarter of its processor.
+/// Maximum number of workers per relay. At three calls a second per task slot, this takes a quarter of the
+/// processor time of a VM with an eighth of a core.
 pub const WORKERS_PER_RELAY: usize = 64;
 
-/// A leader of fewer workers calls them by itself. Each call by a relay takes a few milliseconds more.
-const LEAST_RELAYED: usize = 96;
+/// Minimum number of workers for which relays are used. A relayed call takes a few milliseconds longer.
+const MIN_RELAYED_WORKERS: usize = 96;
 
-/// A worker that left so many calls in a row unanswered by way of its relay is called directly: the two may be cut
-/// off from each other.
-const DIRECT_AFTER: u32 = 2;
+/// Number of successive unanswered calls through its relay after which a worker is called directly, since the
+/// two may be partitioned from each other.
+const DIRECT_AFTER_UNANSWERED: u32 = 2;
 
-/// For so long.
+/// How long such a worker is called directly.
 const DIRECT_FOR: Duration = Duration::from_secs(5);
 
-/// A relay is given up if so many calls got no answer within [`COUNTED_FOR`], and fewer got one: it is cut off
-/// from the workers, whose leases would lapse.
-const MOST_UNANSWERED: u32 = 4;
+/// Minimum number of unanswered calls within [`COUNT_WINDOW`] for a relay to be removed, if fewer calls were
+/// answered. It is probably partitioned from its workers, whose leases would expire.
+const MIN_UNANSWERED: u32 = 4;
 
-/// The span over which calls are counted.
-const COUNTED_FOR: Duration = Duration::from_secs(1);
+/// The window over which a relay's calls are counted.
+const COUNT_WINDOW: Duration = Duration::from_secs(1);
 
-/// After the begin of its term a leader waits for so long until VMs have offered themselves, and calls no worker
-/// before: it would open hundreds of connections that are of no use a moment later. Followers learn of a new
-/// leader within 150 ms.
-const OFFERS_WITHIN: Duration = Duration::from_millis(250);
+/// How long a new leader of a large fleet waits for relays before it calls workers directly, which would open
+/// hundreds of short-lived connections. Followers detect a new leader within 150 ms.
+const OFFER_WAIT: Duration = Duration::from_millis(250);
 
-/// A relay may carry so many workers more than its share before others take them over.
-const SLACK: usize = 8;
+/// Number of workers that a relay may have above its share before they are reassigned.
+const SHARE_SLACK: usize = 8;
 
 /// A relay's number in the leader's term.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -57,28 +56,28 @@
     Direct,
     /// By a relay.
     Via(RelayNo),
-    /// Not yet: relays are about to offer themselves.
+    /// Not yet: the leader waits for relays to connect.
     Wait,
 }
 
-/// Why a relay is used no more.
+/// Why a relay is removed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RemovalReason {
-    /// Most of its calls get no answer.
+    /// Most of its calls aren't answered.
     CutOff,
 }
 
-/// How many relays a leader of so many workers uses.
+/// Number of relays that a leader uses for `workers` workers; 0 if it calls all of them directly.
 pub fn relays_wanted(workers: usize) -> usize {
-    if workers < LEAST_RELAYED { 0 } else { workers.div_ceil(WORKERS_PER_RELAY) }
+    if workers < MIN_RELAYED_WORKERS { 0 } else { workers.div_ceil(WORKERS_PER_RELAY) }
 }
 
 #[derive(Debug)]
 struct Relay {
     data_centre: CompactString,
     workers: usize,
-    /// The beginning of the span over which calls are counted.
-    counted_since: Time,
+    /// Start of the window over which calls are counted.
+    window_started: Time,
     answered: u32,
     unanswered: u32,
 }
@@ -90,84 +89,85 @@
     direct_until: Option<Time>,
 }
 
-/// Which relay carries which worker, in one term of a leader.
+/// The assignment of workers to relays in one term of a leader.
 #[derive(Debug)]
 pub struct Assignment {
-    begun: Time,
+    started: Time,
     relays: BTreeMap<RelayNo, Relay>,
     workers: HashMap<WorkerId, AssignedWorker>,
 }
 
 impl Assignment {
-    /// No relay has offered itself.
+    /// An assignment without relays, for a term that starts at `now`.
     pub fn new(now: Time) -> Assignment {
-        Assignment { begun: now, relays: BTreeMap::new(), workers: HashMap::new() }
+        Assignment { started: now, relays: BTreeMap::new(), workers: HashMap::new() }
     }
 
-    /// A relay is used from now on.
+    /// Adds a relay.
     pub fn add_relay(&mut self, now: Time, number: RelayNo, data_centre: CompactString) {
         let relay =
-            Relay { data_centre, workers: 0, counted_since: now, answered: 0, unanswered: 0 };
+            Relay { data_centre, workers: 0, window_started: now, answered: 0, unanswered: 0 };
         self.relays.insert(number, relay);
     }
 
-    /// A relay is used no more.
+    /// Removes a relay; its workers are reassigned at their next call.
     pub fn remove_relay(&mut self, number: RelayNo) {
         self.relays.remove(&number);
-        for carried in self.workers.values_mut() {
-            if carried.relay == Some(number) {
-                *carried = AssignedWorker::default();
+        for assigned in self.workers.values_mut() {
+            if assigned.relay == Some(number) {
+                *assigned = AssignedWorker::default();
             }
         }
     }
 
-    /// How many relays are used.
+    /// Number of relays.
     pub fn relays(&self) -> usize {
         self.relays.len()
     }
 
-    /// How many workers a relay carries.
+    /// Number of workers assigned to a relay.
     pub fn worker_count(&self, number: RelayNo) -> usize {
         self.relays.get(&number).map_or(0, |relay| relay.workers)
     }
 
-    /// Forgets workers that aren't known any more.
-    pub fn retain_workers(&mut self, known: impl Fn(&WorkerId) -> bool) {
+    /// Removes the workers for which `is_known` is false.
+    pub fn retain_workers(&mut self, is_known: impl Fn(&WorkerId) -> bool) {
         let relays = &mut self.relays;
-        self.workers.retain(|id, carried| {
-            let keep = known(id);
-            if !keep && let Some(relay) = carried.relay.and_then(|no| relays.get_mut(&no)) {
+        self.workers.retain(|id, assigned| {
+            let keep = is_known(id);
+            if !keep && let Some(relay) = assigned.relay.and_then(|number| relays.get_mut(&number))
+            {
                 relay.workers -= 1;
             }
             keep
         });
     }
 
-    /// How a worker is called now, if the leader knows of so many workers.
+    /// Decides how to call a worker, and assigns it to a relay if needed. `worker_total` is the size of the fleet.
     pub fn route(
         &mut self,
         now: Time,
         worker: &WorkerId,
         data_centre: &str,
-        known: usize,
+        worker_total: usize,
     ) -> Route {
-        let wanted = relays_wanted(known);
+        let wanted = relays_wanted(worker_total);
         if wanted == 0 && self.relays.is_empty() {
             return Route::Direct;
         }
-        if self.relays.len() < wanted && now.since(self.begun) < OFFERS_WITHIN {
+        if self.relays.len() < wanted && now.since(self.started) < OFFER_WAIT {
             return Route::Wait;
         }
-        let Some(fewest) = self.least_loaded(data_centre) else { return Route::Direct };
-        let carried = match self.workers.get_mut(worker) {
-            Some(carried) => carried,
+        let Some(least_loaded) = self.least_loaded(data_centre) else { return Route::Direct };
+        let assigned = match self.workers.get_mut(worker) {
+            Some(assigned) => assigned,
             None => self.workers.entry(worker.clone()).or_default(),
         };
-        if carried.direct_until.is_some_and(|until| now < until) {
+        if assigned.direct_until.is_some_and(|until| now < until) {
             return Route::Direct;
         }
-        let share = known.div_ceil(self.relays.len()) + SLACK;
-        if let Some(number) = carried.relay {
+        let share = worker_total.div_ceil(self.relays.len()) + SHARE_SLACK;
+        if let Some(number) = assigned.relay {
             let overloaded = self.relays.get(&number).is_some_and(|relay| relay.workers > share);
             if !overloaded {
                 return Route::Via(number);
@@ -176,14 +176,14 @@
                 relay.workers -= 1;
             }
         }
-        carried.relay = Some(fewest);
-        if let Some(relay) = self.relays.get_mut(&fewest) {
+        assigned.relay = Some(least_loaded);
+        if let Some(relay) = self.relays.get_mut(&least_loaded) {
             relay.workers += 1;
         }
-        Route::Via(fewest)
+        Route::Via(least_loaded)
     }
 
-    /// The relay with most to spare, in the same data centre if one there isn't full.
+    /// The least loaded relay, preferring the given data centre unless all relays there are full.
     fn least_loaded(&self, data_centre: &str) -> Option<RelayNo> {
         let rank = |(_, relay): &(&RelayNo, &Relay)| {
             let full = relay.workers >= WORKERS_PER_RELAY;
@@ -192,8 +192,7 @@
         self.relays.iter().min_by_key(rank).map(|(number, _)| *number)
     }
 
-    /// A call by way of a relay got an answer from the worker, or none. Returns why the relay is better given
-    /// up, if it is.
+    /// Counts a call through a relay as answered or not. Returns a reason if the relay is to be removed.
     pub fn record_answer(
         &mut self,
         now: Time,
@@ -201,23 +200,23 @@
         worker: &WorkerId,
         answered: bool,
     ) -> Option<RemovalReason> {
-        if let Some(carried) = self.workers.get_mut(worker) {
-            carried.unanswered = if answered { 0 } else { carried.unanswered + 1 };
-            if carried.unanswered >= DIRECT_AFTER {
-                carried.unanswered = 0;
-                carried.direct_until = Some(now + DIRECT_FOR);
+        if let Some(assigned) = self.workers.get_mut(worker) {
+            assigned.unanswered = if answered { 0 } else { assigned.unanswered + 1 };
+            if assigned.unanswered >= DIRECT_AFTER_UNANSWERED {
+                assigned.unanswered = 0;
+                assigned.direct_until = Some(now + DIRECT_FOR);
             }
         }
         let relay = self.relays.get_mut(&number)?;
-        if now.since(relay.counted_since) >= COUNTED_FOR {
-            (relay.counted_since, relay.answered, relay.unanswered) = (now, 0, 0);
+        if now.since(relay.window_started) >= COUNT_WINDOW {
+            (relay.window_started, relay.answered, relay.unanswered) = (now, 0, 0);
         }
         if answered {
             relay.answered += 1;
         } else {
             relay.unanswered += 1;
         }
-        let cut_off = relay.unanswered >= MOST_UNANSWERED && relay.unanswered > relay.answered;
+        let cut_off = relay.unanswered >= MIN_UNANSWERED && relay.unanswered > relay.answered;
         cut_off.then_some(RemovalReason::CutOff)
     }
 }
--- a/crates/relay/src/codec.rs
+++ b/crates/relay/src/codec.rs
@@ -1,7 +1,7 @@
-//! The two ends of a connection between a leader and a relay.
+//! Encoding of the frames between a leader and a relay.
 //!
-//! Both ends count names alike: a worker and a payload are sent in full once, and by number or by their
-//! workflow afterwards.
+//! A worker and a payload are sent in full once. Later frames refer to the worker by number and to the payload
+//! by workflow, so both ends keep identical tables.
 
 use {
     crate::{
@@ -26,27 +26,27 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct CallNo(u32);
 
-/// The place of a worker among those that were named on a connection.
+/// The index of a worker in the order of declaration on a connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 struct WorkerNo(u32);
 
-/// The most payloads that both ends remember; a payload takes 4,000 bytes at most.
-const MOST_PAYLOADS: usize = 512;
+/// Maximum number of payloads that both ends keep, of up to 4,000 bytes each.
+const MAX_PAYLOADS: usize = 512;
 
-/// A frame can't be read: the connection is of no use any more.
+/// Why a frame can't be decoded. The connection can't be used further.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CodecError {
-    /// It isn't a frame of this kind.
+    /// It isn't a frame of the expected type.
     Malformed,
-    /// It names a worker, a payload or a row that wasn't sent before.
-    UnknownName,
+    /// It refers to a worker, payload or row that wasn't sent before.
+    UndeclaredReference,
 }
 
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CodecError::Malformed => write!(f, "not a frame of this protocol"),
-            CodecError::UnknownName => write!(f, "a frame names what wasn't sent before"),
+            CodecError::UndeclaredReference => write!(f, "a frame names what wasn't sent before"),
         }
     }
 }
@@ -93,31 +93,31 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct CommandFrame {
     epoch: Epoch,
-    /// On the relay's clock in milliseconds: what arrives later isn't carried out.
+    /// Expiry of the calls, on the relay's clock in milliseconds.
     until_ms: u64,
-    /// The number of the first call; the others follow it.
+    /// Number of the first call; the others are numbered consecutively.
     first: CallNo,
     commands: Vec<Command>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 enum Report {
-    Lists {
+    PollReply {
         worker: WorkerNo,
         clock_ms: u64,
         rows: Vec<Row>,
         ended: Vec<End>,
         odd: Option<UnreadableRows>,
     },
-    NoLists(NoLists),
+    PollFailure(PollFailure),
     Start(StartResult),
     Stop(StopResult),
     Pace(PaceResult),
 }
 
-/// What became of a poll that returned no lists.
+/// Why a poll returned no lists.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-enum NoLists {
+enum PollFailure {
     Outranked,
     OtherIncarnation,
     Refused,
@@ -131,106 +131,106 @@
     reports: Vec<(CallNo, Report)>,
 }
 
-/// Payloads in the order in which they were named; both ends forget the same ones.
+/// The newest payloads. Both ends insert and evict in the same order.
 #[derive(Debug, Default)]
 struct Payloads {
-    known: HashMap<WorkflowId, CompactString>,
-    order: VecDeque<WorkflowId>,
+    by_workflow: HashMap<WorkflowId, CompactString>,
+    insertion_order: VecDeque<WorkflowId>,
 }
 
 impl Payloads {
     fn insert(&mut self, workflow: WorkflowId, payload: CompactString) {
-        if self.known.insert(workflow, payload).is_none() {
-            self.order.push_back(workflow);
+        if self.by_workflow.insert(workflow, payload).is_none() {
+            self.insertion_order.push_back(workflow);
         }
-        if self.order.len() > MOST_PAYLOADS
-            && let Some(oldest) = self.order.pop_front()
+        if self.insertion_order.len() > MAX_PAYLOADS
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.known.remove(&oldest);
+            self.by_workflow.remove(&oldest);
         }
     }
 }
 
-/// The leader's end.
+/// The leader's end of a connection.
 #[derive(Debug, Default)]
 pub struct LeaderCodec {
     workers: HashMap<WorkerId, (WorkerNo, SocketAddr)>,
-    /// What was last listed at each worker that was named.
-    lists: Vec<Vec<RunningTask>>,
+    /// The last list of runs of each declared worker.
+    running_lists: Vec<Vec<RunningTask>>,
     payloads: Payloads,
-    next: u32,
-    first: u32,
+    next_number: u32,
+    first_number: u32,
     commands: Vec<Command>,
 }
 
 impl LeaderCodec {
-    /// Adds a call to the next frame.
+    /// Adds a call to the next frame and returns its number.
     pub fn add(&mut self, worker: &WorkerId, addr: SocketAddr, call: Call) -> CallNo {
         if self.commands.is_empty() {
-            self.first = self.next;
+            self.first_number = self.next_number;
         }
-        let worker = self.name(worker, addr);
+        let worker = self.declare_worker(worker, addr);
         let command = match call {
             Call::Poll { recorded, until_ms, wait_ms } => {
                 Command::Poll { worker, recorded, until_ms, wait_ms }
             }
             Call::Start { task, run, payload, until_ms, checkpoint, ticket } => {
-                self.name_payload(task.workflow, payload);
+                self.declare_payload(task.workflow, payload);
                 Command::Start { worker, task, run, until_ms, checkpoint, ticket }
             }
             Call::Stop { task, run } => Command::Stop { worker, task, run },
             Call::Pace { task, run, percent } => Command::Pace { worker, task, run, percent },
         };
         self.commands.push(command);
-        let number = CallNo(self.next);
-        self.next = self.next.wrapping_add(1);
+        let number = CallNo(self.next_number);
+        self.next_number = self.next_number.wrapping_add(1);
         number
     }
 
-    /// Whether a call to the worker was added before.
+    /// Whether the worker has been declared on this connection.
     pub fn has_worker(&self, id: &WorkerId) -> bool {
         self.workers.contains_key(id)
     }
 
-    fn name(&mut self, id: &WorkerId, addr: SocketAddr) -> WorkerNo {
-        if let Some((number, known)) = self.workers.get(id)
-            && *known == addr
+    fn declare_worker(&mut self, id: &WorkerId, addr: SocketAddr) -> WorkerNo {
+        if let Some((number, known_addr)) = self.workers.get(id)
+            && *known_addr == addr
         {
             return *number;
         }
-        let number = WorkerNo(u32::try_from(self.lists.len()).unwrap_or(u32::MAX));
+        let number = WorkerNo(u32::try_from(self.running_lists.len()).unwrap_or(u32::MAX));
         self.workers.insert(id.clone(), (number, addr));
-        self.lists.push(Vec::new());
+        self.running_lists.push(Vec::new());
         self.commands.push(Command::Worker { id: id.clone(), addr });
         number
     }
 
-    fn name_payload(&mut self, workflow: WorkflowId, payload: CompactString) {
-        if self.payloads.known.get(&workflow) != Some(&payload) {
+    fn declare_payload(&mut self, workflow: WorkflowId, payload: CompactString) {
+        if self.payloads.by_workflow.get(&workflow) != Some(&payload) {
             self.payloads.insert(workflow, payload.clone());
             self.commands.push(Command::Payload { workflow, payload });
         }
     }
 
-    /// Whether calls wait for the next frame.
+    /// Whether the next frame contains calls.
     pub fn has_calls(&self) -> bool {
         !self.commands.is_empty()
     }
 
-    /// The next frame, with all calls since the last one. They are carried out if they arrive before `until_ms`
-    /// on the relay's clock.
+    /// Encodes the calls added since the last frame. The relay makes them if they arrive by `until_ms` on its
+    /// clock.
     pub fn next_frame(&mut self, epoch: Epoch, until_ms: u64) -> Vec<u8> {
         let commands = std::mem::take(&mut self.commands);
-        let frame = CommandFrame { epoch, until_ms, first: CallNo(self.first), commands };
-        // Plain data always has a form.
+        let frame = CommandFrame { epoch, until_ms, first: CallNo(self.first_number), commands };
+        // Serializing this type can't fail.
         postcard::to_stdvec(&frame).unwrap_or_default()
     }
 
-    /// Reads a frame of the relay: its clock in milliseconds, and what became of calls.
+    /// Decodes a frame of the relay: its clock in milliseconds, and the results of calls.
     ///
     /// # Errors
     ///
-    /// The frame can't be read.
+    /// The frame is malformed, or refers to a worker or row that wasn't sent before.
     pub fn read(&mut self, frame: &[u8]) -> Result<(u64, Vec<(CallNo, Answer)>), CodecError> {
         let frame: ReportFrame = postcard::from_bytes(frame).map_err(|_| CodecError::Malformed)?;
         let mut answers = Vec::with_capacity(frame.reports.len());
@@ -245,17 +245,19 @@
             Report::Start(result) => Answer::Start(result),
             Report::Stop(result) => Answer::Stop(result),
             Report::Pace(result) => Answer::Pace(result),
-            Report::NoLists(kind) => Answer::Poll(match kind {
-                NoLists::Outranked => PollResult::Outranked,
-                NoLists::OtherIncarnation => PollResult::OtherIncarnation,
-                NoLists::Refused => PollResult::Refused,
-                NoLists::Failed => PollResult::Failed,
+            Report::PollFailure(failure) => Answer::Poll(match failure {
+                PollFailure::Outranked => PollResult::Outranked,
+                PollFailure::OtherIncarnation => PollResult::OtherIncarnation,
+                PollFailure::Refused => PollResult::Refused,
+                PollFailure::Failed => PollResult::Failed,
             }),
-            Report::Lists { worker, clock_ms, rows, ended, odd } => {
-                let before =
-                    self.lists.get_mut(worker.0 as usize).ok_or(CodecError::UnknownName)?;
-                let running = rows::follow(before, rows).ok_or(CodecError::UnknownName)?;
-                before.clone_from(&running);
+            Report::PollReply { worker, clock_ms, rows, ended, odd } => {
+                let previous = self
+                    .running_lists
+                    .get_mut(worker.0 as usize)
+                    .ok_or(CodecError::UndeclaredReference)?;
+                let running = rows::apply(previous, rows).ok_or(CodecError::UndeclaredReference)?;
+                previous.clone_from(&running);
                 let unreadable = odd.unwrap_or_default();
                 Answer::Poll(PollResult::Lists(PollReply { clock_ms, running, ended, unreadable }))
             }
@@ -263,24 +265,24 @@
     }
 }
 
-/// The relay's end.
+/// The relay's end of a connection.
 #[derive(Debug, Default)]
 pub struct RelayCodec {
     workers: Vec<(WorkerId, SocketAddr)>,
-    lists: Vec<Vec<RunningTask>>,
+    running_lists: Vec<Vec<RunningTask>>,
     payloads: Payloads,
-    /// The workers of polls that aren't answered yet.
-    polled: HashMap<CallNo, WorkerNo>,
+    /// The workers of unanswered polls.
+    polls: HashMap<CallNo, WorkerNo>,
     reports: Vec<(CallNo, Report)>,
 }
 
 impl RelayCodec {
-    /// Reads a frame of the leader: until when its calls may be carried out, on this relay's clock in
-    /// milliseconds, and the calls.
+    /// Decodes a frame of the leader: the expiry of its calls on this relay's clock in milliseconds, and the
+    /// calls.
     ///
     /// # Errors
     ///
-    /// The frame can't be read.
+    /// The frame is malformed, or refers to a worker or payload that wasn't sent before.
     pub fn read(&mut self, frame: &[u8]) -> Result<(u64, Vec<RelayedCall>), CodecError> {
         let CommandFrame { epoch, until_ms, first, commands } =
             postcard::from_bytes(frame).map_err(|_| CodecError::Malformed)?;
@@ -290,7 +292,7 @@
             let (worker, call) = match command {
                 Command::Worker { id, addr } => {
                     self.workers.push((id, addr));
-                    self.lists.push(Vec::new());
+                    self.running_lists.push(Vec::new());
                     continue;
                 }
                 Command::Payload { workflow, payload } => {
@@ -298,12 +300,12 @@
                     continue;
                 }
                 Command::Poll { worker, recorded, until_ms, wait_ms } => {
-                    self.polled.insert(number, worker);
+                    self.polls.insert(number, worker);
                     (worker, Call::Poll { recorded, until_ms, wait_ms })
                 }
                 Command::Start { worker, task, run, until_ms, checkpoint, ticket } => {
-                    let payload = self.payloads.known.get(&task.workflow);
-                    let payload = payload.ok_or(CodecError::UnknownName)?.clone();
+                    let payload = self.payloads.by_workflow.get(&task.workflow);
+                    let payload = payload.ok_or(CodecError::UndeclaredReference)?.clone();
                     (worker, Call::Start { task, run, payload, until_ms, checkpoint, ticket })
                 }
                 Command::Stop { worker, task, run } => (worker, Call::Stop { task, run }),
@@ -311,54 +313,57 @@
                     (worker, Call::Pace { task, run, percent })
                 }
             };
-            let named = self.workers.get(worker.0 as usize).ok_or(CodecError::UnknownName)?;
-            let (id, addr) = named.clone();
+            let declared =
+                self.workers.get(worker.0 as usize).ok_or(CodecError::UndeclaredReference)?;
+            let (id, addr) = declared.clone();
             calls.push(RelayedCall { number, epoch, worker: id, addr, call });
             number = CallNo(number.0.wrapping_add(1));
         }
         Ok((until_ms, calls))
     }
 
-    /// Adds what became of a call to the next frame.
+    /// Adds the result of a call to the next frame.
     pub fn add(&mut self, number: CallNo, answer: Answer) {
         let report = match answer {
             Answer::Start(result) => Report::Start(result),
             Answer::Stop(result) => Report::Stop(result),
             Answer::Pace(result) => Report::Pace(result),
-            Answer::Poll(result) => self.polled_report(number, result),
+            Answer::Poll(result) => self.poll_report(number, result),
         };
         self.reports.push((number, report));
     }
 
-    fn polled_report(&mut self, number: CallNo, result: PollResult) -> Report {
-        let worker = self.polled.remove(&number);
+    fn poll_report(&mut self, number: CallNo, result: PollResult) -> Report {
+        let worker = self.polls.remove(&number);
         let reply = match result {
             PollResult::Lists(reply) => reply,
-            PollResult::Outranked => return Report::NoLists(NoLists::Outranked),
-            PollResult::OtherIncarnation => return Report::NoLists(NoLists::OtherIncarnation),
-            PollResult::Refused => return Report::NoLists(NoLists::Refused),
-            PollResult::Failed => return Report::NoLists(NoLists::Failed),
+            PollResult::Outranked => return Report::PollFailure(PollFailure::Outranked),
+            PollResult::OtherIncarnation => {
+                return Report::PollFailure(PollFailure::OtherIncarnation);
+            }
+            PollResult::Refused => return Report::PollFailure(PollFailure::Refused),
+            PollResult::Failed => return Report::PollFailure(PollFailure::Failed),
         };
-        let before = worker.and_then(|worker| self.lists.get_mut(worker.0 as usize));
-        let (Some(worker), Some(before)) = (worker, before) else {
-            return Report::NoLists(NoLists::Failed);
+        let previous = worker.and_then(|worker| self.running_lists.get_mut(worker.0 as usize));
+        let (Some(worker), Some(previous)) = (worker, previous) else {
+            return Report::PollFailure(PollFailure::Failed);
         };
         let PollReply { clock_ms, running, ended, unreadable } = reply;
-        let rows = rows::changes(before, &running);
-        *before = running;
+        let rows = rows::diff(previous, &running);
+        *previous = running;
         let odd = (unreadable != UnreadableRows::default()).then_some(unreadable);
-        Report::Lists { worker, clock_ms, rows, ended, odd }
+        Report::PollReply { worker, clock_ms, rows, ended, odd }
     }
 
-    /// Whether reports wait for the next frame.
+    /// Whether the next frame contains reports.
     pub fn has_reports(&self) -> bool {
         !self.reports.is_empty()
     }
 
-    /// The next frame, with all reports since the last one. `clock_ms` is this relay's clock.
+    /// Encodes the reports added since the last frame. `clock_ms` is this relay's clock in milliseconds.
     pub fn next_frame(&mut self, clock_ms: u64) -> Vec<u8> {
         let frame = ReportFrame { clock_ms, reports: std::mem::take(&mut self.reports) };
-        // Plain data always has a form.
+        // Serializing this type can't fail.
         postcard::to_stdvec(&frame).unwrap_or_default()
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,14 +1,12 @@
-//! Relays: other VMs that carry a leader's calls to workers.
+//! Relays: follower VMs that forward a leader's calls to workers.
 //!
-//! One leader decides for hundreds of workers. Were it to call each of them by itself, its link and its
-//! processor would be busy with requests that say nearly the same, thousands a second. So it hands its calls, in
-//! batches over one connection each, to some VMs that lead nothing, and is told what came of them. A relay decides
-//! nothing and remembers nothing: one that dies, freezes or is cut off looks to the leader like calls that got no
-//! answer, and the leader uses another one.
+//! A leader makes thousands of similar calls a second to hundreds of workers, more than its link and processor
+//! can take. It sends them in batches to a few followers, which make the calls and return the results. A relay
+//! makes no decisions and keeps no state beyond its connection. If it crashes, freezes or is partitioned, the
+//! leader sees unanswered calls and switches to another relay.
 //!
-//! This crate does no input or output. [`Assignment`] decides which relay carries which worker;
-//! [`LeaderCodec`] and [`RelayCodec`] are the two ends of a connection, which name workers and payloads once and
-//! then repeat only what changes.
+//! This crate does no I/O. [`Assignment`] maps workers to relays. [`LeaderCodec`] and [`RelayCodec`] encode the
+//! two ends of a connection: workers and payloads are sent in full once, later frames refer to them.
 
 mod assignment;
 mod codec;
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -1,4 +1,4 @@
-//! What leader and relay tell each other.
+//! Messages between leader and relay.
 
 use {
     crate::codec::{CallNo, CodecError},
@@ -9,29 +9,29 @@
     std::net::SocketAddr,
 };
 
-/// The first frame on a connection: a VM offers itself as a relay.
+/// The first frame on a connection, by which a VM offers to be a relay.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     /// The VM's name.
     pub name: CompactString,
     /// Its data centre.
     pub data_centre: CompactString,
-    /// Its clock in milliseconds.
+    /// The VM's clock in milliseconds.
     pub clock_ms: u64,
 }
 
 impl Hello {
-    /// The frame.
+    /// Encodes the frame.
     pub fn to_frame(&self) -> Vec<u8> {
-        // Plain data always has a form.
+        // Serializing this type can't fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads the frame.
+    /// Decodes the frame.
     ///
     /// # Errors
     ///
-    /// It is another one.
+    /// Returns [`CodecError::Malformed`] if it isn't a `Hello`.
     pub fn from_frame(frame: &[u8]) -> Result<Hello, CodecError> {
         postcard::from_bytes(frame).map_err(|_| CodecError::Malformed)
     }
@@ -40,49 +40,49 @@
 /// A call to a worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Call {
-    /// Asks what runs and what ended.
+    /// Asks for the runs in progress and the ended runs.
     Poll {
-        /// Ends up to here may be forgotten.
+        /// Highest recorded end number; the worker may drop ends up to it.
         recorded: u64,
-        /// The end of the leases on the worker's clock in milliseconds.
+        /// Expiry of the leases, on the worker's clock in milliseconds.
         until_ms: Option<u64>,
-        /// How long the answer may wait for the next end, in milliseconds.
+        /// How long the worker may wait for a new end before it answers, in milliseconds.
         wait_ms: u64,
     },
     /// Starts a task.
     Start {
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// The run to start.
         run: RunId,
-        /// Handed to the task.
+        /// Input of the task.
         payload: CompactString,
-        /// The end of the lease on the worker's clock in milliseconds.
+        /// Expiry of the lease, on the worker's clock in milliseconds.
         until_ms: u64,
         /// The checkpoint to resume from; empty for none.
         checkpoint: CompactString,
-        /// Says that the worker may run it; empty if that needs no ticket.
+        /// Permission to run the task on the worker; empty if none is needed.
         ticket: CompactString,
     },
-    /// Stops a run, or keeps it from starting.
+    /// Stops a run, or prevents it from starting.
     Stop {
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// The run to stop.
         run: RunId,
     },
-    /// Changes the pace of a filler.
+    /// Changes the pace of a best-effort task.
     Pace {
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// The run to pace.
         run: RunId,
-        /// The share at which it may work, from 0 to 100.
+        /// Share of full speed at which it may work, in percent.
         percent: u32,
     },
 }
 
-/// A call as it arrives at a relay.
+/// A call as decoded by a relay.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RelayedCall {
     /// Its number on this connection.
@@ -91,27 +91,27 @@
     pub epoch: Epoch,
     /// The worker's incarnation.
     pub worker: WorkerId,
-    /// Where the worker takes orders.
+    /// The worker's address for commands.
     pub addr: SocketAddr,
-    /// What to call.
+    /// The call to make.
     pub call: Call,
 }
 
-/// What became of a call.
+/// The result of a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// Of a poll.
+    /// Result of a poll.
     Poll(PollResult),
-    /// Of a start.
+    /// Result of a start.
     Start(StartResult),
-    /// Of a stop.
+    /// Result of a stop.
     Stop(StopResult),
-    /// Of a change of pace.
+    /// Result of a change of pace.
     Pace(PaceResult),
 }
 
 impl Answer {
-    /// Whether the worker itself said something.
+    /// Whether the worker itself answered.
     pub fn is_from_worker(&self) -> bool {
         match self {
             Answer::Poll(result) => !matches!(result, PollResult::Failed | PollResult::Refused),
@@ -123,7 +123,7 @@
 }
 
 impl Call {
-    /// The answer to a call that a relay didn't carry out.
+    /// The answer to a call that wasn't sent to the worker.
     pub fn withheld_answer(&self) -> Answer {
         match self {
             Call::Poll { .. } => Answer::Poll(PollResult::Failed),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The answer to a call of which nothing more will be heard.
+    /// The answer to a call whose result is lost.
     pub fn lost_answer(&self) -> Answer {
         match self {
             Call::Start { .. } => Answer::Start(StartResult::Unknown),
--- a/crates/relay/src/rows.rs
+++ b/crates/relay/src/rows.rs
@@ -1,7 +1,6 @@
-//! Lists of what runs at a worker, as changes of the list before.
+//! Delta encoding of a worker's list of runs.
 //!
-//! Most of a list is as it was a moment ago: tasks get on, and a figure strays. Their names and checkpoints
-//! needn't be sent again.
+//! Between two polls mostly progress and usage change, so task ids and unchanged checkpoints aren't sent again.
 
 use {
     compact_str::CompactString,
@@ -9,51 +8,51 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A run that is under way.
+/// A run in progress, relative to the previous list.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Row {
-    /// It was listed before.
-    Known {
-        /// Its place in the list before.
-        place: u16,
-        /// How far it is.
+    /// The run is in the previous list.
+    Listed {
+        /// Its index there.
+        index: u16,
+        /// Its progress in percent.
         percent: u32,
-        /// Its figure.
+        /// Its tail latency in milliseconds if it is latency-critical, else its CPU use.
         figure: u32,
-        /// Its checkpoint, if that is another one.
+        /// Its checkpoint, if that has changed.
         saved: Option<CompactString>,
     },
-    /// It wasn't.
+    /// The run isn't in the previous list.
     New(RunningTask),
 }
 
-/// What `now` has in place of `before`.
-pub(crate) fn changes(before: &[RunningTask], now: &[RunningTask]) -> Vec<Row> {
-    let row = |run: &RunningTask| {
-        let known = |old: &RunningTask| (old.task, old.run) == (run.task, run.run);
-        let place = before.iter().position(known).and_then(|place| u16::try_from(place).ok());
-        match place {
-            Some(place) => Row::Known {
-                place,
+/// Encodes `current` relative to `previous`.
+pub(crate) fn diff(previous: &[RunningTask], current: &[RunningTask]) -> Vec<Row> {
+    let to_row = |run: &RunningTask| {
+        let same_run = |old: &RunningTask| (old.task, old.run) == (run.task, run.run);
+        let index = previous.iter().position(same_run).and_then(|index| u16::try_from(index).ok());
+        match index {
+            Some(index) => Row::Listed {
+                index,
                 percent: run.percent,
                 figure: run.figure,
-                saved: (before[usize::from(place)].saved != run.saved).then(|| run.saved.clone()),
+                saved: (previous[usize::from(index)].saved != run.saved).then(|| run.saved.clone()),
             },
             None => Row::New(run.clone()),
         }
     };
-    now.iter().map(row).collect()
+    current.iter().map(to_row).collect()
 }
 
-/// The list that `rows` stand for; none if they don't follow `before`.
-pub(crate) fn follow(before: &[RunningTask], rows: Vec<Row>) -> Option<Vec<RunningTask>> {
-    let run = |row| match row {
+/// Decodes `rows`; none if an index isn't in `previous`.
+pub(crate) fn apply(previous: &[RunningTask], rows: Vec<Row>) -> Option<Vec<RunningTask>> {
+    let to_run = |row| match row {
         Row::New(run) => Some(run),
-        Row::Known { place, percent, figure, saved } => {
-            let old = before.get(usize::from(place))?;
+        Row::Listed { index, percent, figure, saved } => {
+            let old = previous.get(usize::from(index))?;
             let saved = saved.unwrap_or_else(|| old.saved.clone());
             Some(RunningTask { task: old.task, run: old.run, saved, percent, figure })
         }
     };
-    rows.into_iter().map(run).collect()
+    rows.into_iter().map(to_run).collect()
 }
--- a/crates/relay/tests/assignment.rs
+++ b/crates/relay/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Which relay carries which worker.
+//! Assignment of workers to relays.
 
 use {
     egretlb_relay::{Assignment, RelayNo, RemovalReason, Route, WORKERS_PER_RELAY, relays_wanted},
@@ -13,13 +13,13 @@
     WorkerId(format!("w{number}").into())
 }
 
-/// A moment at which the leader waits for offers no more.
+/// A time at which the leader no longer waits for relays.
 fn settled() -> Time {
     Time::ZERO + SECOND
 }
 
-/// A leader of `workers`, with the relays that so many want.
-fn fleet(workers: usize) -> Assignment {
+/// An assignment of `workers` workers, with the wanted number of relays.
+fn assigned_fleet(workers: usize) -> Assignment {
     let mut assignment = Assignment::new(Time::ZERO);
     for number in 0..relays_wanted(workers) {
         assignment.add_relay(Time::ZERO, RelayNo(number as u32), "dc".into());
@@ -41,20 +41,18 @@
     assert_eq!(assignment.route(Time::ZERO, &worker(1), "dc", 66), Route::Direct);
 }
 
-/// Load: 900 workers, 2,500 starts a second, one leader. Each relay carries its share, so that neither it nor the
-/// leader's link is what starts wait for.
+/// An uneven assignment would overload a relay and delay starts.
 #[test]
 fn large_fleet_shared() {
     for workers in [144, 300, 890, 1_262] {
-        let assignment = fleet(workers);
+        let assignment = assigned_fleet(workers);
         let loads = loads(&assignment, relays_wanted(workers));
         assert_eq!(loads.iter().sum::<usize>(), workers);
         assert!(loads.iter().all(|load| *load <= WORKERS_PER_RELAY), "{workers}: {loads:?}");
     }
 }
 
-/// A new leader of a large fleet has no relay yet. Were it to call all workers by itself at once, it would open
-/// hundreds of connections for one call each; but it doesn't wait for offers that never come.
+/// A new leader without relays must not open hundreds of connections at once, nor wait forever for relays.
 #[test]
 fn first_offers_awaited() {
     let mut assignment = Assignment::new(Time::ZERO);
@@ -72,17 +70,17 @@
         let route = assignment.route(settled(), &worker(number), "south", 100);
         assert_eq!(route, Route::Via(RelayNo(2)));
     }
-    // A full one is no longer the nearest that will do.
+    // A full relay is no longer preferred.
     for number in 40..100 {
         assignment.route(settled(), &worker(number), "south", 100);
     }
     assert_eq!(loads(&assignment, 3)[1..], [36, 64]);
 }
 
-/// A relay dies. Its workers go to those that are left, and nobody else's do.
+/// Losing a relay must reassign only its own workers.
 #[test]
 fn lost_relay_replaced() {
-    let mut assignment = fleet(300);
+    let mut assignment = assigned_fleet(300);
     let before: Vec<Route> =
         (0..300).map(|n| assignment.route(settled(), &worker(n), "dc", 300)).collect();
     assignment.remove_relay(RelayNo(2));
@@ -96,10 +94,10 @@
     }
 }
 
-/// Workers are added, and with them relays: the new ones take over what the others carry beyond their share.
+/// New relays must take over the workers that older ones have above their share.
 #[test]
 fn new_relay_used() {
-    let mut assignment = fleet(128);
+    let mut assignment = assigned_fleet(128);
     for number in 128..250 {
         assignment.route(settled(), &worker(number), "dc", 250);
     }
@@ -112,26 +110,29 @@
     assert!(assignment.worker_count(RelayNo(8)) >= 50, "{}", assignment.worker_count(RelayNo(8)));
 }
 
-/// A relay is cut off from the workers, and not from the leader. All that it carries looks silent, and leases
-/// would lapse; it is given up within a second.
+/// Keeping a relay that is partitioned from its workers would let their leases expire.
 #[test]
 fn cut_off_relay_given_up() {
-    let mut assignment = fleet(300);
-    let mut lost = None;
+    let mut assignment = assigned_fleet(300);
+    let mut removal = None;
     for number in 0..6 {
         let now = settled() + Duration::from_millis(100) * number;
         let route = assignment.route(now, &worker(number as usize * 5), "dc", 300);
         assert_eq!(route, Route::Via(RelayNo(0)));
-        lost =
-            lost.or(assignment.record_answer(now, RelayNo(0), &worker(number as usize * 5), false));
+        removal = removal.or(assignment.record_answer(
+            now,
+            RelayNo(0),
+            &worker(number as usize * 5),
+            false,
+        ));
     }
-    assert_eq!(lost, Some(RemovalReason::CutOff));
+    assert_eq!(removal, Some(RemovalReason::CutOff));
 }
 
-/// A rack of workers dies. Their calls get no answer, whoever makes them; the relay that carries them stays.
+/// Calls to crashed workers must not count as a fault of their relay.
 #[test]
-fn dead_workers_no_fault() {
-    let mut assignment = fleet(300);
+fn crashed_workers_no_fault() {
+    let mut assignment = assigned_fleet(300);
     for number in 0..60 {
         let now = settled() + Duration::from_millis(10) * number as u32;
         let answered = number % 5 != 0;
@@ -139,10 +140,10 @@
     }
 }
 
-/// One worker is cut off from its relay and not from the leader. It is called directly for a while.
+/// A worker partitioned from its relay, but not from the leader, is called directly for a while.
 #[test]
 fn cut_off_worker_direct() {
-    let mut assignment = fleet(300);
+    let mut assignment = assigned_fleet(300);
     let (now, id) = (settled(), worker(5));
     assert_eq!(assignment.route(now, &id, "dc", 300), Route::Via(RelayNo(0)));
     for _ in 0..2 {
@@ -152,10 +153,10 @@
     assert_eq!(assignment.route(now + 6 * SECOND, &id, "dc", 300), Route::Via(RelayNo(0)));
 }
 
-/// Workers come and go all day, each under a new id; what is known of those that are gone is forgotten.
+/// Workers that are gone must not accumulate.
 #[test]
-fn gone_forgotten() {
-    let mut assignment = fleet(300);
+fn removed_workers_forgotten() {
+    let mut assignment = assigned_fleet(300);
     assignment.retain_workers(|id| id.0.len() < 3);
     assert_eq!(loads(&assignment, 5).iter().sum::<usize>(), 10);
 }
--- a/crates/relay/tests/codec_ends.rs
+++ b/crates/relay/tests/codec_ends.rs
@@ -1,4 +1,4 @@
-//! The two ends of a connection understand each other, and say little twice.
+//! Frames between leader and relay round-trip, and repeated content is sent once.
 
 use {
     compact_str::format_compact,
@@ -34,7 +34,7 @@
     }
 }
 
-fn hold() -> Call {
+fn poll() -> Call {
     Call::Poll { recorded: 57, until_ms: Some(486_000), wait_ms: 450 }
 }
 
@@ -61,7 +61,7 @@
     let (mut leader, mut relay) = (LeaderCodec::default(), RelayCodec::default());
     let calls = [
         start(1, 0),
-        hold(),
+        poll(),
         Call::Stop { task: task(1, 0), run: RunId(9) },
         Call::Pace { task: task(1, 0), run: RunId(9), percent: 40 },
         start(1, 1),
@@ -72,11 +72,11 @@
             leader.add(&id, addr, call.clone());
         }
         let frame = leader.next_frame(EPOCH, 1_234 + round);
-        let (until_ms, carried) = relay.read(&frame).expect("a frame");
+        let (until_ms, received) = relay.read(&frame).expect("a frame");
         assert_eq!(until_ms, 1_234 + round);
         let (id, addr) = worker(1);
-        assert_eq!((&carried[1].worker, carried[1].addr, carried[1].epoch), (&id, addr, EPOCH));
-        let arrived: Vec<Call> = carried.into_iter().map(|carried| carried.call).collect();
+        assert_eq!((&received[1].worker, received[1].addr, received[1].epoch), (&id, addr, EPOCH));
+        let arrived: Vec<Call> = received.into_iter().map(|received| received.call).collect();
         assert_eq!(arrived, calls);
     }
 }
@@ -86,10 +86,10 @@
     let (mut leader, mut relay) = (LeaderCodec::default(), RelayCodec::default());
     let (id, addr) = worker(1);
     for percent in [10, 20, 20, 90] {
-        let polled = leader.add(&id, addr, hold());
+        let polled = leader.add(&id, addr, poll());
         let started = leader.add(&id, addr, start(1, 0));
         relay.read(&leader.next_frame(EPOCH, 0)).expect("a frame");
-        // Runs come and go between two answers.
+        // The set of runs changes between two answers.
         let runs: Vec<RunningTask> = (percent / 10..8).map(|n| running(n, percent)).collect();
         let started_answer = Answer::Start(StartResult::Started { clock_ms: 5 });
         relay.add(started, started_answer.clone());
@@ -100,8 +100,7 @@
     }
 }
 
-/// Load: 144 workers, 400 starts and 700 polls a second, and a leader whose link takes 2 Mbit/s. A start by HTTP takes
-/// 400 bytes and a poll 200, which is all that the link has; by way of a relay they take a few dozen.
+/// Larger frames would saturate a leader's 2 Mbit/s link at 400 starts and 700 polls a second.
 #[test]
 fn few_bytes_each() {
     let (mut leader, mut relay) = (LeaderCodec::default(), RelayCodec::default());
@@ -115,20 +114,20 @@
     assert!(frame.len() <= 100 * 40, "{} bytes for 100 starts", frame.len());
     relay.read(&frame).expect("a frame");
     for _ in 0..100 {
-        leader.add(&id, addr, hold());
+        leader.add(&id, addr, poll());
     }
     let frame = leader.next_frame(EPOCH, 480_000);
     assert!(frame.len() <= 100 * 20, "{} bytes for 100 polls", frame.len());
 }
 
-/// The same on the way back: eight runs of a worker take 400 bytes as a list, each time.
+/// Sent in full, a list of eight runs takes 400 bytes at each poll.
 #[test]
 fn few_bytes_back() {
     let (mut leader, mut relay) = (LeaderCodec::default(), RelayCodec::default());
     let (id, addr) = worker(1);
     let mut lengths = Vec::new();
     for percent in [10, 11] {
-        let polled = leader.add(&id, addr, hold());
+        let polled = leader.add(&id, addr, poll());
         relay.read(&leader.next_frame(EPOCH, 0)).expect("a frame");
         let running = (0..8).map(|index| running(index, percent)).collect();
         let reply = PollReply { clock_ms: 482_113, running, ..PollReply::default() };
@@ -138,9 +137,9 @@
     assert!(lengths[1] <= 64, "{lengths:?}");
 }
 
-/// More payloads are named than either end remembers. Both forget the same ones, so a start never arrives without.
+/// Both ends must evict the same payloads, otherwise a start arrives without its payload.
 #[test]
-fn payloads_forgotten_alike() {
+fn payloads_evicted_alike() {
     let (mut leader, mut relay) = (LeaderCodec::default(), RelayCodec::default());
     let mut rng = SmallRng::seed_from_u64(11);
     let (id, addr) = worker(1);
@@ -155,19 +154,18 @@
             ticket: "".into(),
         };
         leader.add(&id, addr, call.clone());
-        let (_, carried) = relay.read(&leader.next_frame(EPOCH, 0)).expect("a frame");
-        assert_eq!(carried[0].call, call);
+        let (_, received) = relay.read(&leader.next_frame(EPOCH, 0)).expect("a frame");
+        assert_eq!(received[0].call, call);
     }
 }
 
-/// A poll is given up by the leader while its relay still waits for the worker, and another one follows. Both
-/// answers arrive in the end, and both ends go on from the same list.
+/// Answers to polls of one worker may arrive out of order; both ends must still use the same previous list.
 #[test]
-fn answers_overtake() {
+fn answers_out_of_order() {
     let (mut leader, mut relay) = (LeaderCodec::default(), RelayCodec::default());
     let (id, addr) = worker(1);
-    let first = leader.add(&id, addr, hold());
-    let second = leader.add(&id, addr, hold());
+    let first = leader.add(&id, addr, poll());
+    let second = leader.add(&id, addr, poll());
     relay.read(&leader.next_frame(EPOCH, 0)).expect("a frame");
     relay.add(second, lists(vec![running(1, 10), running(2, 10)]));
     leader.read(&relay.next_frame(1)).expect("a frame");
@@ -176,9 +174,9 @@
     assert_eq!(answers, [(first, lists(vec![running(2, 5)]))]);
 }
 
-/// Bytes that aren't a frame, or name what was never sent, end the connection and not the process.
+/// Malformed frames, and references to what was never sent, must return an error and not panic.
 #[test]
-fn odd_frames() {
+fn malformed_frames() {
     let mut rng = SmallRng::seed_from_u64(12);
     let mut unreadable = 0;
     for _ in 0..20_000 {
@@ -191,8 +189,8 @@
     assert!(unreadable > 10_000, "{unreadable}");
     let (mut leader, mut relay) = (LeaderCodec::default(), RelayCodec::default());
     let (id, addr) = worker(1);
-    leader.add(&id, addr, hold());
+    leader.add(&id, addr, poll());
     leader.next_frame(EPOCH, 0);
-    leader.add(&id, addr, hold());
-    assert_eq!(relay.read(&leader.next_frame(EPOCH, 0)), Err(CodecError::UnknownName));
+    leader.add(&id, addr, poll());
+    assert_eq!(relay.read(&leader.next_frame(EPOCH, 0)), Err(CodecError::UndeclaredReference));
 }
--- a/crates/runtime/src/append.rs
+++ b/crates/runtime/src/append.rs
@@ -4,7 +4,7 @@
     crate::{
         clock::Clock,
         platform::{Append, Store},
-        reads::Reads,
+        watch::RecordWatch,
     },
     egretlb_types::Time,
     egretlb_workflow::{AppendResult, Record},
@@ -32,23 +32,23 @@
 
 /// An append that is rejected is tried so often in all, within a tenth of a second: a store that is
 /// merely busy has drained some of its queue by then, and the client may find a better VM.
-const TRIES: u32 = 2;
+const MAX_REJECTED_TRIES: u32 = 2;
 
 /// The pause before the next try.
-const RETRY: Duration = Duration::from_millis(60);
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
 /// An append without an answer may have taken effect, so nothing true can be said of it but that; it is
 /// repeated, which does no harm, until this long after its first try. Clients wait for 3 s.
-const PERSIST: Duration = Duration::from_millis(2_600);
+const MAX_RETRY_TIME: Duration = Duration::from_millis(2_600);
 
 /// While an append has been without success for this long, what arrives is refused at once: it wasn't
 /// sent, and would only wait. A slow store takes half a second for an append.
 pub(crate) const STUCK_AFTER: Duration = Duration::from_millis(1_000);
 
 /// The most bytes of one append, below the store's bound of 2 MB.
-const MAX_BYTES: usize = 1024 * 1024;
+const MAX_APPEND_BYTES: usize = 1024 * 1024;
 
-struct Waiting {
+struct QueuedRecord {
     record: Record,
     tx: oneshot::Sender<Stored>,
 }
@@ -56,30 +56,30 @@
 /// Appends clients' records in batches.
 pub(crate) struct Appender {
     store: Rc<dyn Store>,
-    reads: Rc<Reads>,
-    waiting: RefCell<Vec<Waiting>>,
-    notify: Notify,
+    watch: Rc<RecordWatch>,
+    queue: RefCell<Vec<QueuedRecord>>,
+    queued: Notify,
     clock: Clock,
     /// Since when the append under way has had no success.
-    trying: Cell<Option<Time>>,
+    append_started: Cell<Option<Time>>,
 }
 
 impl Appender {
     /// Appends to `store`; `reads` tells of appends whose answer is lost.
-    pub(crate) fn new(store: Rc<dyn Store>, reads: Rc<Reads>) -> Appender {
+    pub(crate) fn new(store: Rc<dyn Store>, watch: Rc<RecordWatch>) -> Appender {
         Appender {
             store,
-            reads,
-            waiting: RefCell::default(),
-            notify: Notify::new(),
+            watch,
+            queue: RefCell::default(),
+            queued: Notify::new(),
             clock: Clock,
-            trying: Cell::new(None),
+            append_started: Cell::new(None),
         }
     }
 
     /// Whether appends don't get through.
     pub(crate) fn is_stuck(&self) -> bool {
-        self.trying.get().is_some_and(|since| self.clock.now().since(since) >= STUCK_AFTER)
+        self.append_started.get().is_some_and(|since| self.clock.now().since(since) >= STUCK_AFTER)
     }
 
     /// Appends a record.
@@ -88,8 +88,8 @@
             return Stored::No;
         }
         let (tx, rx) = oneshot::channel();
-        self.waiting.borrow_mut().push(Waiting { record, tx });
-        self.notify.notify_one();
+        self.queue.borrow_mut().push(QueuedRecord { record, tx });
+        self.queued.notify_one();
         // The appender only goes away with the process.
         rx.await.unwrap_or(Stored::Unknown)
     }
@@ -97,13 +97,13 @@
     /// Appends for as long as the process runs.
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
-            let batch = self.take();
+            let batch = self.take_batch();
             if batch.is_empty() {
-                self.notify.notified().await;
+                self.queued.notified().await;
                 continue;
             }
             let (records, senders): (Vec<Record>, Vec<_>) =
-                batch.into_iter().map(|waiting| (waiting.record, waiting.tx)).unzip();
+                batch.into_iter().map(|queued| (queued.record, queued.tx)).unzip();
             let append = Append { records, fence: None };
             let stored = self.commit(&append).await;
             for tx in senders {
@@ -113,38 +113,38 @@
         }
     }
 
-    fn take(&self) -> Vec<Waiting> {
-        let mut waiting = self.waiting.borrow_mut();
+    fn take_batch(&self) -> Vec<QueuedRecord> {
+        let mut queue = self.queue.borrow_mut();
         let mut bytes = 0;
-        let fits = |next: &&Waiting| {
+        let fits = |next: &&QueuedRecord| {
             bytes += next.record.size();
-            bytes <= MAX_BYTES
+            bytes <= MAX_APPEND_BYTES
         };
-        let count = waiting.iter().take_while(fits).count().max(1).min(waiting.len());
-        waiting.drain(..count).collect()
+        let count = queue.iter().take_while(fits).count().max(1).min(queue.len());
+        queue.drain(..count).collect()
     }
 
     async fn commit(&self, append: &Append) -> Stored {
-        let begun = self.clock.now();
-        self.trying.set(Some(begun));
+        let started = self.clock.now();
+        self.append_started.set(Some(started));
         let records = append.records.len();
-        let stored = self.persist(begun, append).await;
-        self.trying.set(None);
+        let stored = self.append_until_settled(started, append).await;
+        self.append_started.set(None);
         if stored != Stored::Yes {
             log::warn!(records, stored:? = stored; "append_given_up");
-            self.refuse_waiting();
+            self.reject_queued();
         }
         stored
     }
 
-    async fn persist(&self, begun: Time, append: &Append) -> Stored {
+    async fn append_until_settled(&self, started: Time, append: &Append) -> Stored {
         let mut uncertain = false;
         let mut tries = 0;
         loop {
             // An append whose answer is lost is found among what is read.
             let result = tokio::select! {
                 result = self.store.append(append) => result,
-                () = self.reads.clients_records(&append.records) => AppendResult::Done,
+                () = self.watch.wait_for_records(&append.records) => AppendResult::Done,
             };
             match result {
                 AppendResult::Done => return Stored::Yes,
@@ -152,24 +152,24 @@
                 AppendResult::Conflict | AppendResult::Fenced | AppendResult::Rejected => {}
             }
             tries += 1;
-            if !uncertain && tries >= TRIES {
+            if !uncertain && tries >= MAX_REJECTED_TRIES {
                 return Stored::No;
             }
-            if uncertain && self.clock.now().since(begun) >= PERSIST {
+            if uncertain && self.clock.now().since(started) >= MAX_RETRY_TIME {
                 return Stored::Unknown;
             }
             if self.is_stuck() {
-                self.refuse_waiting();
+                self.reject_queued();
             }
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
     /// What waits behind an append that doesn't get through was never sent.
-    fn refuse_waiting(&self) {
-        for waiting in self.waiting.borrow_mut().drain(..) {
+    fn reject_queued(&self) {
+        for queued in self.queue.borrow_mut().drain(..) {
             // A client that has left doesn't wait for the result.
-            let _ = waiting.tx.send(Stored::No);
+            let _ = queued.tx.send(Stored::No);
         }
     }
 }
--- a/crates/runtime/src/bad_entries.rs
+++ b/crates/runtime/src/bad_entries.rs
@@ -16,17 +16,17 @@
 
 /// The most entries that are remembered as told, the newest ones, at some 150 bytes each. An older one is told
 /// again when it is met again.
-const MOST_REMEMBERED: usize = 2_048;
+const MAX_REMEMBERED: usize = 2_048;
 
 /// The most lines in each [`LINES_EVERY`]; the entries beyond are counted, and their number goes with the next
 /// line.
-const MOST_LINES: u32 = 20;
+const MAX_LINES: u32 = 20;
 
 /// The span over which lines are counted.
-const LINES_EVERY: Duration = Duration::from_secs(10);
+const LINES_WINDOW: Duration = Duration::from_secs(10);
 
 /// The most bytes of a key or a detail that are kept.
-const MOST_TEXT: usize = 120;
+const MAX_TEXT_BYTES: usize = 120;
 
 /// An entry that can't be read.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -50,13 +50,13 @@
         detail: impl Display,
     ) -> BadEntry {
         let detail = CompactString::from(detail.to_string());
-        BadEntry { kind, key: shortened(key.into()), version, detail: shortened(detail) }
+        BadEntry { kind, key: truncated(key.into()), version, detail: truncated(detail) }
     }
 }
 
-fn shortened(mut text: CompactString) -> CompactString {
-    if text.len() > MOST_TEXT {
-        let end = (0..=MOST_TEXT).rev().find(|end| text.is_char_boundary(*end)).unwrap_or(0);
+fn truncated(mut text: CompactString) -> CompactString {
+    if text.len() > MAX_TEXT_BYTES {
+        let end = (0..=MAX_TEXT_BYTES).rev().find(|end| text.is_char_boundary(*end)).unwrap_or(0);
         text.truncate(end);
     }
     text
@@ -101,35 +101,35 @@
 /// Remembers which entries were told.
 #[derive(Debug, Default)]
 pub struct BadEntryLog {
-    told: HashMap<(EntryKind, CompactString), u64>,
+    logged: HashMap<(EntryKind, CompactString), u64>,
     /// The same in the order in which they were first told.
-    order: VecDeque<(EntryKind, CompactString)>,
+    insertion_order: VecDeque<(EntryKind, CompactString)>,
     /// When the span of the last lines began, and how many there were.
-    lines: Option<(Time, u32)>,
-    untold: u64,
+    window: Option<(Time, u32)>,
+    suppressed: u64,
 }
 
 impl BadEntryLog {
     /// An entry that can't be read was met.
     pub fn record(&mut self, now: Time, entry: &BadEntry) -> LogAction {
         let key = (entry.kind, entry.key.clone());
-        match self.told.insert(key.clone(), entry.version) {
+        match self.logged.insert(key.clone(), entry.version) {
             Some(version) if version == entry.version => return LogAction::Ignore,
             Some(_) => {}
-            None => self.order.push_back(key),
+            None => self.insertion_order.push_back(key),
         }
-        if self.order.len() > MOST_REMEMBERED
-            && let Some(oldest) = self.order.pop_front()
+        if self.insertion_order.len() > MAX_REMEMBERED
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.told.remove(&oldest);
+            self.logged.remove(&oldest);
         }
-        let fresh = self.lines.filter(|(since, _)| now.since(*since) < LINES_EVERY);
-        let (since, lines) = fresh.unwrap_or((now, 0));
-        if lines >= MOST_LINES {
-            self.untold += 1;
+        let current = self.window.filter(|(since, _)| now.since(*since) < LINES_WINDOW);
+        let (since, lines) = current.unwrap_or((now, 0));
+        if lines >= MAX_LINES {
+            self.suppressed += 1;
             return LogAction::Count;
         }
-        self.lines = Some((since, lines + 1));
-        LogAction::Log { untold: std::mem::take(&mut self.untold) }
+        self.window = Some((since, lines + 1));
+        LogAction::Log { untold: std::mem::take(&mut self.suppressed) }
     }
 }
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -18,7 +18,7 @@
 /// How long a request for a workflow that isn't known waits for the records to be read past its
 /// arrival. They are read several times a second; a client that has just been told of its acceptance
 /// by another process mustn't be told that its workflow doesn't exist.
-const CATCH_UP: Duration = Duration::from_millis(900);
+const MAX_CATCH_UP: Duration = Duration::from_millis(900);
 
 /// Part of the client's own deadline that is used for catching up, in percent.
 const CATCH_UP_PERCENT: u32 = 60;
@@ -35,7 +35,7 @@
     pub(super) const TIMEOUT: u16 = 504;
 }
 
-fn refuse() -> Response {
+fn unavailable() -> Response {
     Response { retry_after: Some(RETRY_AFTER_SECS), ..Response::empty(status::UNAVAILABLE) }
 }
 
@@ -56,17 +56,17 @@
 async fn answer_at(node: &Rc<Node>, arrived: Time, req: &Request) -> Response {
     let route = {
         let core = node.core();
-        let Some(routes) = &core.routes else { return refuse() };
+        let Some(routes) = &core.routes else { return unavailable() };
         routes.find(&req.host, &req.path).cloned()
     };
     let Some(route) = route else { return Response::empty(status::NOT_FOUND) };
-    let rest = &req.path[route.prefix.len()..];
-    if rest.is_empty() && req.method == Method::GET {
+    let id_text = &req.path[route.prefix.len()..];
+    if id_text.is_empty() && req.method == Method::GET {
         return pending(node, &route);
     }
-    let id: WorkflowId = match rest.parse() {
+    let id: WorkflowId = match id_text.parse() {
         Ok(id) => id,
-        Err(error) => return fault(node, status::BAD_REQUEST, &error),
+        Err(error) => return error_response(node, status::BAD_REQUEST, &error),
     };
     match req.method {
         Method::POST => submit(node, &route, id, req).await,
@@ -76,7 +76,7 @@
     }
 }
 
-fn fault(node: &Node, status: u16, error: &dyn std::fmt::Display) -> Response {
+fn error_response(node: &Node, status: u16, error: &dyn std::fmt::Display) -> Response {
     let body = node.formats().error(&error.to_string());
     Response { body, ..Response::empty(status) }
 }
@@ -85,7 +85,7 @@
     let now = node.clock().now();
     let core = node.core();
     if !core.is_fresh(now) {
-        return refuse();
+        return unavailable();
     }
     let body = node.formats().pending(core.ledger.pending(&route.name));
     Response { body, ..Response::empty(status::OK) }
@@ -95,7 +95,7 @@
     let Some(body) = &req.body else { return Response::empty(status::TOO_LARGE) };
     let workflow = match node.formats().workflow(body).and_then(|w| w.check().map(|()| w)) {
         Ok(workflow) => workflow,
-        Err(error) => return fault(node, status::BAD_REQUEST, &error),
+        Err(error) => return error_response(node, status::BAD_REQUEST, &error),
     };
     if node.core().ledger.get(id).is_some() {
         return Response::empty(status::OK);
@@ -115,11 +115,11 @@
     log::info!(workflow:% = id, route:% = route.name, stored:? = stored; "submitted");
     match stored {
         Stored::Yes => {
-            node.accepted(id);
+            node.mark_accepted(id);
             Response::empty(status::OK)
         }
         // It certainly never runs, so the client may be told so.
-        Stored::No => refuse(),
+        Stored::No => unavailable(),
         // It may run: the client asks again with the same id.
         Stored::Unknown => Response::empty(status::TIMEOUT),
     }
@@ -127,51 +127,53 @@
 
 async fn show(node: &Rc<Node>, id: WorkflowId, arrived: Time, req: &Request) -> Response {
     match find(node, id, arrived, req).await {
-        Found::State(state) => {
+        Lookup::State(state) => {
             Response { body: node.formats().state(state), ..Response::empty(status::OK) }
         }
-        Found::Nothing => Response::empty(status::GONE),
-        Found::Unknown => refuse(),
+        Lookup::Absent => Response::empty(status::GONE),
+        Lookup::Unknown => unavailable(),
     }
 }
 
 async fn cancel(node: &Rc<Node>, id: WorkflowId, arrived: Time, req: &Request) -> Response {
     match find(node, id, arrived, req).await {
-        Found::State(WorkflowState::Ended(_)) => return Response::empty(status::OK),
-        Found::State(WorkflowState::Queued | WorkflowState::Running) => {}
-        Found::Nothing => return Response::empty(status::GONE),
-        Found::Unknown => return refuse(),
+        Lookup::State(WorkflowState::Ended(_)) => return Response::empty(status::OK),
+        Lookup::State(WorkflowState::Queued | WorkflowState::Running) => {}
+        Lookup::Absent => return Response::empty(status::GONE),
+        Lookup::Unknown => return unavailable(),
     }
     let stored = node.store_record(Record::new(Key::Cancel(id), &true)).await;
     log::info!(workflow:% = id, stored:? = stored; "cancelled");
     match stored {
         Stored::Yes => Response::empty(status::OK),
-        Stored::No => refuse(),
+        Stored::No => unavailable(),
         Stored::Unknown => Response::empty(status::TIMEOUT),
     }
 }
 
 /// What is known of a workflow.
-enum Found {
+enum Lookup {
     State(WorkflowState),
     /// There is none: the records are read past the request's arrival.
-    Nothing,
+    Absent,
     /// The records can't be read far enough.
     Unknown,
 }
 
-async fn find(node: &Rc<Node>, id: WorkflowId, arrived: Time, req: &Request) -> Found {
-    let own = node.formats().deadline(&req.headers);
-    let patience = own.map_or(CATCH_UP, |own| CATCH_UP.min(own * CATCH_UP_PERCENT / 100));
-    let look = node.reads.find(|core| {
+async fn find(node: &Rc<Node>, id: WorkflowId, arrived: Time, req: &Request) -> Lookup {
+    let deadline = node.formats().deadline(&req.headers);
+    let catch_up = deadline
+        .map_or(MAX_CATCH_UP, |deadline| MAX_CATCH_UP.min(deadline * CATCH_UP_PERCENT / 100));
+    let lookup = node.watch.wait_for(|core| {
         if let Some(entry) = core.ledger.get(id) {
-            return Some(Found::State(entry.state()));
+            return Some(Lookup::State(entry.state()));
         }
         if core.accepted.contains(&id) {
-            return Some(Found::State(WorkflowState::Queued));
+            return Some(Lookup::State(WorkflowState::Queued));
         }
-        let read_on = core.work.at_end && core.work.fresh.is_some_and(|at| at > arrived);
-        read_on.then_some(Found::Nothing)
+        let read_past_arrival = core.work_progress.at_end
+            && core.work_progress.answered_at.is_some_and(|at| at > arrived);
+        read_past_arrival.then_some(Lookup::Absent)
     });
-    timeout(patience, look).await.unwrap_or(Found::Unknown)
+    timeout(catch_up, lookup).await.unwrap_or(Lookup::Unknown)
 }
--- a/crates/runtime/src/commands.rs
+++ b/crates/runtime/src/commands.rs
@@ -22,22 +22,22 @@
 
 /// Orders under way at one worker, each on a connection of its own: one that gets no answer doesn't
 /// stop the others. More would open connections that are seldom used again.
-const ORDERS_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_COMMANDS: usize = 2;
 
 /// The pause after the operator couldn't be told how far a wave is.
-const TELL_RETRY: Duration = Duration::from_millis(200);
+const WAVE_REPORT_RETRY: Duration = Duration::from_millis(200);
 
 /// Whose turn it is to send an order to a worker.
 #[derive(Debug, Default)]
-pub(crate) struct Turns {
-    at: RefCell<HashMap<SocketAddr, Arc<Semaphore>>>,
+pub(crate) struct CommandSlots {
+    by_addr: RefCell<HashMap<SocketAddr, Arc<Semaphore>>>,
 }
 
-impl Turns {
+impl CommandSlots {
     /// Waits for a turn at `addr`, which ends when what is returned is dropped.
-    async fn take(&self, addr: SocketAddr) -> Option<OwnedSemaphorePermit> {
-        let new = || Arc::new(Semaphore::new(ORDERS_AT_ONCE));
-        let semaphore = Arc::clone(self.at.borrow_mut().entry(addr).or_insert_with(new));
+    async fn acquire(&self, addr: SocketAddr) -> Option<OwnedSemaphorePermit> {
+        let new = || Arc::new(Semaphore::new(MAX_CONCURRENT_COMMANDS));
+        let semaphore = Arc::clone(self.by_addr.borrow_mut().entry(addr).or_insert_with(new));
         // The semaphore is never closed.
         semaphore.acquire_owned().await.ok()
     }
@@ -49,7 +49,7 @@
         match effect {
             Effect::Poll { worker, addr, epoch, recorded, until_ms, wait_ms } => {
                 let call = PollCall { worker, addr, epoch, recorded, until_ms, wait_ms };
-                spawn_local(Rc::clone(self).hold(call));
+                spawn_local(Rc::clone(self).poll(call));
             }
             Effect::Start { .. } => {
                 spawn_local(Rc::clone(self).start(effect));
@@ -69,13 +69,13 @@
                 spawn_local(Rc::clone(self).list_vms());
             }
             Effect::BeginMaintenance { vm, wave, epoch } => {
-                spawn_local(Rc::clone(self).upkeep(vm, wave, epoch));
+                spawn_local(Rc::clone(self).start_maintenance(vm, wave, epoch));
             }
             Effect::ReportWave { wave, state } => {
                 spawn_local(Rc::clone(self).report_wave(wave, state));
             }
             Effect::Record { records } => {
-                spawn_local(Rc::clone(self).record(records));
+                spawn_local(Rc::clone(self).append_as_leader(records));
             }
             Effect::Outranked => {
                 log::warn!("outranked");
@@ -86,7 +86,7 @@
 
     /// Whether orders of this epoch may still be sent. A process may have been paused since they were
     /// decided.
-    fn may_order(&self, epoch: Epoch) -> bool {
+    fn may_send(&self, epoch: Epoch) -> bool {
         self.core.borrow().leadership.authority(self.clock.now()) == Some(epoch)
     }
 
@@ -105,10 +105,10 @@
         });
     }
 
-    async fn hold(self: Rc<Self>, call: PollCall) {
+    async fn poll(self: Rc<Self>, call: PollCall) {
         let (worker, epoch, sent) = (call.worker.clone(), call.epoch, self.clock.now());
-        let result = if self.may_order(epoch) {
-            self.heed(self.workers.poll(call).await)
+        let result = if self.may_send(epoch) {
+            self.take_decoded(self.workers.poll(call).await)
         } else {
             PollResult::Failed
         };
@@ -122,7 +122,7 @@
         let core = self.core.borrow();
         let now = self.clock.now();
         let wanted = |scheduler: &Scheduler| scheduler.wants_start(now, worker, task, run);
-        self.may_order(epoch) && core.scheduler.as_ref().is_some_and(wanted)
+        self.may_send(epoch) && core.scheduler.as_ref().is_some_and(wanted)
     }
 
     async fn start(self: Rc<Self>, effect: Effect) {
@@ -131,7 +131,7 @@
         else {
             return;
         };
-        let turn = self.turns.take(addr).await;
+        let slot = self.command_slots.acquire(addr).await;
         let result = if self.may_start(epoch, &worker, task, run) {
             let payload = submission.workflow.payload.as_str();
             let worker = &worker;
@@ -142,7 +142,7 @@
         } else {
             StartResult::Withheld
         };
-        drop(turn);
+        drop(slot);
         self.with_scheduler(epoch, |scheduler, now, out| {
             scheduler.on_start(now, &worker, task, run, result, out);
         });
@@ -150,9 +150,9 @@
 
     async fn stop(self: Rc<Self>, call: StopCall) {
         let StopCall { worker, addr, epoch, task, run } = call.clone();
-        let _turn = self.turns.take(addr).await;
+        let _slot = self.command_slots.acquire(addr).await;
         let result =
-            if self.may_order(epoch) { self.workers.stop(call).await } else { StopResult::Unknown };
+            if self.may_send(epoch) { self.workers.stop(call).await } else { StopResult::Unknown };
         self.with_scheduler(epoch, |scheduler, now, out| {
             scheduler.on_stop(now, &worker, task, run, result, out);
         });
@@ -160,35 +160,35 @@
 
     async fn pace(self: Rc<Self>, call: PaceCall) {
         let PaceCall { worker, addr, epoch, task, run, .. } = call.clone();
-        let _turn = self.turns.take(addr).await;
+        let _slot = self.command_slots.acquire(addr).await;
         let result =
-            if self.may_order(epoch) { self.workers.pace(call).await } else { PaceResult::Unknown };
+            if self.may_send(epoch) { self.workers.pace(call).await } else { PaceResult::Unknown };
         self.with_scheduler(epoch, |scheduler, now, out| {
             scheduler.on_pace(now, &worker, task, run, result, out);
         });
     }
 
     async fn advise(self: Rc<Self>, step: StepId, workers: Vec<WorkerId>) {
-        let known = {
+        let term_and_terms = {
             let core = self.core.borrow();
             let submission =
                 core.ledger.get(step.workflow).and_then(|entry| entry.submission.clone());
             core.leadership.term().zip(submission.and_then(|submission| submission.advice))
         };
-        let Some((epoch, terms)) = known else { return };
-        let result = self.heed(self.advisor.advise(step, &workers, terms).await);
+        let Some((epoch, terms)) = term_and_terms else { return };
+        let result = self.take_decoded(self.advisor.advise(step, &workers, terms).await);
         self.with_scheduler(epoch, |scheduler, now, _| scheduler.on_advice(now, step, result));
     }
 
     async fn list_vms(self: Rc<Self>) {
         let Some(epoch) = self.core.borrow().leadership.term() else { return };
         let sent = self.clock.now();
-        let listed = self.heed(self.fleet.list().await);
+        let listed = self.take_decoded(self.fleet.list().await);
         self.with_scheduler(epoch, |scheduler, _, _| scheduler.on_vms(sent, listed));
     }
 
-    async fn upkeep(self: Rc<Self>, vm: VmId, wave: u64, epoch: Epoch) {
-        let result = if self.may_order(epoch) {
+    async fn start_maintenance(self: Rc<Self>, vm: VmId, wave: u64, epoch: Epoch) {
+        let result = if self.may_send(epoch) {
             self.fleet.start_maintenance(&self.name, epoch, &vm, wave).await
         } else {
             MaintenanceResult::Unknown
@@ -200,14 +200,14 @@
 
     async fn report_wave(self: Rc<Self>, wave: u64, state: WaveState) {
         let Some(epoch) = self.core.borrow().leadership.term() else { return };
-        let told = if self.may_order(epoch) {
+        let result = if self.may_send(epoch) {
             self.store.report_wave(wave, state).await
         } else {
             AppendResult::Unknown
         };
-        let stored = told == AppendResult::Done;
+        let stored = result == AppendResult::Done;
         if !stored {
-            sleep(TELL_RETRY).await;
+            sleep(WAVE_REPORT_RETRY).await;
         }
         self.with_scheduler(epoch, |scheduler, _, _| {
             scheduler.on_wave_reported(wave, state, stored)
--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -20,20 +20,20 @@
     pub(crate) leadership: Vec<LeadershipEffect>,
     pub(crate) scheduler: Vec<Effect>,
     /// Entries that can't be read.
-    pub(crate) bad: Vec<BadEntry>,
+    pub(crate) bad_entries: Vec<BadEntry>,
 }
 
 /// How far the records are read.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Reading {
+pub(crate) struct ReadProgress {
     /// All keys were read once.
     pub(crate) loaded: bool,
     /// The last read reached the partition's end.
     pub(crate) at_end: bool,
     /// When the last read was answered.
-    pub(crate) fresh: Option<Time>,
+    pub(crate) answered_at: Option<Time>,
     /// When the last read that reached the end was sent: what was recorded before is known.
-    pub(crate) known_to: Option<Time>,
+    pub(crate) complete_until: Option<Time>,
 }
 
 /// A term of another process.
@@ -53,11 +53,11 @@
     pub(crate) scheduler: Option<Scheduler>,
     pub(crate) directory: BTreeMap<WorkerId, WorkerInfo>,
     /// Workers whose newest entry can't be read, the first of them.
-    unreadable: BTreeSet<WorkerId>,
+    unreadable_workers: BTreeSet<WorkerId>,
     pub(crate) routes: Option<RouteTable>,
     /// Waves of upkeep, and when the operator's request was read.
     pub(crate) waves: BTreeMap<u64, (Time, Wave)>,
-    pub(crate) work: Reading,
+    pub(crate) work_progress: ReadProgress,
     /// Accepted here and not read yet.
     pub(crate) accepted: HashSet<WorkflowId>,
     pub(crate) stopping: bool,
@@ -71,10 +71,10 @@
             leadership,
             scheduler: None,
             directory: BTreeMap::new(),
-            unreadable: BTreeSet::new(),
+            unreadable_workers: BTreeSet::new(),
             routes: None,
             waves: BTreeMap::new(),
-            work: Reading::default(),
+            work_progress: ReadProgress::default(),
             accepted: HashSet::new(),
             stopping: false,
         }
@@ -91,7 +91,7 @@
                     scheduler.on_unreadable(key, &self.ledger);
                 }
                 let key = CompactString::from_utf8_lossy(&stored.key);
-                out.bad.push(BadEntry::new(EntryKind::Record, key, stored.offset.0, error));
+                out.bad_entries.push(BadEntry::new(EntryKind::Record, key, stored.offset.0, error));
                 return;
             }
         };
@@ -122,7 +122,7 @@
             OperatorChange::Wave { number, wave } => return self.on_wave(now, number, wave),
             OperatorChange::Other => return,
         };
-        if self.routes.as_ref().is_some_and(|known| known.version >= table.version) {
+        if self.routes.as_ref().is_some_and(|current| current.version >= table.version) {
             return;
         }
         log::info!(version = table.version, routes = table.routes.len(); "configuration_in_force");
@@ -143,19 +143,19 @@
     pub(crate) fn on_directory(&mut self, now: Time, change: DirectoryChange) {
         match &change {
             DirectoryChange::Present(info) => {
-                self.unreadable.remove(&info.id);
+                self.unreadable_workers.remove(&info.id);
                 self.directory.insert(info.id.clone(), info.clone());
             }
             DirectoryChange::Absent(id) => {
-                self.unreadable.remove(id);
+                self.unreadable_workers.remove(id);
                 self.directory.remove(id);
             }
             DirectoryChange::Unreadable(id) => {
                 if let Some(info) = self.directory.get_mut(id) {
                     info.mark_unreadable();
                 }
-                if self.unreadable.len() < MOST_UNREADABLE {
-                    self.unreadable.insert(id.clone());
+                if self.unreadable_workers.len() < MAX_UNREADABLE_WORKERS {
+                    self.unreadable_workers.insert(id.clone());
                 }
             }
         }
@@ -166,32 +166,32 @@
 
     /// The directory was read anew: what isn't in it is absent.
     pub(crate) fn on_directory_loaded(&mut self, now: Time, found: &HashSet<WorkerId>) {
-        let known = self.directory.keys().chain(&self.unreadable);
-        let missing: Vec<WorkerId> = known.filter(|id| !found.contains(*id)).cloned().collect();
+        let listed = self.directory.keys().chain(&self.unreadable_workers);
+        let missing: Vec<WorkerId> = listed.filter(|id| !found.contains(*id)).cloned().collect();
         for id in missing {
             self.on_directory(now, DirectoryChange::Absent(id));
         }
     }
 
     /// What a scheduler that begins is told of the directory.
-    pub(crate) fn directory_changes(&self) -> impl Iterator<Item = DirectoryChange> {
+    pub(crate) fn directory_snapshot(&self) -> impl Iterator<Item = DirectoryChange> {
         let present = self.directory.values().cloned().map(DirectoryChange::Present);
-        present.chain(self.unreadable.iter().cloned().map(DirectoryChange::Unreadable))
+        present.chain(self.unreadable_workers.iter().cloned().map(DirectoryChange::Unreadable))
     }
 
     /// Time has passed.
     pub(crate) fn tick(&mut self, now: Time, wall_ms: u64, out: &mut Effects) {
-        let caught_up = self.work.loaded && self.work.at_end && !self.stopping;
+        let caught_up = self.work_progress.loaded && self.work_progress.at_end && !self.stopping;
         self.leadership.tick(now, caught_up, &mut out.leadership);
         // A process that ends begins nothing: its last append must be settled before it gives up its term.
         if self.stopping {
             return;
         }
-        let behind = self.is_behind();
+        let lagging = self.is_lagging();
         let authority = self.leadership.authority(now);
         let Some(scheduler) = &mut self.scheduler else { return };
         if authority.is_some() {
-            scheduler.set_lagging(behind);
+            scheduler.set_lagging(lagging);
             scheduler.tick(now, wall_ms, &mut out.scheduler);
         } else {
             scheduler.send_heartbeat(now, &mut out.scheduler);
@@ -206,16 +206,17 @@
 
     /// Whether the records are read up to the present, so that what isn't found doesn't exist.
     pub(crate) fn is_fresh(&self, now: Time) -> bool {
-        self.work.loaded && self.work.fresh.is_some_and(|at| now.since(at) < STALE_AFTER)
+        self.work_progress.loaded
+            && self.work_progress.answered_at.is_some_and(|at| now.since(at) < STALE_AFTER)
     }
 
     /// Whether this leader's appends reach the store while its reads lag: clients are told elsewhere that
     /// their workflows are cancelled, and this process doesn't know. While the store is away nobody is
     /// told anything, and neither gets through.
-    fn is_behind(&self) -> bool {
-        self.work
-            .known_to
-            .is_none_or(|known| self.leadership.last_confirmed().since(known) >= BEHIND_AFTER)
+    fn is_lagging(&self) -> bool {
+        self.work_progress
+            .complete_until
+            .is_none_or(|read| self.leadership.last_confirmed().since(read) >= LAGGING_AFTER)
     }
 
     /// Where another process that leads takes records.
@@ -239,7 +240,7 @@
 
 /// The most workers whose entries can't be read that are remembered; another writer may leave any number of
 /// such entries. A worker beyond that counts as absent for a new leader until its own entry is read.
-const MOST_UNREADABLE: usize = 4_096;
+const MAX_UNREADABLE_WORKERS: usize = 4_096;
 
 /// Reads are answered several times a second, since a leader leaves a sign of life each 250 ms. After
 /// this long without one the state shown here may be too old to say that something doesn't exist.
@@ -247,4 +248,4 @@
 
 /// A leader whose reads lag so far behind its appends starts nothing. Reads wait for 0.6 s at most, and a
 /// start is sent within half a second; what was cancelled must not start after 3 s.
-const BEHIND_AFTER: std::time::Duration = std::time::Duration::from_millis(1_500);
+const LAGGING_AFTER: std::time::Duration = std::time::Duration::from_millis(1_500);
--- a/crates/runtime/src/dump.rs
+++ b/crates/runtime/src/dump.rs
@@ -8,10 +8,10 @@
 };
 
 /// The most steps that are listed: at 200 bytes each 200 KB.
-const MOST_STEPS: usize = 1_000;
+const MAX_STEPS: usize = 1_000;
 
 /// The most stranded tasks that are listed: the first ones show what kind they are.
-const MOST_STRANDED: usize = 100;
+const MAX_STRANDED: usize = 100;
 
 #[derive(Serialize)]
 struct Dump {
@@ -71,12 +71,12 @@
 impl Node {
     /// The state as JSON.
     pub(crate) fn dump(&self, now: Time) -> Vec<u8> {
-        let relay = |used: UsedRelay| Relay {
+        let to_row = |used: UsedRelay| Relay {
             name: used.name.to_string(),
             data_centre: used.data_centre.to_string(),
             workers: used.workers,
         };
-        let relays = self.relays.used().into_iter().map(relay).collect();
+        let relays = self.relays.used().into_iter().map(to_row).collect();
         let core = &mut *self.core.borrow_mut();
         let ready = core.is_ready(now);
         let leader = core.leader().to_string();
@@ -87,7 +87,7 @@
             ready,
             workflows: core.ledger.iter().count(),
             workers: core.directory.len(),
-            records_read_ms: core.work.fresh.map(|at| ms(now.since(at))),
+            records_read_ms: core.work_progress.answered_at.map(|at| ms(now.since(at))),
             unaccounted: 0,
             relays,
             stranded: Vec::new(),
@@ -96,12 +96,12 @@
         };
         if let Some(scheduler) = &mut core.scheduler {
             dump.unaccounted = scheduler.unreconciled_count();
-            let stranded = scheduler.stranded().into_iter().take(MOST_STRANDED);
+            let stranded = scheduler.stranded().into_iter().take(MAX_STRANDED);
             dump.stranded = stranded.map(|task| task.to_string()).collect();
-            let mut steps = scheduler.waiting_steps(now, MOST_STEPS + 1);
-            dump.more_waiting = steps.len() > MOST_STEPS;
-            steps.truncate(MOST_STEPS);
-            let row = |waiting: egretlb_workflow::WaitingStep| Waiting {
+            let mut steps = scheduler.waiting_steps(now, MAX_STEPS + 1);
+            dump.more_waiting = steps.len() > MAX_STEPS;
+            steps.truncate(MAX_STEPS);
+            let to_row = |waiting: egretlb_workflow::WaitingStep| Waiting {
                 step: waiting.step.to_string(),
                 tasks: waiting.tasks,
                 indices: waiting.indices,
@@ -113,7 +113,7 @@
                 service_workers: waiting.service_workers.map(|fleet| fleet.all),
                 fit_workers: waiting.service_workers.map(|fleet| fleet.eligible),
             };
-            dump.waiting = steps.into_iter().map(row).collect();
+            dump.waiting = steps.into_iter().map(to_row).collect();
         }
         // Plain data always has a form in JSON.
         serde_json::to_vec(&dump).unwrap_or_default()
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -14,12 +14,12 @@
 mod core;
 mod dump;
 mod follow;
+mod leader_append;
 mod node;
 mod peers;
-mod reads;
-mod records;
 mod relays;
 mod serve;
+mod watch;
 
 pub use crate::{
     bad_entries::{BadEntry, BadEntryLog, Decoded, LogAction},
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -5,12 +5,12 @@
         append::{Appender, STUCK_AFTER},
         bad_entries::{BadEntry, BadEntryLog, Decoded, LogAction},
         clock::Clock,
-        commands::Turns,
-        core::{Core, Effects, Reading},
-        peers::{Leader, Waiting},
+        commands::CommandSlots,
+        core::{Core, Effects, ReadProgress},
+        peers::{LeaderClient, PendingRecord},
         platform::{Advisor, Append, Fence, Fleet, Formats, Platform, Store, Topic, Workers},
-        reads::Reads,
         relays::{self, Relays},
+        watch::RecordWatch,
     },
     compact_str::CompactString,
     egretlb_telemetry::{RunEvent, WorkflowMetrics},
@@ -60,33 +60,35 @@
 /// The place among the followers, from 0 for the one that claims first to 999. A weak VM would
 /// lead late and badly, so it claims after the strong ones. What
 /// is left of the range tells VMs of one strength apart.
-fn place(options: &NodeOptions) -> u32 {
+fn claim_rank(options: &NodeOptions) -> u32 {
     let mut hasher = DefaultHasher::new();
     options.incarnation.hash(&mut hasher);
-    let chance = u32::try_from(hasher.finish() % u64::from(CHANCE_RANGE)).unwrap_or(0);
-    let weakness =
-        FULL_POWER.saturating_sub(options.cpu_millicores) * (999 - CHANCE_RANGE) / FULL_POWER;
-    let behind = if options.cpu_millicores < FIT_POWER { FIT_RANGE } else { 0 };
-    weakness + chance + behind
+    let jitter = u32::try_from(hasher.finish() % u64::from(JITTER_RANGE)).unwrap_or(0);
+    let cpu_penalty = FULL_RANK_MILLICORES.saturating_sub(options.cpu_millicores)
+        * (999 - JITTER_RANGE)
+        / FULL_RANK_MILLICORES;
+    let unfit_penalty =
+        if options.cpu_millicores < MIN_LEADER_MILLICORES { UNFIT_RANK_PENALTY } else { 0 };
+    cpu_penalty + jitter + unfit_penalty
 }
 
 /// A VM with a smaller share of a core is unfit to lead, in thousandths: it would carry out
 /// starts seconds after they were decided, and after the cancellation of their workflows was acknowledged.
-const FIT_POWER: u32 = 200;
+const MIN_LEADER_MILLICORES: u32 = 200;
 
 /// Unfit VMs come so much later, in thousandths of the spread: 1.6 s, and half of that after a leader
 /// that gave up its term. A slow store delays what VMs read by half a second, which otherwise lets a
 /// weak one come first.
-const FIT_RANGE: u32 = 4_000;
+const UNFIT_RANK_PENALTY: u32 = 4_000;
 
 /// VMs with this share of a core and more are equally fit to lead, in thousandths.
-const FULL_POWER: u32 = 500;
+const FULL_RANK_MILLICORES: u32 = 500;
 
 /// The part of the range that chance decides.
-const CHANCE_RANGE: u32 = 300;
+const JITTER_RANGE: u32 = 300;
 
 /// What goes on without a topic of the store, for the log.
-fn still_works(topic: Topic) -> &'static str {
+fn available_without(topic: Topic) -> &'static str {
     match topic {
         Topic::Work => "what runs; orders for 4 s; known states",
         Topic::Operator => "the configuration in force",
@@ -107,21 +109,21 @@
     cpu_millicores: u32,
     formats: Rc<dyn Formats>,
     pub(crate) appender: Rc<Appender>,
-    pub(crate) leader: Leader,
+    pub(crate) leader: LeaderClient,
     pub(crate) metrics: WorkflowMetrics,
     /// Clients' records for the leader's next append.
-    pub(crate) waiting: RefCell<Vec<Waiting>>,
+    pub(crate) pending_records: RefCell<Vec<PendingRecord>>,
     /// Since when the leader's append under way has had no success.
-    pub(crate) recording: Cell<Option<Time>>,
+    pub(crate) append_started: Cell<Option<Time>>,
     /// How long the last of the leader's appends took that needed no repetition.
-    pub(crate) append_took: Cell<Duration>,
+    pub(crate) last_append_duration: Cell<Duration>,
     /// Topics whose reads fail, and since when.
-    lost: RefCell<BTreeMap<Topic, Time>>,
+    failing_topics: RefCell<BTreeMap<Topic, Time>>,
     bad_entries: RefCell<BadEntryLog>,
     pub(crate) clock: Clock,
-    pub(crate) turns: Turns,
+    pub(crate) command_slots: CommandSlots,
     wake: Notify,
-    pub(crate) reads: Rc<Reads>,
+    pub(crate) watch: Rc<RecordWatch>,
 }
 
 impl Node {
@@ -131,13 +133,18 @@
         let (name, data_centre, cpu_millicores) =
             (options.name.clone(), options.data_centre.clone(), options.cpu_millicores);
         let clock = Clock;
-        let place = place(&options);
-        let leadership =
-            Leadership::new(clock.now(), options.name, options.incarnation, place, options.limits);
+        let claim_rank = claim_rank(&options);
+        let leadership = Leadership::new(
+            clock.now(),
+            options.name,
+            options.incarnation,
+            claim_rank,
+            options.limits,
+        );
         let core = Rc::new(RefCell::new(Core::new(leadership, options.limits)));
-        let reads = Rc::new(Reads::new(Rc::clone(&core)));
+        let watch = Rc::new(RecordWatch::new(Rc::clone(&core)));
         let relays = Rc::new(Relays::new(workers, Rc::clone(&core), clock));
-        let appender = Appender::new(Rc::clone(&store), Rc::clone(&reads));
+        let appender = Appender::new(Rc::clone(&store), Rc::clone(&watch));
         Rc::new(Node {
             core,
             store,
@@ -150,17 +157,17 @@
             cpu_millicores,
             formats,
             appender: Rc::new(appender),
-            leader: Leader::default(),
+            leader: LeaderClient::default(),
             metrics: WorkflowMetrics::new(),
-            waiting: RefCell::default(),
-            recording: Cell::new(None),
-            append_took: Cell::default(),
-            lost: RefCell::default(),
+            pending_records: RefCell::default(),
+            append_started: Cell::new(None),
+            last_append_duration: Cell::default(),
+            failing_topics: RefCell::default(),
             bad_entries: RefCell::default(),
             clock,
-            turns: Turns::default(),
+            command_slots: CommandSlots::default(),
             wake: Notify::new(),
-            reads,
+            watch,
         })
     }
 
@@ -177,8 +184,8 @@
     }
 
     /// Whether its VM has so little of a core that others come first.
-    pub(crate) fn is_weak(&self) -> bool {
-        self.cpu_millicores < FIT_POWER
+    pub(crate) fn has_low_cpu(&self) -> bool {
+        self.cpu_millicores < MIN_LEADER_MILLICORES
     }
 
     pub(crate) fn core(&self) -> Ref<'_, Core> {
@@ -186,7 +193,7 @@
     }
 
     /// A workflow was accepted here; its record will be read soon.
-    pub(crate) fn accepted(&self, id: WorkflowId) {
+    pub(crate) fn mark_accepted(&self, id: WorkflowId) {
         let mut core = self.core.borrow_mut();
         if core.ledger.get(id).is_none() {
             core.accepted.insert(id);
@@ -194,7 +201,7 @@
     }
 
     /// Whether this process may give orders now.
-    pub(crate) fn may_lead(&self) -> bool {
+    pub(crate) fn has_authority(&self) -> bool {
         let core = self.core.borrow();
         core.scheduler.is_some() && core.leadership.authority(self.clock.now()).is_some()
     }
@@ -205,12 +212,12 @@
     }
 
     /// Adds a client's record to the leader's next append; false if appends don't get through.
-    pub(crate) fn add_waiting(self: &Rc<Self>, waiting: Waiting) -> bool {
+    pub(crate) fn add_pending_record(self: &Rc<Self>, pending: PendingRecord) -> bool {
         let stuck = |since| self.clock.now().since(since) >= STUCK_AFTER;
-        if self.recording.get().is_some_and(stuck) {
+        if self.append_started.get().is_some_and(stuck) {
             return false;
         }
-        self.waiting.borrow_mut().push(waiting);
+        self.pending_records.borrow_mut().push(pending);
         self.step(|core, _, _| {
             if let Some(scheduler) = &mut core.scheduler {
                 scheduler.request_append();
@@ -230,22 +237,22 @@
         }
         spawn_local(Rc::clone(&self.appender).run());
         spawn_local(relays::offer(Rc::clone(self)));
-        spawn_local(Rc::clone(self).tick_on());
+        spawn_local(Rc::clone(self).tick_loop());
     }
 
-    async fn tick_on(self: Rc<Self>) {
+    async fn tick_loop(self: Rc<Self>) {
         loop {
             let pause = if self.leads() { LEADER_TICK } else { FOLLOWER_TICK };
             // Both a wake and the pause's end lead to the same pass.
             let _ = timeout(pause, self.wake.notified()).await;
             let wall_ms = self.clock.wall_ms();
-            self.step_quietly(|core, now, out| core.tick(now, wall_ms, out));
-            self.measure();
+            self.step_without_wake(|core, now, out| core.tick(now, wall_ms, out));
+            self.update_metrics();
             sleep(TICK_GAP).await;
         }
     }
 
-    fn measure(&self) {
+    fn update_metrics(&self) {
         let metrics = &self.metrics;
         metrics.set_relays(self.relays.count());
         let core = &mut *self.core.borrow_mut();
@@ -272,13 +279,13 @@
 
     /// Takes an event in, and has a pass over what waits follow soon.
     pub(crate) fn step(self: &Rc<Self>, event: impl FnOnce(&mut Core, Time, &mut Effects)) {
-        self.step_quietly(event);
+        self.step_without_wake(event);
         if self.leads() {
             self.wake.notify_one();
         }
     }
 
-    fn step_quietly(self: &Rc<Self>, event: impl FnOnce(&mut Core, Time, &mut Effects)) {
+    fn step_without_wake(self: &Rc<Self>, event: impl FnOnce(&mut Core, Time, &mut Effects)) {
         let mut out = Effects::default();
         event(&mut self.core.borrow_mut(), self.clock.now(), &mut out);
         for effect in out.leadership {
@@ -287,16 +294,16 @@
         for effect in out.scheduler {
             self.perform(effect);
         }
-        self.tell(&out.bad);
+        self.log_bad_entries(&out.bad_entries);
     }
 
     /// Tells of entries that can't be read, of each once, and returns what could be.
-    pub(crate) fn heed<T>(&self, decoded: Decoded<T>) -> T {
-        self.tell(&decoded.bad);
+    pub(crate) fn take_decoded<T>(&self, decoded: Decoded<T>) -> T {
+        self.log_bad_entries(&decoded.bad);
         decoded.value
     }
 
-    pub(crate) fn tell(&self, bad: &[BadEntry]) {
+    pub(crate) fn log_bad_entries(&self, bad: &[BadEntry]) {
         let now = self.clock.now();
         for entry in bad {
             let action = self.bad_entries.borrow_mut().record(now, entry);
@@ -310,41 +317,41 @@
         }
     }
 
-    pub(crate) fn directory_loaded(self: &Rc<Self>, found: &HashSet<WorkerId>) {
+    pub(crate) fn on_directory_loaded(self: &Rc<Self>, found: &HashSet<WorkerId>) {
         self.step(|core, now, _| core.on_directory_loaded(now, found));
     }
 
     /// A read of the system's own records is sent.
-    pub(crate) fn read_sent(&self, now: Time) {
+    pub(crate) fn on_read_sent(&self, now: Time) {
         self.core.borrow_mut().leadership.on_read_sent(now);
     }
 
-    pub(crate) fn read_done(self: &Rc<Self>, topic: Topic, reading: Reading) {
+    pub(crate) fn on_read_done(self: &Rc<Self>, topic: Topic, progress: ReadProgress) {
         if topic == Topic::Work {
             let core = &mut *self.core.borrow_mut();
-            let known_to = reading.known_to.or(core.work.known_to);
-            core.work = Reading { known_to, ..reading };
+            let complete_until = progress.complete_until.or(core.work_progress.complete_until);
+            core.work_progress = ReadProgress { complete_until, ..progress };
             core.leadership.on_read(self.clock.now());
         }
-        if let Some(since) = self.lost.borrow_mut().remove(&topic) {
+        if let Some(since) = self.failing_topics.borrow_mut().remove(&topic) {
             let after_ms = self.clock.now().since(since).as_millis() as u64;
             log::info!(topic:% = topic, after_ms; "store_regained");
         }
         if topic == Topic::Work {
-            self.reads.announce();
+            self.watch.notify_read();
         }
     }
 
-    pub(crate) fn read_failed(self: &Rc<Self>, topic: Topic) {
+    pub(crate) fn on_read_failed(self: &Rc<Self>, topic: Topic) {
         let now = self.clock.now();
-        if !self.lost.borrow().contains_key(&topic) {
-            log::warn!(topic:% = topic, works = still_works(topic); "store_lost");
-            self.lost.borrow_mut().insert(topic, now);
+        if !self.failing_topics.borrow().contains_key(&topic) {
+            log::warn!(topic:% = topic, works = available_without(topic); "store_lost");
+            self.failing_topics.borrow_mut().insert(topic, now);
         }
         log::debug!(topic:% = topic; "read_failed");
         if topic == Topic::Work {
             let mut core = self.core.borrow_mut();
-            core.work.at_end = false;
+            core.work_progress.at_end = false;
             core.leadership.on_read_failed(now);
         }
     }
@@ -360,7 +367,7 @@
                 let leader = self.core.borrow().leader();
                 log::info!(leader:% = leader; "deposed");
                 self.core.borrow_mut().scheduler = None;
-                self.relays.end();
+                self.relays.end_term();
             }
         }
     }
@@ -368,7 +375,7 @@
     fn begin_term(self: &Rc<Self>, epoch: Epoch, succession: Succession) {
         let (now, wall_ms) = (self.clock.now(), self.clock.wall_ms());
         let core = &mut *self.core.borrow_mut();
-        let directory = core.directory_changes();
+        let directory = core.directory_snapshot();
         let term = (epoch, succession);
         let mut scheduler =
             Scheduler::new(now, wall_ms, term, core.limits, &core.ledger, directory);
@@ -377,14 +384,14 @@
             unaccounted = scheduler.unreconciled_count();
             "elected"
         );
-        for (number, (asked, wave)) in &core.waves {
+        for (number, (requested_at, wave)) in &core.waves {
             // What has passed of the wave's time is over.
-            let within = wave.within.saturating_sub(now.since(*asked));
+            let within = wave.within.saturating_sub(now.since(*requested_at));
             let wave = Wave { within, ..wave.clone() };
             scheduler.on_wave(now, *number, Some(wave), &core.ledger);
         }
         core.scheduler = Some(scheduler);
-        self.relays.begin(epoch);
+        self.relays.begin_term(epoch);
         self.metrics.elected();
         self.wake.notify_one();
     }
--- a/crates/runtime/src/peers.rs
+++ b/crates/runtime/src/peers.rs
@@ -18,17 +18,17 @@
 };
 
 /// Where followers hand records in.
-const PATH: &str = "/records";
+const RECORDS_PATH: &str = "/records";
 
 /// How long a follower waits for the leader: two appends of a slow store, and below the 3 s that clients
 /// wait. If another process takes over meanwhile, it waits no longer.
-const LIMIT: Duration = Duration::from_millis(2_000);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// How long the leader tries to get a record stored, so that its answer arrives.
-const STORE_LIMIT: Duration = Duration::from_millis(1_900);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_900);
 
 /// Connections to the leader that are kept.
-const KEPT: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 /// The leader's answers.
 mod status {
@@ -39,72 +39,73 @@
 }
 
 /// A client's record that waits for the leader's next append.
-pub(crate) struct Waiting {
+pub(crate) struct PendingRecord {
     pub(crate) record: Record,
     pub(crate) tx: oneshot::Sender<Stored>,
 }
 
 /// What became of a record that was handed to the leader.
-enum Handed {
+enum Forwarded {
     /// The leader knows.
     Settled(Stored),
     /// It didn't take it: it doesn't lead, or can't be reached.
-    NotTaken,
+    NotAccepted,
     /// Nobody can say.
     Unknown,
 }
 
 /// The connection to the leader.
 #[derive(Default)]
-pub(crate) struct Leader {
+pub(crate) struct LeaderClient {
     client: RefCell<Option<Client>>,
 }
 
-impl Leader {
+impl LeaderClient {
     fn client(&self, addr: SocketAddr) -> Client {
         let mut client = self.client.borrow_mut();
         match &*client {
-            Some(known) if known.addr() == addr => known.clone(),
-            _ => client.insert(Client::new(addr, KEPT)).clone(),
+            Some(open) if open.addr() == addr => open.clone(),
+            _ => client.insert(Client::new(addr, MAX_IDLE_CONNECTIONS)).clone(),
         }
     }
 
     /// Hands a record to the leader at `addr`.
-    async fn store(&self, addr: SocketAddr, record: &Record) -> Handed {
+    async fn forward(&self, addr: SocketAddr, record: &Record) -> Forwarded {
         let body = Bytes::from(record.to_bytes());
-        match self.client(addr).call(Method::POST, PATH, &[], body, LIMIT).await {
-            Ok(answer) if answer.status == status::STORED => Handed::Settled(Stored::Yes),
-            Ok(answer) if answer.status == status::REJECTED => Handed::Settled(Stored::No),
-            Ok(answer) if answer.status == status::UNKNOWN => Handed::Unknown,
-            Ok(_) | Err(CallError::NotSent | CallError::Refused) => Handed::NotTaken,
-            Err(CallError::Lost) => Handed::Unknown,
+        match self.client(addr).call(Method::POST, RECORDS_PATH, &[], body, FORWARD_TIMEOUT).await {
+            Ok(answer) if answer.status == status::STORED => Forwarded::Settled(Stored::Yes),
+            Ok(answer) if answer.status == status::REJECTED => Forwarded::Settled(Stored::No),
+            Ok(answer) if answer.status == status::UNKNOWN => Forwarded::Unknown,
+            Ok(_) | Err(CallError::NotSent | CallError::Refused) => Forwarded::NotAccepted,
+            Err(CallError::Lost) => Forwarded::Unknown,
         }
     }
 }
 
 /// Where the state is read, as with the other daemons, so that the operator's command finds it.
-const STATE: &str = "/state";
+const STATE_PATH: &str = "/state";
 
 /// Where metrics are read.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
 /// Answers a follower, or whoever reads the metrics.
 pub(crate) async fn answer(node: Rc<Node>, req: Request) -> Response {
-    if req.method == Method::GET && req.path == METRICS {
+    if req.method == Method::GET && req.path == METRICS_PATH {
         let body = Bytes::from(node.metrics.render());
         let content_type = METRICS_CONTENT_TYPE;
         return Response { body, content_type, ..Response::empty(status::STORED) };
     }
-    if req.method == Method::GET && req.path == STATE {
+    if req.method == Method::GET && req.path == STATE_PATH {
         let body = Bytes::from(node.dump(node.clock().now()));
         return Response { body, ..Response::empty(status::STORED) };
     }
     if req.path == relays::PATH {
-        return node.relays.answer(req.upgrade);
+        return node.relays.answer_offer(req.upgrade);
     }
-    let record = req.body.filter(|_| req.path == PATH).and_then(|body| Record::from_bytes(&body));
+    let record =
+        req.body.filter(|_| req.path == RECORDS_PATH).and_then(|body| Record::from_bytes(&body));
     let Some(record) = record else { return Response::empty(status::REJECTED) };
-    if !node.may_lead() {
+    if !node.has_authority() {
         return Response::empty(status::NOT_LEADER);
     }
     Response::empty(match node.store_as_leader(record).await {
@@ -117,19 +118,19 @@
 impl Node {
     /// Gets a client's record stored, by the leader if that works, else by an append of our own.
     pub(crate) async fn store_record(self: &Rc<Self>, record: Record) -> Stored {
-        let other = self.core().other_leader();
-        let handed = if self.may_lead() {
-            Handed::Settled(self.store_as_leader(record.clone()).await)
-        } else if let Some(addr) = other {
-            self.hand_over(addr, &record).await
+        let leader_addr = self.core().other_leader();
+        let forwarded = if self.has_authority() {
+            Forwarded::Settled(self.store_as_leader(record.clone()).await)
+        } else if let Some(addr) = leader_addr {
+            self.forward(addr, &record).await
         } else {
-            Handed::NotTaken
+            Forwarded::NotAccepted
         };
-        match handed {
+        match forwarded {
             // A leader that is alive and can't get it stored says so; the store needs no further append.
-            Handed::Settled(stored @ (Stored::Yes | Stored::No)) => stored,
-            Handed::NotTaken => self.appender.append(record).await,
-            Handed::Settled(Stored::Unknown) | Handed::Unknown => {
+            Forwarded::Settled(stored @ (Stored::Yes | Stored::No)) => stored,
+            Forwarded::NotAccepted => self.appender.append(record).await,
+            Forwarded::Settled(Stored::Unknown) | Forwarded::Unknown => {
                 match self.appender.append(record).await {
                     Stored::Yes => Stored::Yes,
                     // The leader may have stored it after all.
@@ -139,21 +140,21 @@
         }
     }
 
-    async fn hand_over(&self, addr: SocketAddr, record: &Record) -> Handed {
+    async fn forward(&self, addr: SocketAddr, record: &Record) -> Forwarded {
         tokio::select! {
-            handed = self.leader.store(addr, record) => handed,
-            () = self.reads.clients_records(std::slice::from_ref(record)) => Handed::Settled(Stored::Yes),
-            () = self.reads.other_leader(addr) => Handed::Unknown,
+            forwarded = self.leader.forward(addr, record) => forwarded,
+            () = self.watch.wait_for_records(std::slice::from_ref(record)) => Forwarded::Settled(Stored::Yes),
+            () = self.watch.wait_for_other_leader(addr) => Forwarded::Unknown,
         }
     }
 
     /// Adds a record to the leader's next append.
     async fn store_as_leader(self: &Rc<Self>, record: Record) -> Stored {
         let (tx, rx) = oneshot::channel();
-        if !self.add_waiting(Waiting { record, tx }) {
+        if !self.add_pending_record(PendingRecord { record, tx }) {
             return Stored::No;
         }
-        match timeout(STORE_LIMIT, rx).await {
+        match timeout(STORE_TIMEOUT, rx).await {
             Ok(Ok(stored)) => stored,
             Ok(Err(_)) | Err(_) => Stored::Unknown,
         }
--- a/crates/runtime/src/relays/leader.rs
+++ b/crates/runtime/src/relays/leader.rs
@@ -1,7 +1,7 @@
 //! The leader's side: which calls go by way of which relay.
 
 use {
-    super::{FRAME_GAP, PROTOCOL, SILENT_AFTER, frames},
+    super::{FRAME_GAP, PROTOCOL, UNRESPONSIVE_AFTER, frames},
     crate::{
         clock::Clock,
         core::Core,
@@ -34,22 +34,22 @@
 
 /// A call that reaches its relay later than this after it was handed over isn't carried out: what it starts may
 /// have been cancelled since.
-const CARRIED_WITHIN: Duration = Duration::from_millis(400);
+const CALL_VALIDITY: Duration = Duration::from_millis(400);
 
 /// How long the answer to a call may take beyond the call's own wait. A relay gives a call up after 0.6 s.
-const ANSWER_LIMIT: Duration = Duration::from_millis(900);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// How long the first frame of a VM that offers itself may take.
-const HELLO_LIMIT: Duration = Duration::from_millis(500);
+const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Offers that are kept beyond those in use, to take the place of one that is lost.
-const SPARES: usize = 2;
+const MAX_SPARES: usize = 2;
 
 /// How often a call that waits for the first offers looks for its relay.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
+const ROUTE_RETRY: Duration = Duration::from_millis(25);
 
 /// How often workers that are gone are forgotten.
-const SWEEP_EVERY: Duration = Duration::from_secs(2);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The answer to an offer that isn't wanted.
 mod status {
@@ -59,24 +59,24 @@
 
 /// Why a relay's connection ended.
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum SessionEnd {
     /// It closed, or broke.
     Closed,
     /// Nothing was heard for too long.
-    Silent,
+    Unresponsive,
     /// It sent what can't be read.
     Unreadable(CodecError),
     /// This process gave it up.
     GivenUp,
 }
 
-impl fmt::Display for End {
+impl fmt::Display for SessionEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::Closed => write!(f, "closed"),
-            End::Silent => write!(f, "silent"),
-            End::Unreadable(error) => write!(f, "unreadable: {error}"),
-            End::GivenUp => write!(f, "given up"),
+            SessionEnd::Closed => write!(f, "closed"),
+            SessionEnd::Unresponsive => write!(f, "silent"),
+            SessionEnd::Unreadable(error) => write!(f, "unreadable: {error}"),
+            SessionEnd::GivenUp => write!(f, "given up"),
         }
     }
 }
@@ -88,27 +88,27 @@
     data_centre: CompactString,
     codec: RefCell<LeaderCodec>,
     /// Since when the first call waits for the next frame.
-    waits_since: Cell<Time>,
+    first_call_at: Cell<Time>,
     /// The relay's clock in milliseconds, and when it was read.
-    clock: Cell<(u64, Time)>,
+    relay_clock: Cell<(u64, Time)>,
     pending: RefCell<HashMap<CallNo, oneshot::Sender<Answer>>>,
     used: Cell<bool>,
     wake: Notify,
-    given_up: Notify,
+    closing: Notify,
 }
 
 impl Session {
     /// The end of the time in which calls of the next frame may be carried out, on the relay's clock.
     fn until_ms(&self) -> u64 {
-        let (clock_ms, read) = self.clock.get();
-        let span = self.waits_since.get().since(read) + CARRIED_WITHIN;
+        let (clock_ms, read) = self.relay_clock.get();
+        let span = self.first_call_at.get().since(read) + CALL_VALIDITY;
         clock_ms.saturating_add(u64::try_from(span.as_millis()).unwrap_or(u64::MAX))
     }
 
     fn add(&self, now: Time, worker: &WorkerId, addr: SocketAddr, call: Call) -> CallNo {
         let mut codec = self.codec.borrow_mut();
         if !codec.has_calls() {
-            self.waits_since.set(now);
+            self.first_call_at.set(now);
         }
         let number = codec.add(worker, addr, call);
         self.wake.notify_one();
@@ -130,13 +130,13 @@
     assignment: Assignment,
     /// All that have offered themselves, whether they are used or not.
     sessions: BTreeMap<RelayNo, Rc<Session>>,
-    next: u32,
+    next_number: u32,
 }
 
 impl Term {
     /// Uses as many of those that have offered themselves as are wanted.
-    fn use_wanted(&mut self, now: Time, wanted: usize) -> bool {
-        let mut any = false;
+    fn activate_wanted(&mut self, now: Time, wanted: usize) -> bool {
+        let mut added = false;
         for session in self.sessions.values().filter(|session| !session.used.get()) {
             if self.assignment.relays() >= wanted {
                 break;
@@ -146,9 +146,9 @@
             session.wake.notify_one();
             self.assignment.add_relay(now, session.number, session.data_centre.clone());
             log::info!(relay:% = session.name, used = self.assignment.relays(), wanted; "relay_used");
-            any = true;
+            added = true;
         }
-        any
+        added
     }
 }
 
@@ -158,13 +158,13 @@
     core: Rc<RefCell<Core>>,
     term: RefCell<Option<Term>>,
     /// A relay came into use.
-    offered: Notify,
+    relay_added: Notify,
     clock: Clock,
 }
 
 impl Relays {
     pub(crate) fn new(direct: Rc<dyn Workers>, core: Rc<RefCell<Core>>, clock: Clock) -> Relays {
-        Relays { direct, core, term: RefCell::default(), offered: Notify::new(), clock }
+        Relays { direct, core, term: RefCell::default(), relay_added: Notify::new(), clock }
     }
 
     /// The workers, called directly.
@@ -173,19 +173,19 @@
     }
 
     /// This process leads from now on.
-    pub(crate) fn begin(self: &Rc<Self>, epoch: Epoch) {
-        self.end();
+    pub(crate) fn begin_term(self: &Rc<Self>, epoch: Epoch) {
+        self.end_term();
         let assignment = Assignment::new(self.clock.now());
-        let term = Term { epoch, assignment, sessions: BTreeMap::new(), next: 0 };
+        let term = Term { epoch, assignment, sessions: BTreeMap::new(), next_number: 0 };
         *self.term.borrow_mut() = Some(term);
-        spawn_local(Rc::clone(self).sweep_on(epoch));
+        spawn_local(Rc::clone(self).sweep_loop(epoch));
     }
 
     /// It leads no more: nothing is carried for it.
-    pub(crate) fn end(&self) {
+    pub(crate) fn end_term(&self) {
         let Some(term) = self.term.borrow_mut().take() else { return };
         for session in term.sessions.values() {
-            session.given_up.notify_one();
+            session.closing.notify_one();
             session.pending.borrow_mut().clear();
         }
     }
@@ -200,12 +200,12 @@
         let term = self.term.borrow();
         let Some(term) = &*term else { return Vec::new() };
         let used = term.sessions.values().filter(|session| session.used.get());
-        let row = |session: &Rc<Session>| UsedRelay {
+        let to_row = |session: &Rc<Session>| UsedRelay {
             name: session.name.clone(),
             data_centre: session.data_centre.clone(),
             workers: term.assignment.worker_count(session.number),
         };
-        used.map(row).collect()
+        used.map(to_row).collect()
     }
 
     fn wanted(&self) -> usize {
@@ -213,27 +213,27 @@
     }
 
     /// Answers a VM that offers itself.
-    pub(crate) fn answer(self: &Rc<Self>, upgrading: Option<Upgrading>) -> Response {
+    pub(crate) fn answer_offer(self: &Rc<Self>, upgrading: Option<Upgrading>) -> Response {
         let wanted = self.wanted();
         let term = self.term.borrow();
         let Some(term) = &*term else { return Response::empty(status::NOT_LEADER) };
-        let spares = if wanted > 0 { SPARES } else { 0 };
+        let spares = if wanted > 0 { MAX_SPARES } else { 0 };
         let Some(upgrading) = upgrading.filter(|_| term.sessions.len() < wanted + spares) else {
             return Response::empty(status::NOT_WANTED);
         };
-        spawn_local(Rc::clone(self).serve(term.epoch, upgrading));
+        spawn_local(Rc::clone(self).run_session(term.epoch, upgrading));
         Response::switching(PROTOCOL)
     }
 
-    async fn serve(self: Rc<Self>, epoch: Epoch, upgrading: Upgrading) {
+    async fn run_session(self: Rc<Self>, epoch: Epoch, upgrading: Upgrading) {
         let Ok(stream) = upgrading.complete().await else { return };
         let mut frames = frames(stream);
-        let Ok(Some(Ok(frame))) = timeout(HELLO_LIMIT, frames.next()).await else { return };
+        let Ok(Some(Ok(frame))) = timeout(HELLO_TIMEOUT, frames.next()).await else { return };
         let Ok(hello) = Hello::from_frame(&frame) else { return };
         let Some(session) = self.register(epoch, hello) else { return };
         let end = tokio::select! {
             end = self.exchange(&session, frames, epoch) => end,
-            () = session.given_up.notified() => End::GivenUp,
+            () = session.closing.notified() => SessionEnd::GivenUp,
         };
         self.close(epoch, &session, end);
     }
@@ -243,28 +243,28 @@
         let wanted = self.wanted();
         let mut term = self.term.borrow_mut();
         let term = term.as_mut().filter(|term| term.epoch == epoch)?;
-        let number = RelayNo(term.next);
-        term.next += 1;
+        let number = RelayNo(term.next_number);
+        term.next_number += 1;
         let session = Rc::new(Session {
             number,
             name: hello.name,
             data_centre: hello.data_centre,
             codec: RefCell::default(),
-            waits_since: Cell::new(now),
-            clock: Cell::new((hello.clock_ms, now)),
+            first_call_at: Cell::new(now),
+            relay_clock: Cell::new((hello.clock_ms, now)),
             pending: RefCell::default(),
             used: Cell::new(false),
             wake: Notify::new(),
-            given_up: Notify::new(),
+            closing: Notify::new(),
         });
         term.sessions.insert(number, Rc::clone(&session));
-        if term.use_wanted(now, wanted) {
-            self.offered.notify_waiters();
+        if term.activate_wanted(now, wanted) {
+            self.relay_added.notify_waiters();
         }
         Some(session)
     }
 
-    async fn exchange(&self, session: &Session, frames: super::Frames, epoch: Epoch) -> End {
+    async fn exchange(&self, session: &Session, frames: super::Frames, epoch: Epoch) -> SessionEnd {
         let (mut sink, mut source) = frames.split();
         let write = async {
             loop {
@@ -272,27 +272,27 @@
                 let until_ms = session.until_ms();
                 let frame = session.codec.borrow_mut().next_frame(epoch, until_ms);
                 if sink.send(Bytes::from(frame)).await.is_err() {
-                    return End::Closed;
+                    return SessionEnd::Closed;
                 }
                 sleep(FRAME_GAP).await;
             }
         };
         let read = async {
             // One that isn't used says nothing.
-            let mut used_since = None;
+            let mut last_frame = None;
             loop {
-                let frame = match timeout(SILENT_AFTER, source.next()).await {
+                let frame = match timeout(UNRESPONSIVE_AFTER, source.next()).await {
                     Ok(Some(Ok(frame))) => frame,
-                    Ok(_) => return End::Closed,
-                    Err(_) if used_since.is_some() => return End::Silent,
+                    Ok(_) => return SessionEnd::Closed,
+                    Err(_) if last_frame.is_some() => return SessionEnd::Unresponsive,
                     Err(_) => {
-                        used_since = session.used.get().then(|| self.clock.now());
+                        last_frame = session.used.get().then(|| self.clock.now());
                         continue;
                     }
                 };
-                used_since = Some(self.clock.now());
-                if let Err(error) = self.take_in(session, &frame) {
-                    return End::Unreadable(error);
+                last_frame = Some(self.clock.now());
+                if let Err(error) = self.receive_answers(session, &frame) {
+                    return SessionEnd::Unreadable(error);
                 }
             }
         };
@@ -302,9 +302,9 @@
         }
     }
 
-    fn take_in(&self, session: &Session, frame: &[u8]) -> Result<(), CodecError> {
+    fn receive_answers(&self, session: &Session, frame: &[u8]) -> Result<(), CodecError> {
         let (clock_ms, answers) = session.codec.borrow_mut().read(frame)?;
-        session.clock.set((clock_ms, self.clock.now()));
+        session.relay_clock.set((clock_ms, self.clock.now()));
         let mut pending = session.pending.borrow_mut();
         for (number, answer) in answers {
             if let Some(tx) = pending.remove(&number) {
@@ -315,7 +315,7 @@
         Ok(())
     }
 
-    fn close(&self, epoch: Epoch, session: &Session, end: End) {
+    fn close(&self, epoch: Epoch, session: &Session, end: SessionEnd) {
         log::info!(relay:% = session.name, end:% = end; "relay_lost");
         session.pending.borrow_mut().clear();
         let now = self.clock.now();
@@ -324,45 +324,51 @@
         let Some(term) = term.as_mut().filter(|term| term.epoch == epoch) else { return };
         term.sessions.remove(&session.number);
         term.assignment.remove_relay(session.number);
-        term.use_wanted(now, wanted);
+        term.activate_wanted(now, wanted);
     }
 
-    async fn sweep_on(self: Rc<Self>, epoch: Epoch) {
+    async fn sweep_loop(self: Rc<Self>, epoch: Epoch) {
         loop {
-            sleep(SWEEP_EVERY).await;
+            sleep(SWEEP_INTERVAL).await;
             let wanted = self.wanted();
             let core = self.core.borrow();
             let mut term = self.term.borrow_mut();
             let Some(term) = term.as_mut().filter(|term| term.epoch == epoch) else { return };
             term.assignment.retain_workers(|id| core.directory.contains_key(id));
-            term.use_wanted(self.clock.now(), wanted);
+            term.activate_wanted(self.clock.now(), wanted);
         }
     }
 
     /// The relay for a worker; none if it is called directly.
     async fn relay_of(&self, worker: &WorkerId) -> Option<Rc<Session>> {
         loop {
-            let offered = self.offered.notified();
+            let relay_added = self.relay_added.notified();
             {
                 let core = self.core.borrow();
                 let data_centre = core.directory.get(worker).map(|info| info.data_centre.clone());
                 let mut term = self.term.borrow_mut();
                 let term = term.as_mut()?;
                 let now = self.clock.now();
-                let (data_centre, known) = (data_centre.unwrap_or_default(), core.directory.len());
-                match term.assignment.route(now, worker, &data_centre, known) {
+                let (data_centre, worker_total) =
+                    (data_centre.unwrap_or_default(), core.directory.len());
+                match term.assignment.route(now, worker, &data_centre, worker_total) {
                     Route::Direct => return None,
                     Route::Via(number) => return term.sessions.get(&number).cloned(),
                     Route::Wait => {}
                 }
             }
             // Either way the route is asked for again.
-            let _ = timeout(LOOK_AGAIN, offered).await;
+            let _ = timeout(ROUTE_RETRY, relay_added).await;
         }
     }
 
     /// Has a relay make the call; the call back if none carries the worker.
-    async fn carry(&self, worker: &WorkerId, addr: SocketAddr, call: Call) -> Result<Answer, Call> {
+    async fn relay_call(
+        &self,
+        worker: &WorkerId,
+        addr: SocketAddr,
+        call: Call,
+    ) -> Result<Answer, Call> {
         let session = self.relay_of(worker).await;
         // The process may have been paused meanwhile.
         if self.core.borrow().leadership.authority(self.clock.now()).is_none() {
@@ -380,7 +386,7 @@
         let (tx, rx) = oneshot::channel();
         let number = session.add(self.clock.now(), worker, addr, call);
         session.pending.borrow_mut().insert(number, tx);
-        let answer = match timeout(own_wait + ANSWER_LIMIT, rx).await {
+        let answer = match timeout(own_wait + ANSWER_TIMEOUT, rx).await {
             Ok(Ok(answer)) => answer,
             // The relay is lost; that says nothing of the worker.
             Ok(Err(_)) => return Ok(unanswered),
@@ -389,13 +395,13 @@
                 unanswered
             }
         };
-        let loss = self.term.borrow_mut().as_mut().and_then(|term| {
+        let removal = self.term.borrow_mut().as_mut().and_then(|term| {
             let now = self.clock.now();
             term.assignment.record_answer(now, session.number, worker, answer.is_from_worker())
         });
-        if let Some(loss) = loss {
-            log::warn!(relay:% = session.name, why:? = loss; "relay_given_up");
-            session.given_up.notify_one();
+        if let Some(removal) = removal {
+            log::warn!(relay:% = session.name, why:? = removal; "relay_given_up");
+            session.closing.notify_one();
         }
         Ok(answer)
     }
@@ -405,8 +411,8 @@
     fn poll(&self, call: PollCall) -> LocalBoxFuture<'_, Decoded<PollResult>> {
         Box::pin(async move {
             let PollCall { recorded, until_ms, wait_ms, .. } = call;
-            let carried = Call::Poll { recorded, until_ms, wait_ms };
-            match self.carry(&call.worker, call.addr, carried).await {
+            let relayed = Call::Poll { recorded, until_ms, wait_ms };
+            match self.relay_call(&call.worker, call.addr, relayed).await {
                 Ok(Answer::Poll(result)) => result.into(),
                 Ok(_) => PollResult::Failed.into(),
                 Err(_) => self.direct.poll(call).await,
@@ -417,7 +423,7 @@
     fn start<'a>(&'a self, call: StartCall<'a>) -> LocalBoxFuture<'a, StartResult> {
         Box::pin(async move {
             let StartCall { task, run, until_ms, .. } = call;
-            let carried = Call::Start {
+            let relayed = Call::Start {
                 task,
                 run,
                 payload: call.payload.into(),
@@ -425,7 +431,7 @@
                 checkpoint: call.checkpoint.into(),
                 ticket: call.ticket.into(),
             };
-            match self.carry(call.worker, call.addr, carried).await {
+            match self.relay_call(call.worker, call.addr, relayed).await {
                 Ok(Answer::Start(result)) => result,
                 Ok(_) => StartResult::Unknown,
                 Err(_) => self.direct.start(call).await,
@@ -435,8 +441,8 @@
 
     fn stop(&self, call: StopCall) -> LocalBoxFuture<'_, StopResult> {
         Box::pin(async move {
-            let carried = Call::Stop { task: call.task, run: call.run };
-            match self.carry(&call.worker, call.addr, carried).await {
+            let relayed = Call::Stop { task: call.task, run: call.run };
+            match self.relay_call(&call.worker, call.addr, relayed).await {
                 Ok(Answer::Stop(result)) => result,
                 Ok(_) => StopResult::Unknown,
                 Err(_) => self.direct.stop(call).await,
@@ -447,8 +453,8 @@
     fn pace(&self, call: PaceCall) -> LocalBoxFuture<'_, PaceResult> {
         Box::pin(async move {
             let PaceCall { task, run, percent, .. } = call;
-            let carried = Call::Pace { task, run, percent };
-            match self.carry(&call.worker, call.addr, carried).await {
+            let relayed = Call::Pace { task, run, percent };
+            match self.relay_call(&call.worker, call.addr, relayed).await {
                 Ok(Answer::Pace(result)) => result,
                 Ok(_) => PaceResult::Unknown,
                 Err(_) => self.direct.pace(call).await,
--- a/crates/runtime/src/relays/mod.rs
+++ b/crates/runtime/src/relays/mod.rs
@@ -33,10 +33,10 @@
 const FRAME_GAP: Duration = Duration::from_millis(4);
 
 /// A relay that is in use says at least this often that it lives.
-const SIGN_EVERY: Duration = Duration::from_millis(150);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// One that says nothing for so long is given up: it is frozen, or cut off.
-const SILENT_AFTER: Duration = Duration::from_millis(500);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(500);
 
 /// A frame at a time, each after its length.
 type Frames = Framed<Duplex, LengthDelimitedCodec>;
--- a/crates/runtime/src/relays/offer.rs
+++ b/crates/runtime/src/relays/offer.rs
@@ -1,7 +1,7 @@
 //! A follower's side: it offers itself to the leader and carries its calls.
 
 use {
-    super::{FRAME_GAP, PATH, PROTOCOL, SIGN_EVERY, frames},
+    super::{FRAME_GAP, HEARTBEAT_INTERVAL, PATH, PROTOCOL, frames},
     crate::{
         core::Core,
         node::Node,
@@ -23,17 +23,17 @@
 
 /// How long the leader's answer to an offer may take. One that makes all calls by itself is slow to answer, and
 /// needs the offer most.
-const OFFER_LIMIT: Duration = Duration::from_secs(2);
+const OFFER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The pause before another offer, after one that wasn't wanted.
-const OFFER_AGAIN: Duration = Duration::from_secs(4);
+const DECLINED_PAUSE: Duration = Duration::from_secs(4);
 
 /// The same after a connection that ended, or where nobody leads yet. Many may have ended at once, and the leader would make all calls
 /// itself meanwhile.
-const CONNECT_AGAIN: Duration = Duration::from_millis(200);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
 /// A VM that is weak offers itself so much later than the others, so that those are used first.
-const WEAK_LATER: Duration = Duration::from_millis(100);
+const LOW_CPU_DELAY: Duration = Duration::from_millis(100);
 
 /// What is known of the connection to the leader.
 struct Link {
@@ -47,45 +47,46 @@
 /// Offers this process to whoever leads, again and again, until it ends.
 pub(crate) async fn offer(node: Rc<Node>) {
     loop {
-        let leader = node.reads.find(Core::other_term).await;
-        if node.is_weak() {
-            sleep(WEAK_LATER).await;
+        let leader = node.watch.wait_for(Core::other_term).await;
+        if node.has_low_cpu() {
+            sleep(LOW_CPU_DELAY).await;
         }
         if node.core().stopping {
             return;
         }
-        let carried = async {
-            let pause = carry_for(&node, leader.addr).await;
+        let relaying = async {
+            let pause = relay_for(&node, leader.addr).await;
             sleep(pause).await;
         };
         // Another term is offered to at once, also one at the same address: its process has been started anew.
-        let other = node.reads.find(|core| (core.other_term() != Some(leader)).then_some(()));
+        let new_term =
+            node.watch.wait_for(|core| (core.other_term() != Some(leader)).then_some(()));
         tokio::select! {
-            () = carried => {}
-            () = other => {}
+            () = relaying => {}
+            () = new_term => {}
         }
     }
 }
 
 /// Carries calls for a leader until the connection ends; returns the pause before another one.
-async fn carry_for(node: &Rc<Node>, leader: SocketAddr) -> Duration {
-    let stream = match upgrade(leader, PATH, PROTOCOL, OFFER_LIMIT).await {
+async fn relay_for(node: &Rc<Node>, leader: SocketAddr) -> Duration {
+    let stream = match upgrade(leader, PATH, PROTOCOL, OFFER_TIMEOUT).await {
         Ok(Upgrade::Agreed(stream)) => *stream,
         Ok(Upgrade::Declined(status)) => {
             log::debug!(leader:%, status = status.as_u16(); "offer_declined");
-            let leads_no_more = status == StatusCode::CONFLICT;
-            return if leads_no_more { CONNECT_AGAIN } else { OFFER_AGAIN };
+            let not_leader = status == StatusCode::CONFLICT;
+            return if not_leader { RECONNECT_PAUSE } else { DECLINED_PAUSE };
         }
         Err(error) => {
             log::debug!(leader:%, error:%; "offer_failed");
-            return CONNECT_AGAIN;
+            return RECONNECT_PAUSE;
         }
     };
     let link =
         Rc::new(Link { codec: RefCell::default(), wake: Notify::new(), used: Notify::new() });
     exchange(node, &link, stream).await;
     log::info!(leader:%; "relaying_ended");
-    CONNECT_AGAIN
+    RECONNECT_PAUSE
 }
 
 async fn exchange(node: &Rc<Node>, link: &Rc<Link>, stream: Duplex) {
@@ -102,7 +103,7 @@
         link.used.notified().await;
         while !node.core().stopping {
             // With nothing to report, the frame is a sign of life.
-            let _ = timeout(SIGN_EVERY, link.wake.notified()).await;
+            let _ = timeout(HEARTBEAT_INTERVAL, link.wake.notified()).await;
             let frame = link.codec.borrow_mut().next_frame(clock_ms(node));
             if sink.send(Bytes::from(frame)).await.is_err() {
                 return;
@@ -125,11 +126,11 @@
             if late && !calls.is_empty() {
                 log::info!(calls = calls.len(); "calls_arrived_late");
             }
-            for carried in calls {
+            for relayed in calls {
                 if late {
-                    report(link, carried.number, carried.call.withheld_answer());
+                    report(link, relayed.number, relayed.call.withheld_answer());
                 } else {
-                    spawn_local(carry(Rc::clone(node), Rc::clone(link), carried));
+                    spawn_local(perform_call(Rc::clone(node), Rc::clone(link), relayed));
                 }
             }
         }
@@ -149,13 +150,13 @@
     link.wake.notify_one();
 }
 
-async fn carry(node: Rc<Node>, link: Rc<Link>, carried: RelayedCall) {
-    let RelayedCall { number, epoch, worker, addr, call } = carried;
+async fn perform_call(node: Rc<Node>, link: Rc<Link>, relayed: RelayedCall) {
+    let RelayedCall { number, epoch, worker, addr, call } = relayed;
     let workers = node.relays.direct();
     let answer = match call {
         Call::Poll { recorded, until_ms, wait_ms } => {
             let call = PollCall { worker, addr, epoch, recorded, until_ms, wait_ms };
-            Answer::Poll(node.heed(workers.poll(call).await))
+            Answer::Poll(node.take_decoded(workers.poll(call).await))
         }
         Call::Start { task, run, payload, until_ms, checkpoint, ticket } => {
             let (worker, payload): (_, &CompactString) = (&worker, &payload);
--- a/crates/runtime/src/serve.rs
+++ b/crates/runtime/src/serve.rs
@@ -25,11 +25,11 @@
 
 /// How long a process that ends goes on serving: the balancer asks once a second and takes a node out
 /// after two misses.
-const DRAIN: Duration = Duration::from_millis(2_600);
+const DRAIN_TIME: Duration = Duration::from_millis(2_600);
 
 /// Then open connections have this long to finish their requests. Together with [`DRAIN`] it stays
 /// below the 6 s after which the platform kills the process.
-const FINISH: Duration = Duration::from_millis(2_400);
+const FINISH_TIMEOUT: Duration = Duration::from_millis(2_400);
 
 /// Limits of the clients' listener: an eighth of a VM's 4,100 descriptors is far more than the clients
 /// of one balancer use, and the buffers of so many connections stay below 10 MB. The platform's largest
@@ -48,41 +48,43 @@
 
 /// Serves until `stop` resolves, then ends gracefully. Must run within a local task set.
 pub async fn run(node: Rc<Node>, listeners: Listeners, stop: impl Future<Output = ()>) {
-    let (tx, rx) = watch::channel(false);
+    let (stop_tx, stop_rx) = watch::channel(false);
     match listeners.peers.local_addr() {
         Ok(addr) => node.listen_at(addr),
         // Followers append by themselves then.
         Err(error) => log::warn!(error:% = error; "peer_address_unknown"),
     }
     node.spawn();
-    let leader = Rc::clone(&node);
-    spawn_local(serve(listeners.peers, PEER_LIMITS, rx.clone(), move |req| {
-        peers::answer(Rc::clone(&leader), req)
+    let peer_node = Rc::clone(&node);
+    spawn_local(serve(listeners.peers, PEER_LIMITS, stop_rx.clone(), move |req| {
+        peers::answer(Rc::clone(&peer_node), req)
     }));
-    let ready = Rc::clone(&node);
-    spawn_local(serve(listeners.ready, READY_LIMITS, rx.clone(), move |req| {
-        answer_ready(Rc::clone(&ready), req)
+    let ready_node = Rc::clone(&node);
+    spawn_local(serve(listeners.ready, READY_LIMITS, stop_rx.clone(), move |req| {
+        answer_ready(Rc::clone(&ready_node), req)
     }));
-    let served = Rc::clone(&node);
-    let clients = spawn_local(serve(listeners.clients, CLIENT_LIMITS, rx, move |req| {
-        clients::answer(Rc::clone(&served), req)
+    let client_node = Rc::clone(&node);
+    let clients = spawn_local(serve(listeners.clients, CLIENT_LIMITS, stop_rx, move |req| {
+        clients::answer(Rc::clone(&client_node), req)
     }));
     stop.await;
     log::info!(leads = node.leads(); "stopping");
     node.retire().await;
-    sleep(DRAIN).await;
-    end(&tx, clients).await;
+    sleep(DRAIN_TIME).await;
+    shut_down(&stop_tx, clients).await;
     log::info!("stopped");
 }
 
-async fn end(tx: &watch::Sender<bool>, clients: JoinHandle<()>) {
+async fn shut_down(stop_tx: &watch::Sender<bool>, clients: JoinHandle<()>) {
     // Without a listener left there is nobody to be told.
-    let _ = tx.send(true);
-    if timeout(FINISH, clients).await.is_err() {
+    let _ = stop_tx.send(true);
+    if timeout(FINISH_TIMEOUT, clients).await.is_err() {
         log::warn!("connections_cut_off");
     }
     // The last answers are on their way in the connections' own tasks.
-    timeout(FINISH, tx.closed()).await.unwrap_or_else(|_| log::warn!("requests_cut_off"));
+    timeout(FINISH_TIMEOUT, stop_tx.closed())
+        .await
+        .unwrap_or_else(|_| log::warn!("requests_cut_off"));
 }
 
 async fn answer_ready(node: Rc<Node>, _: Request) -> Response {
--- a/crates/runtime/src/reads.rs
+++ b/crates/runtime/src/watch.rs
@@ -10,28 +10,28 @@
 
 /// The records as far as they were read. An append whose answer is lost, or another process's taking over, is
 /// learned of here.
-pub(crate) struct Reads {
+pub(crate) struct RecordWatch {
     core: Rc<RefCell<Core>>,
     answered: Notify,
 }
 
-impl Reads {
+impl RecordWatch {
     /// Nothing has been read yet.
-    pub(crate) fn new(core: Rc<RefCell<Core>>) -> Reads {
-        Reads { core, answered: Notify::new() }
+    pub(crate) fn new(core: Rc<RefCell<Core>>) -> RecordWatch {
+        RecordWatch { core, answered: Notify::new() }
     }
 
     /// A read of the records was answered, and what it returned was taken in.
-    pub(crate) fn announce(&self) {
+    pub(crate) fn notify_read(&self) {
         self.answered.notify_waiters();
     }
 
     /// Waits until `look` finds what it looks for: at once, or after one of the next reads.
-    pub(crate) async fn find<T>(&self, look: impl Fn(&Core) -> Option<T>) -> T {
+    pub(crate) async fn wait_for<T>(&self, query: impl Fn(&Core) -> Option<T>) -> T {
         loop {
             // Asked for first: a read that is answered while `look` runs isn't missed.
             let answered = self.answered.notified();
-            let found = look(&self.core.borrow());
+            let found = query(&self.core.borrow());
             if let Some(found) = found {
                 return found;
             }
@@ -40,8 +40,8 @@
     }
 
     /// Waits until an append of this process's term is among what was read.
-    pub(crate) async fn own_append(&self, epoch: Epoch, seq: Seq) {
-        self.find(|core| {
+    pub(crate) async fn wait_for_own_append(&self, epoch: Epoch, seq: Seq) {
+        self.wait_for(|core| {
             let newest = core.ledger.leader()?;
             core.leadership.has_read(newest, epoch, seq).then_some(())
         })
@@ -49,24 +49,26 @@
     }
 
     /// Waits for `patience`, and until a read that was answered after the call has reached the records' end.
-    pub(crate) async fn go_on(&self, patience: Duration) {
-        let begun = Clock.now();
-        sleep(patience).await;
-        self.find(|core| {
-            let fresh = core.work.fresh.is_some_and(|fresh| fresh >= begun);
-            (core.work.at_end && fresh).then_some(())
+    pub(crate) async fn wait_for_read_after(&self, delay: Duration) {
+        let called_at = Clock.now();
+        sleep(delay).await;
+        self.wait_for(|core| {
+            let is_fresh = core.work_progress.answered_at.is_some_and(|at| at >= called_at);
+            (core.work_progress.at_end && is_fresh).then_some(())
         })
         .await;
     }
 
     /// Waits until clients' records are among what was read.
-    pub(crate) async fn clients_records(&self, records: &[Record]) {
-        self.find(|core| records.iter().all(|record| core.ledger.contains(record)).then_some(()))
-            .await;
+    pub(crate) async fn wait_for_records(&self, records: &[Record]) {
+        self.wait_for(|core| {
+            records.iter().all(|record| core.ledger.contains(record)).then_some(())
+        })
+        .await;
     }
 
     /// Waits until another process leads than the one that takes records at `addr`.
-    pub(crate) async fn other_leader(&self, addr: SocketAddr) {
-        self.find(|core| (core.other_leader() != Some(addr)).then_some(())).await;
+    pub(crate) async fn wait_for_other_leader(&self, addr: SocketAddr) {
+        self.wait_for(|core| (core.other_leader() != Some(addr)).then_some(())).await;
     }
 }
--- a/crates/runtime/tests/bad_entry_log.rs
+++ b/crates/runtime/tests/bad_entry_log.rs
@@ -13,7 +13,7 @@
 const NOW: Time = Time::from_secs(100);
 
 #[test]
-fn told_once() {
+fn logged_once() {
     let mut log = BadEntryLog::default();
     let line = LogAction::Log { untold: 0 };
     assert_eq!(log.record(NOW, &entry("a", 1)), line);
