--- a/crates/runtime/src/append.rs
+++ b/crates/runtime/src/append.rs
@@ -1,4 +1,4 @@
-//! Group commit of what clients submit: what arrives while an append is under way goes into the next.
+//! Group commit of clients' records: those that arrive during an append are included in the next one.
 
 use {
     crate::{
@@ -19,33 +19,31 @@
     },
 };
 
-/// What became of a client's record.
+/// Whether a client's record is stored.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Stored {
     /// It is in the store.
     Yes,
-    /// It is not, and never will be.
+    /// It isn't in the store and never will be.
     No,
-    /// Nobody can say.
+    /// It may be in the store.
     Unknown,
 }
 
-/// An append that is rejected is tried so often in all, within a tenth of a second: a store that is
-/// merely busy has drained some of its queue by then, and the client may find a better VM.
+/// Maximum number of tries of an append that the store rejects. Failing early lets the client try another VM.
 const MAX_REJECTED_TRIES: u32 = 2;
 
-/// The pause before the next try.
+/// Pause between tries.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// An append without an answer may have taken effect, so nothing true can be said of it but that; it is
-/// repeated, which does no harm, until this long after its first try. Clients wait for 3 s.
+/// How long an unanswered append is retried, after its first try. It may have taken effect, and retries are
+/// harmless. Clients wait for 3 s.
 const MAX_RETRY_TIME: Duration = Duration::from_millis(2_600);
 
-/// While an append has been without success for this long, what arrives is refused at once: it wasn't
-/// sent, and would only wait. A slow store takes half a second for an append.
+/// Age of an append after which new records are rejected at once instead of queued. A slow store takes 0.5 s.
 pub(crate) const STUCK_AFTER: Duration = Duration::from_millis(1_000);
 
-/// The most bytes of one append, below the store's bound of 2 MB.
+/// Maximum size of an append; the store's limit is 2 MB.
 const MAX_APPEND_BYTES: usize = 1024 * 1024;
 
 struct QueuedRecord {
@@ -60,12 +58,12 @@
     queue: RefCell<Vec<QueuedRecord>>,
     queued: Notify,
     clock: Clock,
-    /// Since when the append under way has had no success.
+    /// Start of the append in progress.
     append_started: Cell<Option<Time>>,
 }
 
 impl Appender {
-    /// Appends to `store`; `reads` tells of appends whose answer is lost.
+    /// An appender to `store`. `watch` detects appends whose answer was lost.
     pub(crate) fn new(store: Rc<dyn Store>, watch: Rc<RecordWatch>) -> Appender {
         Appender {
             store,
@@ -77,12 +75,12 @@
         }
     }
 
-    /// Whether appends don't get through.
+    /// Whether the append in progress is older than [`STUCK_AFTER`].
     pub(crate) fn is_stuck(&self) -> bool {
         self.append_started.get().is_some_and(|since| self.clock.now().since(since) >= STUCK_AFTER)
     }
 
-    /// Appends a record.
+    /// Appends a record and waits for the outcome.
     pub(crate) async fn append(&self, record: Record) -> Stored {
         if self.is_stuck() {
             return Stored::No;
@@ -90,11 +88,11 @@
         let (tx, rx) = oneshot::channel();
         self.queue.borrow_mut().push(QueuedRecord { record, tx });
         self.queued.notify_one();
-        // The appender only goes away with the process.
+        // The sender is dropped only when the process ends.
         rx.await.unwrap_or(Stored::Unknown)
     }
 
-    /// Appends for as long as the process runs.
+    /// Appends queued records in batches until the process ends.
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
             let batch = self.take_batch();
@@ -107,7 +105,7 @@
             let append = Append { records, fence: None };
             let stored = self.commit(&append).await;
             for tx in senders {
-                // A client that has left doesn't wait for the result.
+                // Fails if the client has disconnected.
                 let _ = tx.send(stored);
             }
         }
@@ -141,7 +139,7 @@
         let mut uncertain = false;
         let mut tries = 0;
         loop {
-            // An append whose answer is lost is found among what is read.
+            // An append whose answer was lost shows up in the reads.
             let result = tokio::select! {
                 result = self.store.append(append) => result,
                 () = self.watch.wait_for_records(&append.records) => AppendResult::Done,
@@ -165,10 +163,10 @@
         }
     }
 
-    /// What waits behind an append that doesn't get through was never sent.
+    /// Rejects the queued records; they haven't been sent.
     fn reject_queued(&self) {
         for queued in self.queue.borrow_mut().drain(..) {
-            // A client that has left doesn't wait for the result.
+            // Fails if the client has disconnected.
             let _ = queued.tx.send(Stored::No);
         }
     }
--- a/crates/runtime/src/bad_entries.rs
+++ b/crates/runtime/src/bad_entries.rs
@@ -1,7 +1,7 @@
-//! Logging of entries that can't be read.
+//! Rate-limited logging of unreadable entries.
 //!
-//! Another writer may leave any number of them, and a worker lists the same row in each of its answers. Each
-//! is told and counted once; a flood neither fills the log nor the memory.
+//! Other writers may leave any number of them, and a worker repeats the same row in each of its answers. Each
+//! entry is logged and counted once, and the use of log and memory is bounded.
 
 use {
     compact_str::CompactString,
@@ -14,35 +14,35 @@
     },
 };
 
-/// The most entries that are remembered as told, the newest ones, at some 150 bytes each. An older one is told
-/// again when it is met again.
+/// Maximum number of entries remembered as logged, about 150 bytes each. The oldest is evicted first, and is
+/// logged again if it occurs again.
 const MAX_REMEMBERED: usize = 2_048;
 
-/// The most lines in each [`LINES_EVERY`]; the entries beyond are counted, and their number goes with the next
-/// line.
+/// Maximum number of lines per [`LINES_WINDOW`]. Entries beyond it are counted, and the next line reports their
+/// number.
 const MAX_LINES: u32 = 20;
 
-/// The span over which lines are counted.
+/// The window over which lines are counted.
 const LINES_WINDOW: Duration = Duration::from_secs(10);
 
-/// The most bytes of a key or a detail that are kept.
+/// Maximum length of a stored key or detail.
 const MAX_TEXT_BYTES: usize = 120;
 
-/// An entry that can't be read.
+/// An unreadable entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BadEntry {
-    /// What kind of entry it is.
+    /// Its kind.
     pub kind: EntryKind,
-    /// Its key, as far as that can be read.
+    /// Its key, as far as it is readable.
     pub key: CompactString,
-    /// Its offset or number, so that a later one of the same key is told again; 0 if it has none.
+    /// Its offset or number, which distinguishes later entries of the same key; 0 if it has none.
     pub version: u64,
-    /// What is wrong with it.
+    /// Why it is unreadable.
     pub detail: CompactString,
 }
 
 impl BadEntry {
-    /// An entry that can't be read.
+    /// Creates an entry; a long key or detail is truncated.
     pub fn new(
         kind: EntryKind,
         key: impl Into<CompactString>,
@@ -62,17 +62,17 @@
     text
 }
 
-/// What was read, and what of it couldn't be.
+/// A decoded value, and the entries that were left out of it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Decoded<T> {
-    /// What was read.
+    /// The value, without the unreadable entries.
     pub value: T,
-    /// Entries that can't be read; the value does without them.
+    /// The unreadable entries.
     pub bad: Vec<BadEntry>,
 }
 
 impl<T> Decoded<T> {
-    /// The same entries with another value.
+    /// Maps the value and keeps the entries.
     pub fn map<U>(self, change: impl FnOnce(T) -> U) -> Decoded<U> {
         Decoded { value: change(self.value), bad: self.bad }
     }
@@ -84,33 +84,33 @@
     }
 }
 
-/// What is to be done about an entry that can't be read.
+/// How to report an unreadable entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LogAction {
-    /// Nothing: it was told before.
+    /// Neither log nor count it: it was reported before.
     Ignore,
-    /// It is counted, and there are too many for a line each.
+    /// Only count it: the limit of lines is reached.
     Count,
-    /// It is counted and gets a line.
+    /// Count and log it.
     Log {
-        /// How many got none since the last line.
+        /// Number of entries not logged since the last line.
         untold: u64,
     },
 }
 
-/// Remembers which entries were told.
+/// The entries that were reported, and the current rate of log lines.
 #[derive(Debug, Default)]
 pub struct BadEntryLog {
     logged: HashMap<(EntryKind, CompactString), u64>,
-    /// The same in the order in which they were first told.
+    /// The keys of `logged`, oldest first.
     insertion_order: VecDeque<(EntryKind, CompactString)>,
-    /// When the span of the last lines began, and how many there were.
+    /// Start of the current window, and the number of lines in it.
     window: Option<(Time, u32)>,
     suppressed: u64,
 }
 
 impl BadEntryLog {
-    /// An entry that can't be read was met.
+    /// Records an unreadable entry and returns how to report it.
     pub fn record(&mut self, now: Time, entry: &BadEntry) -> LogAction {
         let key = (entry.kind, entry.key.clone());
         match self.logged.insert(key.clone(), entry.version) {
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' requests.
+//! The HTTP interface for clients.
 
 use {
     crate::{append::Stored, node::Node},
@@ -11,19 +11,18 @@
     tokio::time::timeout,
 };
 
-/// When a client that was refused should come back: by then the process is up to date again, or the
-/// balancer sends the client elsewhere.
+/// `Retry-After` of responses with status 503. By then this process has caught up, or the load balancer uses
+/// another one.
 const RETRY_AFTER_SECS: u32 = 1;
 
-/// How long a request for a workflow that isn't known waits for the records to be read past its
-/// arrival. They are read several times a second; a client that has just been told of its acceptance
-/// by another process mustn't be told that its workflow doesn't exist.
+/// Maximum time that a request for an unknown workflow waits until the records are read past its arrival. Another
+/// process may just have accepted the workflow.
 const MAX_CATCH_UP: Duration = Duration::from_millis(900);
 
-/// Part of the client's own deadline that is used for catching up, in percent.
+/// Maximum share of the client's deadline for catching up, in percent.
 const CATCH_UP_PERCENT: u32 = 60;
 
-/// The answers' statuses.
+/// HTTP status codes.
 mod status {
     pub(super) const OK: u16 = 200;
     pub(super) const BAD_REQUEST: u16 = 400;
@@ -39,7 +38,7 @@
     Response { retry_after: Some(RETRY_AFTER_SECS), ..Response::empty(status::UNAVAILABLE) }
 }
 
-/// Answers a client.
+/// Answers a client's request.
 pub(crate) async fn answer(node: Rc<Node>, req: Request) -> Response {
     let arrived = node.clock().now();
     let response = answer_at(&node, arrived, &req).await;
@@ -118,9 +117,9 @@
             node.mark_accepted(id);
             Response::empty(status::OK)
         }
-        // It certainly never runs, so the client may be told so.
+        // The workflow will never run.
         Stored::No => unavailable(),
-        // It may run: the client asks again with the same id.
+        // The workflow may run; the client retries with the same id.
         Stored::Unknown => Response::empty(status::TIMEOUT),
     }
 }
@@ -151,12 +150,12 @@
     }
 }
 
-/// What is known of a workflow.
+/// The result of looking up a workflow.
 enum Lookup {
     State(WorkflowState),
-    /// There is none: the records are read past the request's arrival.
+    /// It doesn't exist: the records are read past the request's arrival.
     Absent,
-    /// The records can't be read far enough.
+    /// The records haven't been read past the request's arrival.
     Unknown,
 }
 
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one place where the clocks are read.
+//! The clocks; nothing else reads them.
 
 use {
     egretlb_types::Time,
@@ -6,11 +6,11 @@
     std::time::{SystemTime, UNIX_EPOCH},
 };
 
-/// The clock that leases, authority and deadlines are counted on.
+/// The clock for leases, leadership authority and deadlines.
 ///
-/// It is the boot-time clock: a VM may be suspended for seconds, which the monotonic clock of
-/// [`std::time::Instant`] doesn't count. A leader that slept would believe in a lease that others have
-/// long waited out, and a task would run twice.
+/// It reads the boot-time clock, which includes time in suspend. With the monotonic clock of
+/// [`std::time::Instant`], a leader resumed after a suspension would rely on an expired lease, and a task could
+/// run twice.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock;
 
@@ -23,7 +23,7 @@
         Time::from_micros(secs * 1_000_000 + micros)
     }
 
-    /// The time of day, in milliseconds since 1970. It may jump.
+    /// Wall-clock time in milliseconds since the Unix epoch; it may jump.
     pub fn wall_ms(self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/runtime/src/commands.rs
+++ b/crates/runtime/src/commands.rs
@@ -1,4 +1,4 @@
-//! Orders to workers, as the scheduler decides them.
+//! Execution of the scheduler's effects: commands to workers, and calls to other services.
 
 use {
     crate::{
@@ -20,21 +20,21 @@
     },
 };
 
-/// Orders under way at one worker, each on a connection of its own: one that gets no answer doesn't
-/// stop the others. More would open connections that are seldom used again.
+/// Maximum number of concurrent commands per worker, each on its own connection, so that an unanswered one doesn't
+/// block the others.
 const MAX_CONCURRENT_COMMANDS: usize = 2;
 
-/// The pause after the operator couldn't be told how far a wave is.
+/// Pause after a failed report of a wave's state.
 const WAVE_REPORT_RETRY: Duration = Duration::from_millis(200);
 
-/// Whose turn it is to send an order to a worker.
+/// Limits the concurrent commands per worker.
 #[derive(Debug, Default)]
 pub(crate) struct CommandSlots {
     by_addr: RefCell<HashMap<SocketAddr, Arc<Semaphore>>>,
 }
 
 impl CommandSlots {
-    /// Waits for a turn at `addr`, which ends when what is returned is dropped.
+    /// Waits for a free slot for the worker at `addr`; dropping the permit releases it.
     async fn acquire(&self, addr: SocketAddr) -> Option<OwnedSemaphorePermit> {
         let new = || Arc::new(Semaphore::new(MAX_CONCURRENT_COMMANDS));
         let semaphore = Arc::clone(self.by_addr.borrow_mut().entry(addr).or_insert_with(new));
@@ -44,7 +44,7 @@
 }
 
 impl Node {
-    /// Performs what the scheduler decided.
+    /// Performs an effect of the scheduler.
     pub(crate) fn perform(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Poll { worker, addr, epoch, recorded, until_ms, wait_ms } => {
@@ -84,8 +84,7 @@
         }
     }
 
-    /// Whether orders of this epoch may still be sent. A process may have been paused since they were
-    /// decided.
+    /// Whether commands of this epoch may still be sent. The process may have been paused since the decision.
     fn may_send(&self, epoch: Epoch) -> bool {
         self.core.borrow().leadership.authority(self.clock.now()) == Some(epoch)
     }
@@ -117,7 +116,7 @@
         });
     }
 
-    /// Whether a start that was decided may still be sent.
+    /// Whether a decided start may still be sent.
     fn may_start(&self, epoch: Epoch, worker: &WorkerId, task: TaskId, run: RunId) -> bool {
         let core = self.core.borrow();
         let now = self.clock.now();
--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -1,4 +1,4 @@
-//! The state of a node, between two events.
+//! The state of a node.
 
 use {
     crate::platform::{BadEntry, EntryKind, OperatorChange, StoredRecord},
@@ -14,32 +14,32 @@
     },
 };
 
-/// What a step of the node asks for.
+/// The effects of an event.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
     pub(crate) leadership: Vec<LeadershipEffect>,
     pub(crate) scheduler: Vec<Effect>,
-    /// Entries that can't be read.
+    /// Unreadable entries, to be logged.
     pub(crate) bad_entries: Vec<BadEntry>,
 }
 
-/// How far the records are read.
+/// Read progress of a topic.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReadProgress {
-    /// All keys were read once.
+    /// Whether all keys have been read once.
     pub(crate) loaded: bool,
-    /// The last read reached the partition's end.
+    /// Whether the last read reached the end of the partition.
     pub(crate) at_end: bool,
     /// When the last read was answered.
     pub(crate) answered_at: Option<Time>,
-    /// When the last read that reached the end was sent: what was recorded before is known.
+    /// Send time of the last read that reached the end. Everything appended before is known.
     pub(crate) complete_until: Option<Time>,
 }
 
-/// A term of another process.
+/// The term of another process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct OtherTerm {
-    /// Where it takes records and offers.
+    /// Its address for records and relay offers.
     pub(crate) addr: SocketAddr,
     pub(crate) epoch: Epoch,
 }
@@ -52,13 +52,13 @@
     pub(crate) leadership: Leadership,
     pub(crate) scheduler: Option<Scheduler>,
     pub(crate) directory: BTreeMap<WorkerId, WorkerInfo>,
-    /// Workers whose newest entry can't be read, the first of them.
+    /// Workers whose newest entry is unreadable, up to [`MAX_UNREADABLE_WORKERS`].
     unreadable_workers: BTreeSet<WorkerId>,
     pub(crate) routes: Option<RouteTable>,
-    /// Waves of upkeep, and when the operator's request was read.
+    /// Maintenance waves by number, with the time at which the operator's request was read.
     pub(crate) waves: BTreeMap<u64, (Time, Wave)>,
     pub(crate) work_progress: ReadProgress,
-    /// Accepted here and not read yet.
+    /// Workflows accepted here whose records haven't been read yet.
     pub(crate) accepted: HashSet<WorkflowId>,
     pub(crate) stopping: bool,
 }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A record of the system's own topic was read.
+    /// Applies a record of the work topic.
     pub(crate) fn on_work(&mut self, now: Time, stored: &StoredRecord, out: &mut Effects) {
         let change = match self.ledger.apply(stored.offset, &stored.key, &stored.value) {
             Ok(change) => change,
@@ -114,8 +114,8 @@
         }
     }
 
-    /// The operator published something. A configuration never goes back: what is read anew after the
-    /// history was forgotten may be older than what is in force.
+    /// Applies what the operator published. An older configuration version is ignored: reloading a topic may return
+    /// one.
     pub(crate) fn on_operator(&mut self, now: Time, change: OperatorChange) {
         let table = match change {
             OperatorChange::Routes(table) => table,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A worker's entry changed.
+    /// Applies a change of a worker's entry.
     pub(crate) fn on_directory(&mut self, now: Time, change: DirectoryChange) {
         match &change {
             DirectoryChange::Present(info) => {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// The directory was read anew: what isn't in it is absent.
+    /// Handles a complete reload of the directory: workers not in `found` are absent.
     pub(crate) fn on_directory_loaded(&mut self, now: Time, found: &HashSet<WorkerId>) {
         let listed = self.directory.keys().chain(&self.unreadable_workers);
         let missing: Vec<WorkerId> = listed.filter(|id| !found.contains(*id)).cloned().collect();
@@ -173,17 +173,17 @@
         }
     }
 
-    /// What a scheduler that begins is told of the directory.
+    /// The directory as changes, for a new scheduler.
     pub(crate) fn directory_snapshot(&self) -> impl Iterator<Item = DirectoryChange> {
         let present = self.directory.values().cloned().map(DirectoryChange::Present);
         present.chain(self.unreadable_workers.iter().cloned().map(DirectoryChange::Unreadable))
     }
 
-    /// Time has passed.
+    /// Advances the timers of leadership and scheduler.
     pub(crate) fn tick(&mut self, now: Time, wall_ms: u64, out: &mut Effects) {
         let caught_up = self.work_progress.loaded && self.work_progress.at_end && !self.stopping;
         self.leadership.tick(now, caught_up, &mut out.leadership);
-        // A process that ends begins nothing: its last append must be settled before it gives up its term.
+        // A stopping process starts nothing: its last append must be settled before it releases its term.
         if self.stopping {
             return;
         }
@@ -198,54 +198,52 @@
         }
     }
 
-    /// Whether clients may be sent here: the configuration is known, and the records are read up to
-    /// the present.
+    /// Whether this process can serve clients: it has a configuration, and its records are up to date.
     pub(crate) fn is_ready(&self, now: Time) -> bool {
         !self.stopping && self.routes.is_some() && self.is_fresh(now)
     }
 
-    /// Whether the records are read up to the present, so that what isn't found doesn't exist.
+    /// Whether the records are up to date, so that a workflow that isn't found doesn't exist.
     pub(crate) fn is_fresh(&self, now: Time) -> bool {
         self.work_progress.loaded
             && self.work_progress.answered_at.is_some_and(|at| now.since(at) < STALE_AFTER)
     }
 
-    /// Whether this leader's appends reach the store while its reads lag: clients are told elsewhere that
-    /// their workflows are cancelled, and this process doesn't know. While the store is away nobody is
-    /// told anything, and neither gets through.
+    /// Whether this leader's reads lag behind its appends. Other processes may then have acknowledged cancellations
+    /// that this one hasn't read. While the store is unavailable, neither reads nor appends advance.
     fn is_lagging(&self) -> bool {
         self.work_progress
             .complete_until
             .is_none_or(|read| self.leadership.last_confirmed().since(read) >= LAGGING_AFTER)
     }
 
-    /// Where another process that leads takes records.
+    /// Address of the leader for records, if another process leads.
     pub(crate) fn other_leader(&self) -> Option<SocketAddr> {
         let leader = self.ledger.leader().filter(|leader| !leader.released)?;
         if self.leadership.is_own(leader) { None } else { leader.addr }
     }
 
-    /// Another process's term, if one leads that can be reached.
+    /// Term of the leader, if another process leads and its address is known.
     pub(crate) fn other_term(&self) -> Option<OtherTerm> {
         let addr = self.other_leader()?;
         let epoch = self.ledger.leader()?.epoch;
         Some(OtherTerm { addr, epoch })
     }
 
-    /// Who leads, for logs.
+    /// Name of the leader; empty if there is none.
     pub(crate) fn leader(&self) -> CompactString {
         self.ledger.leader().map_or_else(CompactString::default, |leader| leader.node.clone())
     }
 }
 
-/// The most workers whose entries can't be read that are remembered; another writer may leave any number of
-/// such entries. A worker beyond that counts as absent for a new leader until its own entry is read.
+/// Maximum number of workers with unreadable entries that are kept, since other writers may leave any number of
+/// them. A new leader treats the others as absent until their entries are readable.
 const MAX_UNREADABLE_WORKERS: usize = 4_096;
 
-/// Reads are answered several times a second, since a leader leaves a sign of life each 250 ms. After
-/// this long without one the state shown here may be too old to say that something doesn't exist.
+/// Age of the last read after which the state is too old to report that a workflow doesn't exist. Reads are
+/// normally answered several times a second, since a leader appends a heartbeat every 250 ms.
 const STALE_AFTER: std::time::Duration = std::time::Duration::from_millis(1_800);
 
-/// A leader whose reads lag so far behind its appends starts nothing. Reads wait for 0.6 s at most, and a
-/// start is sent within half a second; what was cancelled must not start after 3 s.
+/// Lag of reads behind appends at which a leader starts no tasks. Reads wait for up to 0.6 s and starts are sent
+/// within 0.5 s; a task must not start 3 s after its cancellation.
 const LAGGING_AFTER: std::time::Duration = std::time::Duration::from_millis(1_500);
--- a/crates/runtime/src/dump.rs
+++ b/crates/runtime/src/dump.rs
@@ -1,4 +1,4 @@
-//! What a process knows, for whoever looks into it. Without clients' payloads, and bounded in size.
+//! The JSON dump of a node's state for operators. It is bounded in size and contains no payloads.
 
 use {
     crate::{node::Node, relays::UsedRelay},
@@ -7,33 +7,33 @@
     std::time::Duration,
 };
 
-/// The most steps that are listed: at 200 bytes each 200 KB.
+/// Maximum number of listed steps, at 200 bytes each.
 const MAX_STEPS: usize = 1_000;
 
-/// The most stranded tasks that are listed: the first ones show what kind they are.
+/// Maximum number of listed stranded tasks.
 const MAX_STRANDED: usize = 100;
 
 #[derive(Serialize)]
 struct Dump {
     leads: bool,
     leader: String,
-    /// The version of the configuration in force.
+    /// Version of the active configuration.
     configuration: Option<u64>,
     ready: bool,
     workflows: usize,
     workers: usize,
-    /// How long ago the records were last read; none if never.
+    /// Age of the last read of the records; none before the first.
     records_read_ms: Option<u64>,
-    /// Workers that the new leader waits for.
+    /// Workers that the new leader hasn't accounted for yet.
     unaccounted: usize,
-    /// The VMs that carry this leader's calls.
+    /// The relays of this leader.
     relays: Vec<Relay>,
-    /// Tasks that nothing would ever start; there is none unless the scheduler has a fault.
+    /// Tasks that would never be started; empty unless the scheduler has a bug.
     stranded: Vec<String>,
-    /// Steps with tasks that wait: those in the queue, the first of them first, then those whose tasks are
-    /// held by a run that isn't known to be at work. Only the leader knows.
+    /// Steps with waiting tasks: first the queued ones in queue order, then those whose tasks are blocked by a
+    /// run of unknown state. Empty on followers.
     waiting: Vec<Waiting>,
-    /// Set if not all are listed.
+    /// Whether `waiting` is truncated.
     more_waiting: bool,
 }
 
@@ -41,7 +41,7 @@
 struct Relay {
     name: String,
     data_centre: String,
-    /// How many workers it carries.
+    /// Number of workers assigned to it.
     workers: usize,
 }
 
@@ -49,17 +49,17 @@
 struct Waiting {
     step: String,
     tasks: usize,
-    /// Some of the tasks, by index.
+    /// Indices of some of the tasks.
     indices: Vec<u32>,
     lasting: bool,
-    /// How long the first of them hasn't run, as far as this leader knows.
+    /// Longest wait of these tasks, as far as this leader knows.
     waited_ms: u64,
     reason: String,
-    /// Some of the workers that the reason is about.
+    /// Some of the workers that the reason refers to.
     workers: Vec<String>,
-    /// How long the reason lasts at most, where that is known.
+    /// Upper bound of how long the reason still applies, if known.
     at_most_ms: Option<u64>,
-    /// The workers of its service, and those of them that take work, where room is what it waits for.
+    /// If the step waits for free capacity: number of workers of its service, and of those that accept tasks.
     service_workers: Option<usize>,
     fit_workers: Option<usize>,
 }
@@ -69,7 +69,7 @@
 }
 
 impl Node {
-    /// The state as JSON.
+    /// Encodes the state as JSON.
     pub(crate) fn dump(&self, now: Time) -> Vec<u8> {
         let to_row = |used: UsedRelay| Relay {
             name: used.name.to_string(),
@@ -115,7 +115,7 @@
             };
             dump.waiting = steps.into_iter().map(to_row).collect();
         }
-        // Plain data always has a form in JSON.
+        // Serializing this type can't fail.
         serde_json::to_vec(&dump).unwrap_or_default()
     }
 }
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following the store's topics.
+//! Reading of the store's topics.
 
 use {
     crate::{
@@ -16,37 +16,35 @@
     tokio::time::sleep,
 };
 
-/// The pause after a read that failed.
+/// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// How long a read of the system's own records waits. A leader leaves a record each 250 ms, so no
-/// answer for this long already means that something is wrong.
+/// How long a read of the work topic waits for a record. A leader appends one every 250 ms, so a longer wait
+/// indicates a fault.
 const WORK_READ_WAIT: Duration = Duration::from_millis(600);
 
-/// How long a read of the operator's topic waits: it changes seldom. A connection that has gone silent
-/// is noticed after this, within the 2 s in which a configuration must be in force.
+/// How long a read of the operator's topic waits for a record. It also bounds the detection of a dead connection;
+/// a configuration must take effect within 2 s.
 const OPERATOR_READ_WAIT: Duration = Duration::from_millis(1_000);
 
-/// How long a read of the workers' entries waits.
+/// How long a read of the directory waits for a record.
 const DIRECTORY_READ_WAIT: Duration = Duration::from_millis(1_000);
 
-/// The pause between two reads of the leader. What clients submit reaches it before; what another VM
-/// appended by itself is placed this much later at worst.
+/// Pause between a leader's reads. It delays only records that other VMs append themselves.
 const LEADER_READ_GAP: Duration = Duration::from_millis(20);
 
-/// The pause between two reads of the others: a client sees its workflow complete this much later at
-/// worst. Each read is paid for: with 50 ms the calls to the store cost half as much again as with 150 ms,
-/// and no client of six calm days was served sooner.
+/// Pause between a follower's reads. It delays the completion that clients see; a shorter one increases the cost of
+/// calls to the store.
 const FOLLOWER_READ_GAP: Duration = Duration::from_millis(150);
 
-/// The pause between two reads of the workers' entries by the leader. Each worker writes once a second;
-/// a draining one must get nothing new after 2 s.
+/// Pause between a leader's reads of the directory. Each worker writes once a second; a draining worker must
+/// receive no new tasks after 2 s.
 const DIRECTORY_READ_GAP: Duration = Duration::from_millis(250);
 
-/// The same by the others, which only keep the list ready.
+/// Pause between a follower's reads of the directory, which only keep the list available.
 const DIRECTORY_FOLLOWER_READ_GAP: Duration = Duration::from_millis(1_500);
 
-/// Follows a topic for as long as the process runs.
+/// Loads a topic and follows it until the process ends.
 pub(crate) async fn follow(node: Rc<Node>, topic: Topic) {
     loop {
         let Some(mut next) = load(&node, topic).await else {
@@ -79,15 +77,14 @@
     }
 }
 
-/// Reads the newest record of each key; returns where to read on. Pages aren't a snapshot, so reading
-/// goes on from where the first page ended.
+/// Reads the newest record of each key and returns the offset to continue from. Pages aren't a snapshot, so that is
+/// the end offset of the first page.
 async fn load(node: &Rc<Node>, topic: Topic) -> Option<Offset> {
     let mut after: Option<Bytes> = None;
     let mut start = None;
     let mut listed_workers = HashSet::new();
     let mut all_complete = true;
-    // A term that begins with the leader's record would know nothing of the keys behind it: neither which
-    // workers may still run something, nor that workflows aren't new.
+    // Leader records are applied last: a term that starts from one must know all other records.
     let mut leader_records = Vec::new();
     loop {
         let page = node.take_decoded(node.store().newest(topic, after.clone()).await);
@@ -106,7 +103,7 @@
         if topic == Topic::Directory {
             listed_workers.extend(unreadable.iter().map(|key| mark_unreadable(node, key)));
         }
-        // The same page again would never end.
+        // Ends the loop if the store returns the same page again.
         let page_repeated = next_after.is_some() && next_after == after;
         after = next_after;
         if after.is_none() || page_repeated {
@@ -122,7 +119,7 @@
     }
 }
 
-/// Reads once; returns whether the topic can be read on from `next`.
+/// Reads once from `next` and advances it. Returns false if the topic must be reloaded.
 async fn tail(node: &Rc<Node>, topic: Topic, next: &mut Offset) -> bool {
     let sent = node.clock().now();
     if topic == Topic::Work {
@@ -153,7 +150,7 @@
     }
 }
 
-/// Takes a record in; returns the worker whose entry it is. An entry that can't be read costs no other.
+/// Applies a record and returns the worker if it is a directory entry. An unreadable entry is logged and skipped.
 fn apply(node: &Rc<Node>, topic: Topic, stored: &StoredRecord) -> Option<WorkerId> {
     match topic {
         Topic::Work => {
@@ -163,7 +160,7 @@
         Topic::Operator => {
             match node.formats().operator(&stored.key, &stored.value) {
                 Ok(change) => node.step(|core, now, _| core.on_operator(now, change)),
-                // What was published before stays in force.
+                // The previous entry stays in effect.
                 Err(error) => node.log_bad_entries(&[bad_entry(stored, &error)]),
             }
             None
@@ -192,7 +189,7 @@
     }
 }
 
-/// A worker's newest entry can't be read.
+/// Marks a worker's newest entry as unreadable and returns the worker.
 fn mark_unreadable(node: &Rc<Node>, key: &[u8]) -> WorkerId {
     let id = WorkerId(CompactString::from_utf8_lossy(key));
     node.step(|core, now, _| core.on_directory(now, DirectoryChange::Unreadable(id.clone())));
--- a/crates/runtime/src/leader_append.rs
+++ b/crates/runtime/src/leader_append.rs
@@ -13,36 +13,35 @@
     tokio::time::sleep,
 };
 
-/// The pause before an append of the leader is repeated.
+/// Pause between tries.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// An append without an answer is repeated on another connection after this long, if the store answers
-/// reads meanwhile and they don't show it: it was held up, or its answer and it are lost. A slow store
-/// takes up to half a second for an append. Waiting for the call's time to be up (2.4 s) would outlast
-/// the 1.2 s after which followers claim, and depose a leader that is well.
+/// Minimum age of an unanswered append before it is retried on another connection, if reads are answered and
+/// don't show it. A slow store takes up to 0.5 s. Waiting for the call's timeout of 2.4 s would exceed the 1.2 s
+/// after which followers claim leadership.
 const STALLED_AFTER: Duration = Duration::from_millis(500);
 
-/// An append is taken as held up after so many times what the last one took, if that is longer: where
-/// the store is slow, a repetition would only stand in its queue.
+/// An append isn't retried before this multiple of the last append's duration. With a slow store, a retry would
+/// only lengthen its queue.
 const STALLED_FACTOR: u32 = 4;
 
-/// An append that takes longer is logged: the store usually answers within 10 ms.
+/// Duration from which an append is logged; the store usually answers within 10 ms.
 const SLOW_APPEND: Duration = Duration::from_millis(200);
 
-/// How often the end of a term is tried to record, 1.2 s in all on a store that answers at once; a
-/// successor takes over without it, only later.
+/// Maximum number of tries to record the release of a term, 1.2 s in total if the store answers at once. Without
+/// the release, a successor takes over later.
 const RELEASE_TRIES: u32 = 20;
 
 impl Node {
-    /// Appends under the leader's epoch, again and again until it is settled: the numbers of a term
-    /// have no gaps, so nothing else can be appended before.
+    /// Appends records and pending clients' records under the leader's epoch, and retries until the outcome is
+    /// known: the append numbers of a term have no gaps.
     pub(crate) async fn append_as_leader(self: Rc<Self>, mut records: Vec<Record>) {
         let pending = std::mem::take(&mut *self.pending_records.borrow_mut());
         records.extend(pending.iter().map(|pending| pending.record.clone()));
         let started = self.clock.now();
         self.append_started.set(Some(started));
         let stored = self.append_until_settled(records).await;
-        // An append that outlasts its term ends beside those of the next.
+        // An append that outlasts its term may overlap with those of the next term.
         if self.append_started.get() == Some(started) {
             self.append_started.set(None);
         }
@@ -50,17 +49,16 @@
             self.apply_stored(&pending);
         }
         for pending in pending {
-            // A client that has left doesn't wait for the result.
+            // Fails if the client has disconnected.
             let _ = pending.tx.send(stored);
         }
     }
 
-    /// Takes clients' records in as soon as they are stored; they are met again when they are read, some
-    /// 10 to 20 ms later, and change nothing then.
+    /// Applies clients' records once they are stored, before they are read; the later read changes nothing.
     fn apply_stored(self: &Rc<Self>, pending: &[PendingRecord]) {
         for pending in pending {
             let Record { key, value } = pending.record.clone();
-            // Neither a submission nor a cancellation depends on its place among the records.
+            // Submissions and cancellations don't depend on their offset.
             let stored =
                 platform::StoredRecord { offset: Offset(0), key: key.into(), value: value.into() };
             self.step(|core, now, out| core.on_work(now, &stored, out));
@@ -72,7 +70,7 @@
         let Some((epoch, seq, heartbeat)) = heartbeat_parts else { return Stored::No };
         records.push(heartbeat);
         let append = Append { records, fence: Some(Fence { epoch, seq }) };
-        // A repetition may be answered with the first one's result, so it proves nothing later.
+        // A retry may be answered with the result of the first try, so only the first send time counts.
         let sent = self.clock.now();
         let mut stall_timeout = STALLED_AFTER.max(self.last_append_duration.get() * STALLED_FACTOR);
         let mut tries = 0;
@@ -84,7 +82,7 @@
             };
             tries += 1;
             if result == AppendResult::Unknown {
-                // Repetitions stand in a slow store's queue with what they repeat.
+                // Retries would lengthen the queue of a slow store.
                 stall_timeout = stall_timeout.saturating_mul(2);
             }
             let elapsed = self.clock.now().since(sent);
@@ -116,10 +114,10 @@
         }
     }
 
-    /// Prepares the end of the process: it takes no term any more, and gives up the one it has.
+    /// Prepares for shutdown: the process claims no further term and releases its current one.
     pub(crate) async fn retire(self: &Rc<Self>) {
         self.core.borrow_mut().stopping = true;
-        // Appends of a term are numbered without gaps, so the one under way is waited for.
+        // The append numbers of a term have no gaps, so the append in progress must end first.
         for _ in 0..RELEASE_TRIES {
             if self.append_started.get().is_none() {
                 break;
@@ -132,7 +130,7 @@
             core.leadership.heartbeat(self.clock.now(), true)
         };
         let Some((epoch, seq, heartbeat)) = release else { return };
-        // From here on nothing is ordered, so a successor may begin as soon as it reads the record.
+        // No commands are sent from here on, so a successor may start once it reads the release.
         self.step(|core, now, out| core.leadership.resign(now, &mut out.leadership));
         let fence = Some(Fence { epoch, seq });
         let append = Append { records: vec![heartbeat], fence };
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,8 +1,8 @@
 //! Runs the workflow scheduler of one entry VM.
 //!
-//! A [`Node`] follows the store's records, takes clients' requests, and performs what the leadership
-//! and the scheduler decide. Everything runs on one thread; what speaks to the platform is behind the
-//! traits of [`platform`].
+//! A [`Node`] reads the store's records, serves clients, and performs the effects that the leadership and the
+//! scheduler return. Everything runs on one thread. The traits of [`platform`] are the interface to the
+//! platform.
 
 pub mod platform;
 
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: its state, and the performing of what it decides.
+//! A node: its state, its main loop, and the execution of leadership effects.
 
 use {
     crate::{
@@ -33,33 +33,32 @@
     },
 };
 
-/// Several events are followed by one pass over what waits; a task waits this much longer for it.
+/// Pause after a scheduler pass, so that several events share the next one.
 const TICK_GAP: Duration = Duration::from_millis(3);
 
-/// How often a leader looks at its timers.
+/// Maximum interval between two ticks of a leader.
 const LEADER_TICK: Duration = Duration::from_millis(20);
 
-/// How often a follower looks whether it has to take over.
+/// Maximum interval between two ticks of a follower, which check whether to take over.
 const FOLLOWER_TICK: Duration = Duration::from_millis(60);
 
-/// What a node is started with.
+/// Startup parameters of a node.
 #[derive(Clone, Debug)]
 pub struct NodeOptions {
-    /// The name of its VM.
+    /// Name of the VM.
     pub name: CompactString,
-    /// The VM's data centre.
+    /// Data centre of the VM.
     pub data_centre: CompactString,
-    /// Drawn at random at each start.
+    /// Random number that identifies this start of the process.
     pub incarnation: u64,
-    /// The VM's share of the processor, in thousandths of a core.
+    /// CPU share of the VM, in thousandths of a core.
     pub cpu_millicores: u32,
-    /// Spans of time.
+    /// Time limits of leadership and scheduler.
     pub limits: Limits,
 }
 
-/// The place among the followers, from 0 for the one that claims first to 999. A weak VM would
-/// lead late and badly, so it claims after the strong ones. What
-/// is left of the range tells VMs of one strength apart.
+/// The order in which followers claim leadership, in thousandths of the takeover spread; the lowest rank claims first.
+/// It grows as the CPU share shrinks. A random part separates VMs of equal CPU share.
 fn claim_rank(options: &NodeOptions) -> u32 {
     let mut hasher = DefaultHasher::new();
     options.incarnation.hash(&mut hasher);
@@ -72,22 +71,21 @@
     cpu_penalty + jitter + unfit_penalty
 }
 
-/// A VM with a smaller share of a core is unfit to lead, in thousandths: it would carry out
-/// starts seconds after they were decided, and after the cancellation of their workflows was acknowledged.
+/// Minimum CPU share for a leader, in thousandths of a core. With less, starts are sent seconds after they are
+/// decided, possibly after the cancellation of their workflows was acknowledged.
 const MIN_LEADER_MILLICORES: u32 = 200;
 
-/// Unfit VMs come so much later, in thousandths of the spread: 1.6 s, and half of that after a leader
-/// that gave up its term. A slow store delays what VMs read by half a second, which otherwise lets a
-/// weak one come first.
+/// Rank added for VMs below [`MIN_LEADER_MILLICORES`], in thousandths of the takeover spread: 1.6 s, or half of that
+/// after a leader that released its term. It exceeds the differences in read delay of a slow store.
 const UNFIT_RANK_PENALTY: u32 = 4_000;
 
-/// VMs with this share of a core and more are equally fit to lead, in thousandths.
+/// CPU share from which VMs are equally fit to lead, in thousandths of a core.
 const FULL_RANK_MILLICORES: u32 = 500;
 
-/// The part of the range that chance decides.
+/// Size of the random part of the rank.
 const JITTER_RANGE: u32 = 300;
 
-/// What goes on without a topic of the store, for the log.
+/// What remains available without a topic of the store, as a log value.
 fn available_without(topic: Topic) -> &'static str {
     match topic {
         Topic::Work => "what runs; orders for 4 s; known states",
@@ -111,13 +109,13 @@
     pub(crate) appender: Rc<Appender>,
     pub(crate) leader: LeaderClient,
     pub(crate) metrics: WorkflowMetrics,
-    /// Clients' records for the leader's next append.
+    /// Clients' records to include in the leader's next append.
     pub(crate) pending_records: RefCell<Vec<PendingRecord>>,
-    /// Since when the leader's append under way has had no success.
+    /// Start of the leader's append in progress.
     pub(crate) append_started: Cell<Option<Time>>,
-    /// How long the last of the leader's appends took that needed no repetition.
+    /// Duration of the leader's last append that succeeded at the first try.
     pub(crate) last_append_duration: Cell<Duration>,
-    /// Topics whose reads fail, and since when.
+    /// Topics whose reads fail, with the time of the first failure.
     failing_topics: RefCell<BTreeMap<Topic, Time>>,
     bad_entries: RefCell<BadEntryLog>,
     pub(crate) clock: Clock,
@@ -127,7 +125,7 @@
 }
 
 impl Node {
-    /// A node that follows nothing yet.
+    /// Creates a node that doesn't read or serve yet.
     pub fn new(options: NodeOptions, platform: Platform) -> Rc<Node> {
         let Platform { store, workers, advisor, fleet, formats } = platform;
         let (name, data_centre, cpu_millicores) =
@@ -183,7 +181,7 @@
         self.clock
     }
 
-    /// Whether its VM has so little of a core that others come first.
+    /// Whether the VM's CPU share is below the minimum for a leader.
     pub(crate) fn has_low_cpu(&self) -> bool {
         self.cpu_millicores < MIN_LEADER_MILLICORES
     }
@@ -192,7 +190,7 @@
         self.core.borrow()
     }
 
-    /// A workflow was accepted here; its record will be read soon.
+    /// Marks a workflow as accepted until its record has been read.
     pub(crate) fn mark_accepted(&self, id: WorkflowId) {
         let mut core = self.core.borrow_mut();
         if core.ledger.get(id).is_none() {
@@ -200,18 +198,18 @@
         }
     }
 
-    /// Whether this process may give orders now.
+    /// Whether this process leads and may send commands now.
     pub(crate) fn has_authority(&self) -> bool {
         let core = self.core.borrow();
         core.scheduler.is_some() && core.leadership.authority(self.clock.now()).is_some()
     }
 
-    /// Where followers may hand records in, once this process leads.
+    /// Sets the address at which this process takes followers' records when it leads.
     pub(crate) fn listen_at(&self, addr: SocketAddr) {
         self.core.borrow_mut().leadership.listen_at(addr);
     }
 
-    /// Adds a client's record to the leader's next append; false if appends don't get through.
+    /// Adds a client's record to the leader's next append; false if appends are stuck.
     pub(crate) fn add_pending_record(self: &Rc<Self>, pending: PendingRecord) -> bool {
         let stuck = |since| self.clock.now().since(since) >= STUCK_AFTER;
         if self.append_started.get().is_some_and(stuck) {
@@ -230,7 +228,7 @@
         self.core.borrow().scheduler.is_some()
     }
 
-    /// Starts what runs beside the clients: following the topics, appending, ticking.
+    /// Spawns the background tasks: reading topics, appending, relaying, ticking.
     pub(crate) fn spawn(self: &Rc<Self>) {
         for topic in [Topic::Operator, Topic::Work, Topic::Directory] {
             spawn_local(crate::follow::follow(Rc::clone(self), topic));
@@ -243,7 +241,7 @@
     async fn tick_loop(self: Rc<Self>) {
         loop {
             let pause = if self.leads() { LEADER_TICK } else { FOLLOWER_TICK };
-            // Both a wake and the pause's end lead to the same pass.
+            // A wake and the end of the pause have the same effect.
             let _ = timeout(pause, self.wake.notified()).await;
             let wall_ms = self.clock.wall_ms();
             self.step_without_wake(|core, now, out| core.tick(now, wall_ms, out));
@@ -277,7 +275,7 @@
         measures.start_waits.into_iter().for_each(|wait| metrics.started_after(wait));
     }
 
-    /// Takes an event in, and has a pass over what waits follow soon.
+    /// Applies an event, performs its effects, and wakes the tick loop if this process leads.
     pub(crate) fn step(self: &Rc<Self>, event: impl FnOnce(&mut Core, Time, &mut Effects)) {
         self.step_without_wake(event);
         if self.leads() {
@@ -297,7 +295,7 @@
         self.log_bad_entries(&out.bad_entries);
     }
 
-    /// Tells of entries that can't be read, of each once, and returns what could be.
+    /// Reports the unreadable entries and returns the value.
     pub(crate) fn take_decoded<T>(&self, decoded: Decoded<T>) -> T {
         self.log_bad_entries(&decoded.bad);
         decoded.value
@@ -321,7 +319,7 @@
         self.step(|core, now, _| core.on_directory_loaded(now, found));
     }
 
-    /// A read of the system's own records is sent.
+    /// Handles the sending of a read of the work records.
     pub(crate) fn on_read_sent(&self, now: Time) {
         self.core.borrow_mut().leadership.on_read_sent(now);
     }
@@ -385,7 +383,7 @@
             "elected"
         );
         for (number, (requested_at, wave)) in &core.waves {
-            // What has passed of the wave's time is over.
+            // Subtracts the time since the request.
             let within = wave.within.saturating_sub(now.since(*requested_at));
             let wave = Wave { within, ..wave.clone() };
             scheduler.on_wave(now, *number, Some(wave), &core.ledger);
--- a/crates/runtime/src/peers.rs
+++ b/crates/runtime/src/peers.rs
@@ -1,10 +1,9 @@
-//! Clients' records that followers hand to the leader.
+//! Forwarding of clients' records from followers to the leader.
 //!
-//! Each append to the store waits for the one before it. With every VM appending for itself, a slow
-//! store (240 ms an append) takes four appends a second from 35 VMs, and the leader's signs of life wait
-//! behind them until it is taken for dead. So followers hand what clients submit to the leader, which
-//! appends it with its own records, all in one call. A leader that can't be reached, or doesn't answer,
-//! is passed over: the same record may be appended twice without harm.
+//! The store serializes appends. If every VM appended by itself, a slow store would delay the leader's heartbeats
+//! until the other nodes consider it dead. Followers therefore forward clients' records to the leader, which
+//! appends them together with its own. If the leader doesn't answer, the follower appends the record itself;
+//! appending a record twice is harmless.
 
 use {
     crate::{append::Stored, node::Node, relays},
@@ -17,20 +16,20 @@
     tokio::{sync::oneshot, time::timeout},
 };
 
-/// Where followers hand records in.
+/// Path for forwarded records.
 const RECORDS_PATH: &str = "/records";
 
-/// How long a follower waits for the leader: two appends of a slow store, and below the 3 s that clients
-/// wait. If another process takes over meanwhile, it waits no longer.
+/// How long a follower waits for the leader: two appends of a slow store, and less than the clients' timeout of
+/// 3 s. The wait ends early if another process becomes leader.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How long the leader tries to get a record stored, so that its answer arrives.
+/// How long the leader waits for an append; its answer must arrive within [`FORWARD_TIMEOUT`].
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_900);
 
-/// Connections to the leader that are kept.
+/// Maximum number of idle connections to the leader.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// The leader's answers.
+/// Status codes of the leader's answers.
 mod status {
     pub(super) const STORED: u16 = 200;
     pub(super) const NOT_LEADER: u16 = 409;
@@ -38,23 +37,23 @@
     pub(super) const UNKNOWN: u16 = 504;
 }
 
-/// A client's record that waits for the leader's next append.
+/// A client's record for the leader's next append.
 pub(crate) struct PendingRecord {
     pub(crate) record: Record,
     pub(crate) tx: oneshot::Sender<Stored>,
 }
 
-/// What became of a record that was handed to the leader.
+/// The outcome of forwarding a record.
 enum Forwarded {
-    /// The leader knows.
+    /// The leader answered.
     Settled(Stored),
-    /// It didn't take it: it doesn't lead, or can't be reached.
+    /// The leader didn't accept the record: it no longer leads or is unreachable.
     NotAccepted,
-    /// Nobody can say.
+    /// No answer: the record may be stored.
     Unknown,
 }
 
-/// The connection to the leader.
+/// The client for the current leader's address.
 #[derive(Default)]
 pub(crate) struct LeaderClient {
     client: RefCell<Option<Client>>,
@@ -69,7 +68,7 @@
         }
     }
 
-    /// Hands a record to the leader at `addr`.
+    /// Forwards a record to the leader at `addr`.
     async fn forward(&self, addr: SocketAddr, record: &Record) -> Forwarded {
         let body = Bytes::from(record.to_bytes());
         match self.client(addr).call(Method::POST, RECORDS_PATH, &[], body, FORWARD_TIMEOUT).await {
@@ -82,13 +81,13 @@
     }
 }
 
-/// Where the state is read, as with the other daemons, so that the operator's command finds it.
+/// Path of the state dump, the same as in the other daemons.
 const STATE_PATH: &str = "/state";
 
-/// Where metrics are read.
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers a follower, or whoever reads the metrics.
+/// Answers requests of followers, and requests for state and metrics.
 pub(crate) async fn answer(node: Rc<Node>, req: Request) -> Response {
     if req.method == Method::GET && req.path == METRICS_PATH {
         let body = Bytes::from(node.metrics.render());
@@ -116,7 +115,7 @@
 }
 
 impl Node {
-    /// Gets a client's record stored, by the leader if that works, else by an append of our own.
+    /// Stores a client's record, through the leader if possible, else by an own append.
     pub(crate) async fn store_record(self: &Rc<Self>, record: Record) -> Stored {
         let leader_addr = self.core().other_leader();
         let forwarded = if self.has_authority() {
@@ -127,13 +126,13 @@
             Forwarded::NotAccepted
         };
         match forwarded {
-            // A leader that is alive and can't get it stored says so; the store needs no further append.
+            // If a live leader can't append the record, an own append wouldn't succeed either.
             Forwarded::Settled(stored @ (Stored::Yes | Stored::No)) => stored,
             Forwarded::NotAccepted => self.appender.append(record).await,
             Forwarded::Settled(Stored::Unknown) | Forwarded::Unknown => {
                 match self.appender.append(record).await {
                     Stored::Yes => Stored::Yes,
-                    // The leader may have stored it after all.
+                    // The leader may have stored it.
                     Stored::No | Stored::Unknown => Stored::Unknown,
                 }
             }
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the runtime needs of the platform. Its adapter implements these traits and decides nothing.
+//! The interface to the platform, implemented by the platform adapter.
 
 use {
     bytes::Bytes,
@@ -21,11 +21,11 @@
 /// A topic of the store.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Topic {
-    /// The system's own records.
+    /// The system's own records: submissions, cancellations, progress, leadership.
     Work,
-    /// What the operator publishes.
+    /// Configurations and maintenance waves, published by the operator.
     Operator,
-    /// The workers' entries.
+    /// The entries of the workers.
     Directory,
 }
 
@@ -46,72 +46,72 @@
     pub offset: Offset,
     /// Its key.
     pub key: Bytes,
-    /// Its value; empty if the key is dropped.
+    /// Its value; empty if the key is deleted.
     pub value: Bytes,
 }
 
-/// What a read returned.
+/// The result of a read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReadResult {
-    /// Records in order, perhaps none.
+    /// Records in order; may be empty.
     Records {
         /// The records.
         records: Vec<StoredRecord>,
-        /// Where to read on. It is past records that can't be read, too: they would be met again for good.
+        /// Offset of the next read, past unreadable records too.
         next: Offset,
-        /// Where the partition ended.
+        /// End offset of the partition.
         end: Offset,
     },
-    /// Records from the offset on were forgotten: the newest ones must be read.
+    /// Records at the offset have been deleted; the topic must be reloaded.
     OffsetTooOld,
-    /// No answer, or none that can be used.
+    /// No usable answer.
     Failed,
 }
 
-/// A page of the newest record of each key.
+/// The result of a read of the newest record of each key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum NewestResult {
     /// A page.
     Page {
         /// The records.
         records: Vec<StoredRecord>,
-        /// Keys whose newest records can't be read.
+        /// Keys whose newest records are unreadable.
         unreadable: Vec<Bytes>,
-        /// Where the partition ended.
+        /// End offset of the partition.
         end: Offset,
-        /// The key after which another page follows, if there is one.
+        /// The key after which the next page starts, if there is one.
         next_after: Option<Bytes>,
-        /// Whether each key could be read. Otherwise one that isn't here may be there all the same.
+        /// Whether all keys were readable. If not, an absent key may exist in the store.
         complete: bool,
     },
-    /// No answer, or none that can be used.
+    /// No usable answer.
     Failed,
 }
 
-/// Who appends under an epoch.
+/// Fencing of a leader's append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Fence {
-    /// The leader's epoch: the store rejects a lower one than it has seen.
+    /// The leader's epoch; the store rejects an epoch lower than the highest it has seen.
     pub epoch: Epoch,
-    /// The append's number under it, so that a repetition isn't appended twice.
+    /// Number of the append within the epoch, for deduplication of retries.
     pub seq: Seq,
 }
 
-/// An append to the system's own records.
+/// An append to the work topic.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Append {
-    /// The records; all are appended or none.
+    /// The records, appended atomically.
     pub records: Vec<Record>,
-    /// Set for what only a leader appends.
+    /// Set for appends of a leader.
     pub fence: Option<Fence>,
 }
 
 /// The platform's store.
 pub trait Store {
-    /// Appends to the system's own records.
+    /// Appends to the work topic.
     fn append<'a>(&'a self, append: &'a Append) -> LocalBoxFuture<'a, AppendResult>;
 
-    /// Reads records from an offset on, waiting up to `wait` for the first.
+    /// Reads records from an offset on, waiting up to `wait` for the first one.
     fn read(
         &self,
         topic: Topic,
@@ -119,10 +119,10 @@
         wait: Duration,
     ) -> LocalBoxFuture<'_, Decoded<ReadResult>>;
 
-    /// Tells the operator how far a wave of upkeep is.
+    /// Reports the state of a maintenance wave to the operator.
     fn report_wave(&self, wave: u64, state: WaveState) -> LocalBoxFuture<'_, AppendResult>;
 
-    /// Reads a page of the newest records, the first or the one after a key.
+    /// Reads a page of the newest record of each key, starting after the key `after`.
     fn newest(
         &self,
         topic: Topic,
@@ -133,94 +133,94 @@
 /// A poll of a worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PollCall {
-    /// The incarnation that is meant.
+    /// The worker's incarnation.
     pub worker: WorkerId,
-    /// Where it takes orders.
+    /// The worker's address for commands.
     pub addr: SocketAddr,
-    /// The fencing token.
+    /// The leader's epoch, as fencing token.
     pub epoch: Epoch,
-    /// Ends up to here may be forgotten.
+    /// Highest recorded end number; the worker may drop ends up to it.
     pub recorded: u64,
-    /// The end of the leases on the worker's clock in milliseconds.
+    /// Expiry of the leases, on the worker's clock in milliseconds.
     pub until_ms: Option<u64>,
-    /// How long the answer may wait for the next end, in milliseconds.
+    /// How long the worker may wait for a new end before it answers, in milliseconds.
     pub wait_ms: u64,
 }
 
 /// A start of a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartCall<'a> {
-    /// The incarnation that is meant.
+    /// The worker's incarnation.
     pub worker: &'a WorkerId,
-    /// Where it takes orders.
+    /// The worker's address for commands.
     pub addr: SocketAddr,
-    /// The fencing token.
+    /// The leader's epoch, as fencing token.
     pub epoch: Epoch,
     /// The task.
     pub task: TaskId,
-    /// The number of the start.
+    /// The run.
     pub run: RunId,
-    /// Handed to the task.
+    /// Input of the task.
     pub payload: &'a str,
-    /// The end of the lease on the worker's clock in milliseconds.
+    /// Expiry of the lease, on the worker's clock in milliseconds.
     pub until_ms: u64,
     /// The checkpoint to resume from; empty for none.
     pub checkpoint: &'a str,
-    /// Says that the worker may run it; empty if that needs no ticket.
+    /// Permission to run the task on the worker; empty if none is needed.
     pub ticket: &'a str,
 }
 
 /// A stop of a run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StopCall {
-    /// The incarnation that is meant.
+    /// The worker's incarnation.
     pub worker: WorkerId,
-    /// Where it takes orders.
+    /// The worker's address for commands.
     pub addr: SocketAddr,
-    /// The fencing token.
+    /// The leader's epoch, as fencing token.
     pub epoch: Epoch,
     /// The task.
     pub task: TaskId,
-    /// The number of the start.
+    /// The run.
     pub run: RunId,
 }
 
-/// A change of a filler's pace.
+/// A change of a best-effort task's pace.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PaceCall {
-    /// The incarnation that is meant.
+    /// The worker's incarnation.
     pub worker: WorkerId,
-    /// Where it takes orders.
+    /// The worker's address for commands.
     pub addr: SocketAddr,
-    /// The fencing token.
+    /// The leader's epoch, as fencing token.
     pub epoch: Epoch,
     /// The task.
     pub task: TaskId,
-    /// The number of the start.
+    /// The run.
     pub run: RunId,
-    /// The share at which it may work, from 0 to 100.
+    /// Share of full speed at which it may work, in percent.
     pub percent: u32,
 }
 
 /// The workers.
 pub trait Workers {
-    /// Asks what runs and what ended.
+    /// Asks for the runs in progress and the ended runs.
     fn poll(&self, call: PollCall) -> LocalBoxFuture<'_, Decoded<PollResult>>;
 
     /// Starts a task.
     fn start<'a>(&'a self, call: StartCall<'a>) -> LocalBoxFuture<'a, StartResult>;
 
-    /// Stops a run, or keeps it from starting.
+    /// Stops a run, or prevents it from starting.
     fn stop(&self, call: StopCall) -> LocalBoxFuture<'_, StopResult>;
 
-    /// Changes the pace of a filler.
+    /// Changes the pace of a best-effort task.
     fn pace(&self, call: PaceCall) -> LocalBoxFuture<'_, PaceResult>;
 
-    /// Closes idle connections to the worker at `addr`: it will be called in another way.
+    /// Closes idle connections to the worker at `addr`, which will be called through a relay.
     fn close_idle(&self, addr: SocketAddr);
 }
 
-/// The service that knows which workers a policy allows to run a step.
+/// The policy service that decides which workers may run a step.
 pub trait Advisor {
     /// Asks which of these workers may run the step.
     fn advise<'a>(
@@ -233,10 +233,10 @@
 
 /// The platform's VMs.
 pub trait Fleet {
-    /// Lists all VMs; none if the platform doesn't answer.
+    /// Lists all VMs; `None` if the platform doesn't answer.
     fn list(&self) -> LocalBoxFuture<'_, Decoded<Option<VmList>>>;
 
-    /// Begins a VM's upkeep, on behalf of the process `holder`.
+    /// Starts the maintenance of a VM, on behalf of the process `holder`.
     fn start_maintenance<'a>(
         &'a self,
         holder: &'a str,
@@ -246,43 +246,43 @@
     ) -> LocalBoxFuture<'a, MaintenanceResult>;
 }
 
-/// All that a node needs of the platform.
+/// The platform services that a node uses.
 #[derive(Clone)]
 pub struct Platform {
     /// The store.
     pub store: Rc<dyn Store>,
     /// The workers.
     pub workers: Rc<dyn Workers>,
-    /// Says which workers may run a step.
+    /// The policy service.
     pub advisor: Rc<dyn Advisor>,
     /// The VMs.
     pub fleet: Rc<dyn Fleet>,
-    /// Formats of bodies.
+    /// The formats of requests and entries.
     pub formats: Rc<dyn Formats>,
 }
 
-/// What the operator published.
+/// A change published by the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorChange {
     /// A configuration.
     Routes(RouteTable),
-    /// A wave of upkeep is asked for, or taken back.
+    /// A maintenance wave is requested or withdrawn.
     Wave {
         /// Its number.
         number: u64,
-        /// The wave.
+        /// The wave; `None` if it is withdrawn.
         wave: Option<Wave>,
     },
-    /// Something else that has no meaning here.
+    /// Not relevant to the scheduler.
     Other,
 }
 
-/// Why an entry of the operator or of the directory can't be read.
+/// Why an entry of the operator or of the directory is unreadable.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EntryError {
-    /// What kind of entry it is.
+    /// Kind of the entry.
     pub kind: EntryKind,
-    /// What the reader said.
+    /// Error message of the decoder.
     pub detail: CompactString,
 }
 
@@ -294,38 +294,38 @@
 
 impl std::error::Error for EntryError {}
 
-/// The formats of clients, operator and directory.
+/// The formats of client requests and of operator and directory entries.
 pub trait Formats {
-    /// A client's workflow.
+    /// Decodes a client's workflow.
     ///
     /// # Errors
     ///
-    /// The body can't be read, or the workflow breaks a limit.
+    /// The body is malformed, or the workflow exceeds a limit.
     fn workflow(&self, body: &[u8]) -> Result<Workflow, SpecError>;
 
-    /// The body that tells a client a workflow's state.
+    /// Encodes the response body for a workflow's state.
     fn state(&self, state: WorkflowState) -> Bytes;
 
-    /// The body that tells a client how many workflows wait.
+    /// Encodes the response body for the number of pending workflows.
     fn pending(&self, count: usize) -> Bytes;
 
-    /// The body that tells a client what was wrong.
+    /// Encodes the response body for an error.
     fn error(&self, message: &str) -> Bytes;
 
-    /// How long a client waits for its answer, if it says so.
+    /// The client's deadline from the request headers, relative to the arrival.
     fn deadline(&self, headers: &http::HeaderMap) -> Option<Duration>;
 
-    /// What the operator published under a key.
+    /// Decodes an entry of the operator.
     ///
     /// # Errors
     ///
-    /// The value can't be read.
+    /// The key or value is malformed.
     fn operator(&self, key: &[u8], value: &[u8]) -> Result<OperatorChange, EntryError>;
 
-    /// What a worker's entry says.
+    /// Decodes a worker's entry.
     ///
     /// # Errors
     ///
-    /// The entry can't be read.
+    /// The entry is malformed.
     fn directory(&self, key: &[u8], value: &[u8]) -> Result<DirectoryChange, EntryError>;
 }
--- a/crates/runtime/src/relays/leader.rs
+++ b/crates/runtime/src/relays/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's side: which calls go by way of which relay.
+//! The leader's side: connections to relays, and routing of calls.
 
 use {
     super::{FRAME_GAP, PROTOCOL, UNRESPONSIVE_AFTER, frames},
@@ -32,26 +32,26 @@
     },
 };
 
-/// A call that reaches its relay later than this after it was handed over isn't carried out: what it starts may
-/// have been cancelled since.
+/// How long after it is queued a call may arrive at its relay. Later ones aren't made, since the task may have been
+/// cancelled.
 const CALL_VALIDITY: Duration = Duration::from_millis(400);
 
-/// How long the answer to a call may take beyond the call's own wait. A relay gives a call up after 0.6 s.
+/// Timeout of a call, in addition to the wait that it requests. A relay's own timeout is 0.6 s.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long the first frame of a VM that offers itself may take.
+/// Timeout of the first frame of a connection.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Offers that are kept beyond those in use, to take the place of one that is lost.
+/// Maximum number of spare connections, which replace lost relays.
 const MAX_SPARES: usize = 2;
 
-/// How often a call that waits for the first offers looks for its relay.
+/// Maximum interval between routing attempts while a call waits for the first relays.
 const ROUTE_RETRY: Duration = Duration::from_millis(25);
 
-/// How often workers that are gone are forgotten.
+/// Interval at which absent workers are removed from the assignment.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The answer to an offer that isn't wanted.
+/// Status codes of declined offers.
 mod status {
     pub(super) const NOT_LEADER: u16 = 409;
     pub(super) const NOT_WANTED: u16 = 503;
@@ -60,13 +60,13 @@
 /// Why a relay's connection ended.
 #[derive(Clone, Copy, Debug)]
 enum SessionEnd {
-    /// It closed, or broke.
+    /// The connection closed or failed.
     Closed,
-    /// Nothing was heard for too long.
+    /// The relay sent no frame within [`UNRESPONSIVE_AFTER`].
     Unresponsive,
-    /// It sent what can't be read.
+    /// The relay sent a malformed frame.
     Unreadable(CodecError),
-    /// This process gave it up.
+    /// This process removed the relay, or its term ended.
     GivenUp,
 }
 
@@ -87,7 +87,7 @@
     name: CompactString,
     data_centre: CompactString,
     codec: RefCell<LeaderCodec>,
-    /// Since when the first call waits for the next frame.
+    /// When the first call of the next frame was added.
     first_call_at: Cell<Time>,
     /// The relay's clock in milliseconds, and when it was read.
     relay_clock: Cell<(u64, Time)>,
@@ -98,7 +98,7 @@
 }
 
 impl Session {
-    /// The end of the time in which calls of the next frame may be carried out, on the relay's clock.
+    /// Expiry of the calls in the next frame, on the relay's clock.
     fn until_ms(&self) -> u64 {
         let (clock_ms, read) = self.relay_clock.get();
         let span = self.first_call_at.get().since(read) + CALL_VALIDITY;
@@ -116,11 +116,11 @@
     }
 }
 
-/// A relay in use, for whoever looks into the leader.
+/// A relay in use, for the state dump.
 pub(crate) struct UsedRelay {
     pub(crate) name: CompactString,
     pub(crate) data_centre: CompactString,
-    /// How many workers it carries.
+    /// Number of workers assigned to it.
     pub(crate) workers: usize,
 }
 
@@ -128,13 +128,13 @@
 struct Term {
     epoch: Epoch,
     assignment: Assignment,
-    /// All that have offered themselves, whether they are used or not.
+    /// All connected relays, whether in use or spare.
     sessions: BTreeMap<RelayNo, Rc<Session>>,
     next_number: u32,
 }
 
 impl Term {
-    /// Uses as many of those that have offered themselves as are wanted.
+    /// Puts spare relays into use until `wanted` are used; returns whether any was added.
     fn activate_wanted(&mut self, now: Time, wanted: usize) -> bool {
         let mut added = false;
         for session in self.sessions.values().filter(|session| !session.used.get()) {
@@ -142,7 +142,7 @@
                 break;
             }
             session.used.set(true);
-            // The empty frame tells it so.
+            // Sends an empty frame, which tells the relay that it is in use.
             session.wake.notify_one();
             self.assignment.add_relay(now, session.number, session.data_centre.clone());
             log::info!(relay:% = session.name, used = self.assignment.relays(), wanted; "relay_used");
@@ -152,12 +152,12 @@
     }
 }
 
-/// The workers, called directly or by way of relays.
+/// The workers, called directly or through relays.
 pub(crate) struct Relays {
     direct: Rc<dyn Workers>,
     core: Rc<RefCell<Core>>,
     term: RefCell<Option<Term>>,
-    /// A relay came into use.
+    /// Notified when a relay is put into use.
     relay_added: Notify,
     clock: Clock,
 }
@@ -172,7 +172,7 @@
         &*self.direct
     }
 
-    /// This process leads from now on.
+    /// Starts a term of this process as leader.
     pub(crate) fn begin_term(self: &Rc<Self>, epoch: Epoch) {
         self.end_term();
         let assignment = Assignment::new(self.clock.now());
@@ -181,7 +181,7 @@
         spawn_local(Rc::clone(self).sweep_loop(epoch));
     }
 
-    /// It leads no more: nothing is carried for it.
+    /// Ends the term and closes all connections to relays.
     pub(crate) fn end_term(&self) {
         let Some(term) = self.term.borrow_mut().take() else { return };
         for session in term.sessions.values() {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// How many relays are in use.
+    /// Number of relays in use.
     pub(crate) fn count(&self) -> usize {
         self.term.borrow().as_ref().map_or(0, |term| term.assignment.relays())
     }
@@ -212,7 +212,7 @@
         relays_wanted(self.core.borrow().directory.len())
     }
 
-    /// Answers a VM that offers itself.
+    /// Answers an offer of a VM to be a relay.
     pub(crate) fn answer_offer(self: &Rc<Self>, upgrading: Option<Upgrading>) -> Response {
         let wanted = self.wanted();
         let term = self.term.borrow();
@@ -278,7 +278,7 @@
             }
         };
         let read = async {
-            // One that isn't used says nothing.
+            // A spare relay sends no frames.
             let mut last_frame = None;
             loop {
                 let frame = match timeout(UNRESPONSIVE_AFTER, source.next()).await {
@@ -308,7 +308,7 @@
         let mut pending = session.pending.borrow_mut();
         for (number, answer) in answers {
             if let Some(tx) = pending.remove(&number) {
-                // The call may have been given up.
+                // Fails if the call has timed out.
                 let _ = tx.send(answer);
             }
         }
@@ -339,7 +339,7 @@
         }
     }
 
-    /// The relay for a worker; none if it is called directly.
+    /// The relay for a worker; `None` if the worker is called directly.
     async fn relay_of(&self, worker: &WorkerId) -> Option<Rc<Session>> {
         loop {
             let relay_added = self.relay_added.notified();
@@ -357,12 +357,12 @@
                     Route::Wait => {}
                 }
             }
-            // Either way the route is asked for again.
+            // The route is determined again in either case.
             let _ = timeout(ROUTE_RETRY, relay_added).await;
         }
     }
 
-    /// Has a relay make the call; the call back if none carries the worker.
+    /// Makes a call through a relay. Returns the call as an error if the worker is to be called directly.
     async fn relay_call(
         &self,
         worker: &WorkerId,
@@ -388,7 +388,7 @@
         session.pending.borrow_mut().insert(number, tx);
         let answer = match timeout(own_wait + ANSWER_TIMEOUT, rx).await {
             Ok(Ok(answer)) => answer,
-            // The relay is lost; that says nothing of the worker.
+            // The relay is lost; this isn't counted against the worker.
             Ok(Err(_)) => return Ok(unanswered),
             Err(_) => {
                 session.pending.borrow_mut().remove(&number);
--- a/crates/runtime/src/relays/mod.rs
+++ b/crates/runtime/src/relays/mod.rs
@@ -1,13 +1,12 @@
-//! Relays: followers that carry the leader's calls to workers.
+//! Relays: followers that forward the leader's calls to workers.
 //!
-//! Load: hundreds of workers, thousands of starts and polls a second, and one leader on a VM with a fraction of a
-//! core and a thin link. Called one by one, each over HTTP, they take more than that VM has; starts that are
-//! decided then wait for seconds, and work is left undone while workers stand idle.
+//! A leader may run on a fraction of a core with a narrow link. Thousands of HTTP calls a second to hundreds of
+//! workers would exceed both and delay starts by seconds.
 //!
-//! Each follower that reads of a new leader connects to it and offers itself ([`offer`]). The leader uses as many as
-//! its workers ask for, and routes each call by way of one of them or makes it itself ([`Relays`]). It alone
-//! decides, and it asks for its own authority and for what is still wanted right before it hands a call over. What
-//! arrives late at a relay isn't carried out, and what a dead one had in hand counts as unanswered.
+//! Each follower connects to a new leader and offers to be a relay ([`offer`]). The leader uses as many relays as the
+//! number of its workers requires, and routes each call through a relay or makes it directly ([`Relays`]). Only the
+//! leader makes decisions; it checks its authority right before it passes a call to a relay. A relay doesn't make
+//! calls that arrive late. Calls pending at a lost relay count as unanswered.
 
 mod leader;
 mod offer;
@@ -23,22 +22,22 @@
     offer::offer,
 };
 
-/// Where the leader takes offers.
+/// Path for relay offers.
 pub(crate) const PATH: &str = "/relay";
 
-/// What is spoken on the connection then.
+/// Protocol name of the HTTP upgrade.
 const PROTOCOL: &str = "egretlb-relay";
 
-/// Calls and reports are gathered for this long after a frame was sent; the first one after a pause goes at once.
+/// Minimum interval between frames, during which calls and reports are batched.
 const FRAME_GAP: Duration = Duration::from_millis(4);
 
-/// A relay that is in use says at least this often that it lives.
+/// Maximum interval between frames of a relay in use; an empty frame is a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// One that says nothing for so long is given up: it is frozen, or cut off.
+/// How long a relay in use may send no frame before it is removed.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(500);
 
-/// A frame at a time, each after its length.
+/// A connection with length-prefixed frames.
 type Frames = Framed<Duplex, LengthDelimitedCodec>;
 
 fn frames(stream: Duplex) -> Frames {
--- a/crates/runtime/src/relays/offer.rs
+++ b/crates/runtime/src/relays/offer.rs
@@ -1,4 +1,4 @@
-//! A follower's side: it offers itself to the leader and carries its calls.
+//! The follower's side: offers to be a relay and makes the leader's calls.
 
 use {
     super::{FRAME_GAP, HEARTBEAT_INTERVAL, PATH, PROTOCOL, frames},
@@ -21,30 +21,28 @@
     },
 };
 
-/// How long the leader's answer to an offer may take. One that makes all calls by itself is slow to answer, and
-/// needs the offer most.
+/// Timeout of an offer. A leader without relays is overloaded and slow to answer.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The pause before another offer, after one that wasn't wanted.
+/// Pause after a declined offer.
 const DECLINED_PAUSE: Duration = Duration::from_secs(4);
 
-/// The same after a connection that ended, or where nobody leads yet. Many may have ended at once, and the leader would make all calls
-/// itself meanwhile.
+/// Pause after a closed connection or a failed offer. It is short, since the leader may have lost all relays.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
-/// A VM that is weak offers itself so much later than the others, so that those are used first.
+/// Delay of offers from VMs with a low CPU share, so that others are used first.
 const LOW_CPU_DELAY: Duration = Duration::from_millis(100);
 
-/// What is known of the connection to the leader.
+/// The connection to the leader.
 struct Link {
     codec: RefCell<RelayCodec>,
-    /// There is something to report.
+    /// A report was added.
     wake: Notify,
-    /// The leader has sent a frame: it uses this relay.
+    /// The leader has sent a frame, so this relay is in use.
     used: Notify,
 }
 
-/// Offers this process to whoever leads, again and again, until it ends.
+/// Offers this process to each leader as a relay, until the process stops.
 pub(crate) async fn offer(node: Rc<Node>) {
     loop {
         let leader = node.watch.wait_for(Core::other_term).await;
@@ -58,7 +56,7 @@
             let pause = relay_for(&node, leader.addr).await;
             sleep(pause).await;
         };
-        // Another term is offered to at once, also one at the same address: its process has been started anew.
+        // A new term gets a new offer at once, even at the same address, since the process may have been restarted.
         let new_term =
             node.watch.wait_for(|core| (core.other_term() != Some(leader)).then_some(()));
         tokio::select! {
@@ -68,7 +66,7 @@
     }
 }
 
-/// Carries calls for a leader until the connection ends; returns the pause before another one.
+/// Makes calls for a leader until the connection ends; returns the pause before the next offer.
 async fn relay_for(node: &Rc<Node>, leader: SocketAddr) -> Duration {
     let stream = match upgrade(leader, PATH, PROTOCOL, OFFER_TIMEOUT).await {
         Ok(Upgrade::Agreed(stream)) => *stream,
@@ -102,7 +100,7 @@
     let write = async {
         link.used.notified().await;
         while !node.core().stopping {
-            // With nothing to report, the frame is a sign of life.
+            // A frame without reports is a heartbeat.
             let _ = timeout(HEARTBEAT_INTERVAL, link.wake.notified()).await;
             let frame = link.codec.borrow_mut().next_frame(clock_ms(node));
             if sink.send(Bytes::from(frame)).await.is_err() {
--- a/crates/runtime/src/serve.rs
+++ b/crates/runtime/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starting a node, and ending it gracefully.
+//! Startup and graceful shutdown of a node.
 
 use {
     crate::{clients, node::Node, peers},
@@ -17,41 +17,39 @@
 pub struct Listeners {
     /// For clients.
     pub clients: TcpListener,
-    /// For the balancer's question whether to send clients here.
+    /// For the load balancer's readiness check.
     pub ready: TcpListener,
-    /// For followers that hand records to the leader.
+    /// For other nodes: followers that forward records to the leader or offer to be relays; also state and metrics.
     pub peers: TcpListener,
 }
 
-/// How long a process that ends goes on serving: the balancer asks once a second and takes a node out
-/// after two misses.
+/// How long a stopping process continues to serve. The load balancer checks readiness once a second and removes
+/// a node after two failures.
 const DRAIN_TIME: Duration = Duration::from_millis(2_600);
 
-/// Then open connections have this long to finish their requests. Together with [`DRAIN`] it stays
-/// below the 6 s after which the platform kills the process.
+/// How long open connections then have to finish their requests. The platform kills the process after 6 s.
 const FINISH_TIMEOUT: Duration = Duration::from_millis(2_400);
 
-/// Limits of the clients' listener: an eighth of a VM's 4,100 descriptors is far more than the clients
-/// of one balancer use, and the buffers of so many connections stay below 10 MB. The platform's largest
-/// body is 256 KiB. Idle connections are kept for 15 s, the platform's own bound.
+/// Limits of the clients' listener. A VM has 4,100 descriptors; the buffers of these connections take less than
+/// 10 MB. The platform limits bodies to 256 KiB, and idle connections to 15 s.
 const CLIENT_LIMITS: ServerLimits =
     ServerLimits { connections: 512, body_bytes: 256 * 1024, head: Duration::from_secs(15) };
 
-/// Limits of the listener for followers: some connections each of up to a hundred VMs. A record is at
-/// most as large as a client's body and its queue's names.
+/// Limits of the listener for other nodes: several connections each of up to a hundred VMs. A record contains a
+/// client's body and the names of its queue.
 const PEER_LIMITS: ServerLimits =
     ServerLimits { connections: 512, body_bytes: 300 * 1024, head: Duration::from_secs(15) };
 
-/// Limits of the balancer's listener.
+/// Limits of the readiness listener.
 const READY_LIMITS: ServerLimits =
     ServerLimits { connections: 32, body_bytes: 1024, head: Duration::from_secs(15) };
 
-/// Serves until `stop` resolves, then ends gracefully. Must run within a local task set.
+/// Serves until `stop` resolves, then shuts down gracefully. Must run within a [`tokio::task::LocalSet`].
 pub async fn run(node: Rc<Node>, listeners: Listeners, stop: impl Future<Output = ()>) {
     let (stop_tx, stop_rx) = watch::channel(false);
     match listeners.peers.local_addr() {
         Ok(addr) => node.listen_at(addr),
-        // Followers append by themselves then.
+        // Followers then append their records to the store themselves.
         Err(error) => log::warn!(error:% = error; "peer_address_unknown"),
     }
     node.spawn();
@@ -76,12 +74,12 @@
 }
 
 async fn shut_down(stop_tx: &watch::Sender<bool>, clients: JoinHandle<()>) {
-    // Without a listener left there is nobody to be told.
+    // Fails only if all listeners have ended.
     let _ = stop_tx.send(true);
     if timeout(FINISH_TIMEOUT, clients).await.is_err() {
         log::warn!("connections_cut_off");
     }
-    // The last answers are on their way in the connections' own tasks.
+    // Connections run in their own tasks; the channel closes when the last of them ends.
     timeout(FINISH_TIMEOUT, stop_tx.closed())
         .await
         .unwrap_or_else(|_| log::warn!("requests_cut_off"));
--- a/crates/runtime/src/watch.rs
+++ b/crates/runtime/src/watch.rs
@@ -1,4 +1,4 @@
-//! What has been read of the system's own records, for whoever waits for something among them.
+//! Waiting for a condition on the work records read so far.
 
 use {
     crate::{clock::Clock, core::Core},
@@ -8,28 +8,28 @@
     tokio::{sync::Notify, time::sleep},
 };
 
-/// The records as far as they were read. An append whose answer is lost, or another process's taking over, is
-/// learned of here.
+/// Notifies of new reads of the work records. They show whether an append whose answer was lost is stored, and
+/// when another process becomes leader.
 pub(crate) struct RecordWatch {
     core: Rc<RefCell<Core>>,
     answered: Notify,
 }
 
 impl RecordWatch {
-    /// Nothing has been read yet.
+    /// A watch on the state in `core`.
     pub(crate) fn new(core: Rc<RefCell<Core>>) -> RecordWatch {
         RecordWatch { core, answered: Notify::new() }
     }
 
-    /// A read of the records was answered, and what it returned was taken in.
+    /// Wakes the waiting tasks after the result of a read has been applied.
     pub(crate) fn notify_read(&self) {
         self.answered.notify_waiters();
     }
 
-    /// Waits until `look` finds what it looks for: at once, or after one of the next reads.
+    /// Waits until `query` returns a value, evaluating it at once and after each read.
     pub(crate) async fn wait_for<T>(&self, query: impl Fn(&Core) -> Option<T>) -> T {
         loop {
-            // Asked for first: a read that is answered while `look` runs isn't missed.
+            // Registered first, so that no read is missed while `query` runs.
             let answered = self.answered.notified();
             let found = query(&self.core.borrow());
             if let Some(found) = found {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Waits until an append of this process's term is among what was read.
+    /// Waits until this process's append of the given epoch and number has been read.
     pub(crate) async fn wait_for_own_append(&self, epoch: Epoch, seq: Seq) {
         self.wait_for(|core| {
             let newest = core.ledger.leader()?;
@@ -48,7 +48,7 @@
         .await;
     }
 
-    /// Waits for `patience`, and until a read that was answered after the call has reached the records' end.
+    /// Sleeps for `delay`, then waits until a read answered since this call has reached the end of the records.
     pub(crate) async fn wait_for_read_after(&self, delay: Duration) {
         let called_at = Clock.now();
         sleep(delay).await;
@@ -59,7 +59,7 @@
         .await;
     }
 
-    /// Waits until clients' records are among what was read.
+    /// Waits until all of these clients' records have been read.
     pub(crate) async fn wait_for_records(&self, records: &[Record]) {
         self.wait_for(|core| {
             records.iter().all(|record| core.ledger.contains(record)).then_some(())
@@ -67,7 +67,7 @@
         .await;
     }
 
-    /// Waits until another process leads than the one that takes records at `addr`.
+    /// Waits until the leader isn't the process at `addr`.
     pub(crate) async fn wait_for_other_leader(&self, addr: SocketAddr) {
         self.wait_for(|core| (core.other_leader() != Some(addr)).then_some(())).await;
     }
--- a/crates/runtime/tests/bad_entry_log.rs
+++ b/crates/runtime/tests/bad_entry_log.rs
@@ -1,4 +1,4 @@
-//! Each entry that can't be read is told once, and a flood of them stays small.
+//! Each unreadable entry is reported once, and the number of log lines is bounded.
 
 use {
     egretlb_runtime::{BadEntry, BadEntryLog, LogAction, platform::EntryKind},
@@ -24,8 +24,7 @@
     assert_eq!(log.record(NOW, &other), line);
 }
 
-/// Another writer leaves thousands of entries in a second. Each line of it would push the lines that explain
-/// clients' requests out of the log.
+/// Thousands of unreadable entries in a second must not displace other lines from the log.
 #[test]
 fn flood_bounded() {
     let mut log = BadEntryLog::default();
@@ -34,7 +33,7 @@
     let lines = actions.iter().filter(|action| matches!(action, LogAction::Log { .. }));
     assert_eq!(lines.count(), 20);
     assert!(!actions.contains(&LogAction::Ignore));
-    // Those of late are remembered, the others aren't.
+    // Only the newest entries are remembered.
     assert_eq!(log.record(NOW, &entry("flood-99999", 1)), LogAction::Ignore);
     assert_eq!(log.record(NOW, &entry("flood-0", 1)), LogAction::Count);
     let later = NOW + Duration::from_secs(10);
