--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -41,7 +41,7 @@
 /// Answers a client's request.
 pub(crate) async fn answer(node: Rc<Node>, req: Request) -> Response {
     let arrived = node.clock().now();
-    let response = answer_at(&node, arrived, &req).await;
+    let response = route_request(&node, arrived, &req).await;
     let answered = match response.status {
         status::OK | status::GONE => Answered::Done,
         status::UNAVAILABLE => Answered::Refused,
@@ -52,7 +52,7 @@
     response
 }
 
-async fn answer_at(node: &Rc<Node>, arrived: Time, req: &Request) -> Response {
+async fn route_request(node: &Rc<Node>, arrived: Time, req: &Request) -> Response {
     let route = {
         let core = node.core();
         let Some(routes) = &core.routes else { return unavailable() };
--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -164,10 +164,10 @@
         }
     }
 
-    /// Handles a complete reload of the directory: workers not in `found` are absent.
-    pub(crate) fn on_directory_loaded(&mut self, now: Time, found: &HashSet<WorkerId>) {
-        let listed = self.directory.keys().chain(&self.unreadable_workers);
-        let missing: Vec<WorkerId> = listed.filter(|id| !found.contains(*id)).cloned().collect();
+    /// Handles a complete reload of the directory: workers not in `listed` are absent.
+    pub(crate) fn on_directory_loaded(&mut self, now: Time, listed: &HashSet<WorkerId>) {
+        let current = self.directory.keys().chain(&self.unreadable_workers);
+        let missing: Vec<WorkerId> = current.filter(|id| !listed.contains(*id)).cloned().collect();
         for id in missing {
             self.on_directory(now, DirectoryChange::Absent(id));
         }
@@ -203,7 +203,7 @@
         !self.stopping && self.routes.is_some() && self.is_fresh(now)
     }
 
-    /// Whether the records are up to date, so that a workflow that isn't found doesn't exist.
+    /// Whether the records are up to date, so that a workflow that isn't listed doesn't exist.
     pub(crate) fn is_fresh(&self, now: Time) -> bool {
         self.work_progress.loaded
             && self.work_progress.answered_at.is_some_and(|at| now.since(at) < STALE_AFTER)
--- a/crates/runtime/src/leader_append.rs
+++ b/crates/runtime/src/leader_append.rs
@@ -30,7 +30,7 @@
 
 /// Maximum number of tries to record the release of a term, 1.2 s in total if the store answers at once. Without
 /// the release, a successor takes over later.
-const RELEASE_TRIES: u32 = 20;
+const MAX_RELEASE_TRIES: u32 = 20;
 
 impl Node {
     /// Appends records and pending clients' records under the leader's epoch, and retries until the outcome is
@@ -66,8 +66,8 @@
     }
 
     async fn append_until_settled(self: &Rc<Self>, mut records: Vec<Record>) -> Stored {
-        let heartbeat_parts = self.core.borrow_mut().leadership.heartbeat(self.clock.now(), false);
-        let Some((epoch, seq, heartbeat)) = heartbeat_parts else { return Stored::No };
+        let fenced_heartbeat = self.core.borrow_mut().leadership.heartbeat(self.clock.now(), false);
+        let Some((epoch, seq, heartbeat)) = fenced_heartbeat else { return Stored::No };
         records.push(heartbeat);
         let append = Append { records, fence: Some(Fence { epoch, seq }) };
         // A retry may be answered with the result of the first try, so only the first send time counts.
@@ -118,7 +118,7 @@
     pub(crate) async fn retire(self: &Rc<Self>) {
         self.core.borrow_mut().stopping = true;
         // The append numbers of a term have no gaps, so the append in progress must end first.
-        for _ in 0..RELEASE_TRIES {
+        for _ in 0..MAX_RELEASE_TRIES {
             if self.append_started.get().is_none() {
                 break;
             }
@@ -134,7 +134,7 @@
         self.step(|core, now, out| core.leadership.resign(now, &mut out.leadership));
         let fence = Some(Fence { epoch, seq });
         let append = Append { records: vec![heartbeat], fence };
-        for _ in 0..RELEASE_TRIES {
+        for _ in 0..MAX_RELEASE_TRIES {
             match self.store.append(&append).await {
                 AppendResult::Done | AppendResult::Fenced => return,
                 _ => sleep(RETRY_PAUSE).await,
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -57,8 +57,8 @@
     pub limits: Limits,
 }
 
-/// The order in which followers claim leadership, in thousandths of the takeover spread; the lowest rank claims first.
-/// It grows as the CPU share shrinks. A random part separates VMs of equal CPU share.
+/// Delay before a follower claims leadership, in thousandths of the takeover spread: 0 to 999 for VMs fit to lead. It
+/// grows as the CPU share shrinks; a random part separates VMs of equal share.
 fn claim_rank(options: &NodeOptions) -> u32 {
     let mut hasher = DefaultHasher::new();
     options.incarnation.hash(&mut hasher);
@@ -315,8 +315,8 @@
         }
     }
 
-    pub(crate) fn on_directory_loaded(self: &Rc<Self>, found: &HashSet<WorkerId>) {
-        self.step(|core, now, _| core.on_directory_loaded(now, found));
+    pub(crate) fn on_directory_loaded(self: &Rc<Self>, listed: &HashSet<WorkerId>) {
+        self.step(|core, now, _| core.on_directory_loaded(now, listed));
     }
 
     /// Handles the sending of a read of the work records.
--- a/crates/runtime/src/relays/leader.rs
+++ b/crates/runtime/src/relays/leader.rs
@@ -279,18 +279,18 @@
         };
         let read = async {
             // A spare relay sends no frames.
-            let mut last_frame = None;
+            let mut last_activity = None;
             loop {
                 let frame = match timeout(UNRESPONSIVE_AFTER, source.next()).await {
                     Ok(Some(Ok(frame))) => frame,
                     Ok(_) => return SessionEnd::Closed,
-                    Err(_) if last_frame.is_some() => return SessionEnd::Unresponsive,
+                    Err(_) if last_activity.is_some() => return SessionEnd::Unresponsive,
                     Err(_) => {
-                        last_frame = session.used.get().then(|| self.clock.now());
+                        last_activity = session.used.get().then(|| self.clock.now());
                         continue;
                     }
                 };
-                last_frame = Some(self.clock.now());
+                last_activity = Some(self.clock.now());
                 if let Err(error) = self.receive_answers(session, &frame) {
                     return SessionEnd::Unreadable(error);
                 }
@@ -378,7 +378,7 @@
         if !session.codec.borrow().has_worker(worker) {
             self.direct.close_idle(addr);
         }
-        let own_wait = match &call {
+        let requested_wait = match &call {
             Call::Poll { wait_ms, .. } => Duration::from_millis(*wait_ms),
             Call::Start { .. } | Call::Stop { .. } | Call::Pace { .. } => Duration::ZERO,
         };
@@ -386,7 +386,7 @@
         let (tx, rx) = oneshot::channel();
         let number = session.add(self.clock.now(), worker, addr, call);
         session.pending.borrow_mut().insert(number, tx);
-        let answer = match timeout(own_wait + ANSWER_TIMEOUT, rx).await {
+        let answer = match timeout(requested_wait + ANSWER_TIMEOUT, rx).await {
             Ok(Ok(answer)) => answer,
             // The relay is lost; this isn't counted against the worker.
             Ok(Err(_)) => return Ok(unanswered),
--- a/crates/runtime/src/relays/offer.rs
+++ b/crates/runtime/src/relays/offer.rs
@@ -34,7 +34,7 @@
 const LOW_CPU_DELAY: Duration = Duration::from_millis(100);
 
 /// The connection to the leader.
-struct Link {
+struct LeaderLink {
     codec: RefCell<RelayCodec>,
     /// A report was added.
     wake: Notify,
@@ -81,13 +81,13 @@
         }
     };
     let link =
-        Rc::new(Link { codec: RefCell::default(), wake: Notify::new(), used: Notify::new() });
+        Rc::new(LeaderLink { codec: RefCell::default(), wake: Notify::new(), used: Notify::new() });
     exchange(node, &link, stream).await;
     log::info!(leader:%; "relaying_ended");
     RECONNECT_PAUSE
 }
 
-async fn exchange(node: &Rc<Node>, link: &Rc<Link>, stream: Duplex) {
+async fn exchange(node: &Rc<Node>, link: &Rc<LeaderLink>, stream: Duplex) {
     let (mut sink, mut source) = frames(stream).split();
     let hello = Hello {
         name: node.name.clone(),
@@ -143,12 +143,12 @@
     node.clock().now().as_micros() / 1_000
 }
 
-fn report(link: &Link, number: egretlb_relay::CallNo, answer: Answer) {
+fn report(link: &LeaderLink, number: egretlb_relay::CallNo, answer: Answer) {
     link.codec.borrow_mut().add(number, answer);
     link.wake.notify_one();
 }
 
-async fn perform_call(node: Rc<Node>, link: Rc<Link>, relayed: RelayedCall) {
+async fn perform_call(node: Rc<Node>, link: Rc<LeaderLink>, relayed: RelayedCall) {
     let RelayedCall { number, epoch, worker, addr, call } = relayed;
     let workers = node.relays.direct();
     let answer = match call {
