--- a/crates/egretlbd/src/args.rs
+++ b/crates/egretlbd/src/args.rs
@@ -1,30 +1,30 @@
-//! The command line: raw flags, lowered into what the daemon is asked for.
+//! Parsing of the command line.
 
 use {pico_args::Arguments, std::ffi::OsString};
 
-/// What the command line asks for.
+/// The action that the command line selects.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Asked {
-    /// The short or the long help.
+pub(crate) enum Action {
+    /// Print the help.
     Help {
-        /// Whether the long one.
+        /// Whether to print the long form.
         long: bool,
     },
-    /// The version.
+    /// Print the version.
     Version,
-    /// Check the settings and end.
+    /// Check the settings and exit.
     Check,
-    /// Run.
+    /// Run the daemon.
     Run {
-        /// How often `-v` is given.
+        /// Number of `-v` flags.
         verbose: usize,
-        /// How often `-q` is given.
+        /// Number of `-q` flags.
         quiet: usize,
     },
 }
 
-/// Reads the command line; the error says what is wrong with it.
-pub(crate) fn parse(args: Vec<OsString>) -> Result<Asked, String> {
+/// Parses the command line, without the program name; returns a message if it is invalid.
+pub(crate) fn parse(args: Vec<OsString>) -> Result<Action, String> {
     let mut args = Arguments::from_vec(args);
     let long = args.contains("--help");
     let short = args.contains("-h");
@@ -38,14 +38,14 @@
         return Err(format!("unexpected argument {}", rest.display()));
     }
     Ok(match (long || short, version, check) {
-        (true, ..) => Asked::Help { long },
-        (_, true, _) => Asked::Version,
-        (_, _, true) => Asked::Check,
-        _ => Asked::Run { verbose, quiet },
+        (true, ..) => Action::Help { long },
+        (_, true, _) => Action::Version,
+        (_, _, true) => Action::Check,
+        _ => Action::Run { verbose, quiet },
     })
 }
 
-/// The help text.
+/// The short or long help text.
 pub(crate) fn help(long: bool) -> String {
     format!("{SHORT}{}", if long { LONG } else { "\n--help says more, with exit codes.\n" })
 }
--- a/crates/egretlbd/src/main.rs
+++ b/crates/egretlbd/src/main.rs
@@ -1,9 +1,9 @@
-//! The daemon of each entry VM.
+//! The daemon that runs on each entry VM.
 
 mod args;
 
 use {
-    crate::args::Asked,
+    crate::args::Action,
     egretlb_platform::{
         AdviceService, CloudFleet, JsonFormats, LogStore, RpcWorkers, Settings, SettingsError,
     },
@@ -29,16 +29,16 @@
 /// Why the daemon can't start.
 #[derive(Debug)]
 enum StartError {
-    /// The settings have faults.
+    /// The settings are unreadable or invalid.
     Settings(SettingsError),
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The error of the system call.
         error: io::Error,
     },
-    /// The system refused what the daemon needs.
+    /// Creating the runtime or registering a signal handler failed.
     System(io::Error),
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Exit codes. Scripts rely on them: none changes its meaning.
+/// Exit codes. Scripts rely on them, so their meaning must not change.
 mod exit {
     pub(super) const USAGE: u8 = 2;
     pub(super) const SETTINGS: u8 = 3;
@@ -63,10 +63,10 @@
 
 fn main() -> ExitCode {
     match args::parse(env::args_os().skip(1).collect()) {
-        Ok(Asked::Help { long }) => print(&args::help(long)),
-        Ok(Asked::Version) => print(concat!("egretlbd ", env!("CARGO_PKG_VERSION"), "\n")),
-        Ok(Asked::Check) => report(Settings::read().map(drop).map_err(StartError::Settings)),
-        Ok(Asked::Run { verbose, quiet }) => report(start(verbose, quiet)),
+        Ok(Action::Help { long }) => print(&args::help(long)),
+        Ok(Action::Version) => print(concat!("egretlbd ", env!("CARGO_PKG_VERSION"), "\n")),
+        Ok(Action::Check) => report(Settings::read().map(drop).map_err(StartError::Settings)),
+        Ok(Action::Run { verbose, quiet }) => report(start(verbose, quiet)),
         Err(message) => {
             eprintln!("egretlbd: {message}; see egretlbd --help");
             ExitCode::from(exit::USAGE)
@@ -74,7 +74,7 @@
     }
 }
 
-/// Writes to standard output; a reader that has gone is no failure of the daemon.
+/// Writes to standard output and ignores errors such as a closed pipe.
 fn print(text: &str) -> ExitCode {
     let _ = io::stdout().write_all(text.as_bytes());
     ExitCode::SUCCESS
@@ -83,8 +83,8 @@
 fn report(result: Result<(), StartError>) -> ExitCode {
     let Err(error) = result else { return ExitCode::SUCCESS };
     eprintln!("egretlbd: {error}");
-    let settings = matches!(error, StartError::Settings(_));
-    ExitCode::from(if settings { exit::SETTINGS } else { exit::CANT_START })
+    let is_settings_error = matches!(error, StartError::Settings(_));
+    ExitCode::from(if is_settings_error { exit::SETTINGS } else { exit::CANT_START })
 }
 
 fn start(verbose: usize, quiet: usize) -> Result<(), StartError> {
@@ -128,7 +128,7 @@
     let mut interrupt = signal(SignalKind::interrupt()).map_err(StartError::System)?;
     let mut hangup = signal(SignalKind::hangup()).map_err(StartError::System)?;
     tokio::task::spawn_local(async move {
-        // Nothing that this program uses changes in the file while it runs.
+        // The settings are read once at startup, so SIGHUP has no effect.
         while hangup.recv().await.is_some() {
             log::info!("settings_unchanged");
         }
--- a/crates/runtime/src/relays/mod.rs
+++ b/crates/runtime/src/relays/mod.rs
@@ -5,8 +5,8 @@
 //!
 //! Each follower connects to a new leader and offers to be a relay ([`offer`]). The leader uses as many relays as the
 //! number of its workers requires, and routes each call through a relay or makes it directly ([`Relays`]). Only the
-//! leader makes decisions; it checks its authority right before it passes a call to a relay. A relay doesn't make
-//! calls that arrive late. Calls pending at a lost relay count as unanswered.
+//! leader makes decisions. It checks its authority, and that a start is still wanted, right before it passes a call
+//! on. A relay doesn't make calls that arrive late. Calls pending at a lost relay count as unanswered.
 
 mod leader;
 mod offer;
