--- a/crates/relay/src/assignment.rs
+++ b/crates/relay/src/assignment.rs
@@ -11,7 +11,7 @@
     },
 };
 
-/// Maximum number of workers per relay. At three calls a second per task slot, this takes a quarter of the
+/// Target number of workers per relay. At three calls a second per task slot, this takes a quarter of the
 /// processor time of a VM with an eighth of a core.
 pub const WORKERS_PER_RELAY: usize = 64;
 
