--- a/crates/relay/src/codec.rs
+++ b/crates/relay/src/codec.rs
@@ -107,7 +107,7 @@
         clock_ms: u64,
         rows: Vec<Row>,
         ended: Vec<End>,
-        odd: Option<UnreadableRows>,
+        unreadable: Option<UnreadableRows>,
     },
     PollFailure(PollFailure),
     Start(StartResult),
@@ -251,14 +251,14 @@
                 PollFailure::Refused => PollResult::Refused,
                 PollFailure::Failed => PollResult::Failed,
             }),
-            Report::PollReply { worker, clock_ms, rows, ended, odd } => {
+            Report::PollReply { worker, clock_ms, rows, ended, unreadable } => {
                 let previous = self
                     .running_lists
                     .get_mut(worker.0 as usize)
                     .ok_or(CodecError::UndeclaredReference)?;
                 let running = rows::apply(previous, rows).ok_or(CodecError::UndeclaredReference)?;
                 previous.clone_from(&running);
-                let unreadable = odd.unwrap_or_default();
+                let unreadable = unreadable.unwrap_or_default();
                 Answer::Poll(PollResult::Lists(PollReply { clock_ms, running, ended, unreadable }))
             }
         })
@@ -351,8 +351,8 @@
         let PollReply { clock_ms, running, ended, unreadable } = reply;
         let rows = rows::diff(previous, &running);
         *previous = running;
-        let odd = (unreadable != UnreadableRows::default()).then_some(unreadable);
-        Report::PollReply { worker, clock_ms, rows, ended, odd }
+        let unreadable = (unreadable != UnreadableRows::default()).then_some(unreadable);
+        Report::PollReply { worker, clock_ms, rows, ended, unreadable }
     }
 
     /// Whether the next frame contains reports.
--- a/crates/relay/src/rows.rs
+++ b/crates/relay/src/rows.rs
@@ -17,7 +17,7 @@
         index: u16,
         /// Its progress in percent.
         percent: u32,
-        /// Its tail latency in milliseconds if it is latency-critical, else its CPU use.
+        /// Its tail latency in milliseconds if it is latency-critical, else its CPU use in millicores.
         figure: u32,
         /// Its checkpoint, if that has changed.
         saved: Option<CompactString>,
--- a/crates/runtime/src/append.rs
+++ b/crates/runtime/src/append.rs
@@ -4,7 +4,7 @@
     crate::{
         clock::Clock,
         platform::{Append, Store},
-        watch::RecordWatch,
+        reads::RecordWatch,
     },
     egretlb_types::Time,
     egretlb_workflow::{AppendResult, Record},
--- a/crates/runtime/src/commands.rs
+++ b/crates/runtime/src/commands.rs
@@ -69,7 +69,7 @@
                 spawn_local(Rc::clone(self).list_vms());
             }
             Effect::BeginMaintenance { vm, wave, epoch } => {
-                spawn_local(Rc::clone(self).start_maintenance(vm, wave, epoch));
+                spawn_local(Rc::clone(self).begin_maintenance(vm, wave, epoch));
             }
             Effect::ReportWave { wave, state } => {
                 spawn_local(Rc::clone(self).report_wave(wave, state));
@@ -186,9 +186,9 @@
         self.with_scheduler(epoch, |scheduler, _, _| scheduler.on_vms(sent, listed));
     }
 
-    async fn start_maintenance(self: Rc<Self>, vm: VmId, wave: u64, epoch: Epoch) {
+    async fn begin_maintenance(self: Rc<Self>, vm: VmId, wave: u64, epoch: Epoch) {
         let result = if self.may_send(epoch) {
-            self.fleet.start_maintenance(&self.name, epoch, &vm, wave).await
+            self.fleet.begin_maintenance(&self.name, epoch, &vm, wave).await
         } else {
             MaintenanceResult::Unknown
         };
--- a/crates/runtime/src/dump.rs
+++ b/crates/runtime/src/dump.rs
@@ -24,7 +24,7 @@
     workers: usize,
     /// Age of the last read of the records; none before the first.
     records_read_ms: Option<u64>,
-    /// Workers that the new leader hasn't accounted for yet.
+    /// Workers that the new leader hasn't reconciled yet.
     unaccounted: usize,
     /// The relays of this leader.
     relays: Vec<Relay>,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -17,9 +17,9 @@
 mod leader_append;
 mod node;
 mod peers;
+mod reads;
 mod relays;
 mod serve;
-mod watch;
 
 pub use crate::{
     bad_entries::{BadEntry, BadEntryLog, Decoded, LogAction},
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -237,7 +237,7 @@
     fn list(&self) -> LocalBoxFuture<'_, Decoded<Option<VmList>>>;
 
     /// Starts the maintenance of a VM, on behalf of the process `holder`.
-    fn start_maintenance<'a>(
+    fn begin_maintenance<'a>(
         &'a self,
         holder: &'a str,
         epoch: Epoch,
