--- a/crates/runtime/src/relays/mod.rs
+++ b/crates/runtime/src/relays/mod.rs
@@ -3,7 +3,7 @@
 //! A leader may run on a fraction of a core with a narrow link. Thousands of HTTP calls a second to hundreds of
 //! workers would exceed both and delay starts by seconds.
 //!
-//! Each follower connects to a new leader and offers to be a relay ([`offer`]). The leader uses as many relays as the
+//! Each follower connects to a new leader and offers to be a relay ([`offer()`]). The leader uses as many relays as the
 //! number of its workers requires, and routes each call through a relay or makes it directly ([`Relays`]). Only the
 //! leader makes decisions. It checks its authority, and that a start is still wanted, right before it passes a call
 //! on. A relay doesn't make calls that arrive late. Calls pending at a lost relay count as unanswered.
