--- a/crates/requests/src/entry/arrive.rs
+++ b/crates/requests/src/entry/arrive.rs
@@ -1,4 +1,4 @@
-//! Admission: what is decided of a request on its arrival.
+//! Admission: whether a request is accepted on its arrival.
 
 use {
     super::{
@@ -17,16 +17,15 @@
     std::time::Duration,
 };
 
-/// A class whose requests have waited for this long without any share has no backend server in
-/// reach: one ask and its answer take a few milliseconds.
-const NO_SHARE_FOR: Duration = Duration::from_millis(500);
+/// How long requests of a class wait for a first share before further ones are refused. A share
+/// request is normally answered within milliseconds.
+const MAX_SHARE_WAIT: Duration = Duration::from_millis(500);
 
-/// A request is admitted if the wait foretold is at most one in so many parts of the time that it
-/// may wait.
+/// A request is admitted if its estimated wait is at most this fraction (1/n) of its maximum wait.
 ///
-/// The forecast errs, and who is admitted at its limit is refused after a long wait as often as
-/// not. A shorter queue keeps the servers just as busy.
-const WAIT_ONE_IN: u32 = 2;
+/// The estimate is inexact: requests admitted close to the limit are often refused after a long
+/// wait.
+const WAIT_DIVISOR: u32 = 2;
 
 impl Entry {
     pub(super) fn arrive(&mut self, now: Time, arrival: Arrival, out: &mut Vec<EntryEffect>) {
@@ -41,24 +40,24 @@
             self.classes.get_mut(class).load.refused();
             return refuse(request, reason, wait, out);
         }
-        let entered = self.new_request(now, class, &service, arrival);
-        let member = entered.member;
-        self.fairness.arrived(member, now);
-        self.timers.insert((entered.deadline, Timer::Deadline(request)));
-        let keyed = entered.keyed.is_some();
-        self.requests.insert(request, entered);
+        let admitted = self.new_request(now, class, &service, arrival);
+        let organisation = admitted.organisation;
+        self.fairness.arrived(organisation, now);
+        self.timers.insert((admitted.deadline, Timer::Deadline(request)));
+        let keyed = admitted.keyed.is_some();
+        self.requests.insert(request, admitted);
         if keyed {
-            self.timers.insert((now + PERMIT_TIMEOUT, Timer::PermitWait(request)));
+            self.timers.insert((now + PERMIT_TIMEOUT, Timer::PermitTimeout(request)));
             self.request_permit(now, request, out);
         } else {
             self.enqueue(now, request);
         }
     }
 
-    /// Why the request is refused at once, and after which wait it may succeed.
+    /// Returns why the request is refused on arrival, and the wait after which it may succeed.
     ///
-    /// For bursts and overload: who would wait in vain takes up the place of others and learns of
-    /// it late. What can be foretold is said on arrival, while the caller can still go elsewhere.
+    /// For bursts and overload: a request that can't be answered in time is refused at once, so
+    /// that it takes no slot and its caller can try elsewhere.
     fn refusal(
         &self,
         now: Time,
@@ -66,33 +65,35 @@
         service: &Service,
         arrival: &Arrival,
     ) -> Option<(NotRunReason, Duration)> {
-        if self.shut_down_at.is_some() {
+        if self.shutdown_started_at.is_some() {
             return Some((NotRunReason::ShuttingDown, Duration::ZERO));
         }
         let state = self.classes.get(class);
-        let backlog = state.drain.wait(now, state.queue.len() + 1);
-        if self.servers.serving(class) == 0 || self.lacks_share(now, class) {
-            return Some((NotRunReason::NoBackendServer, backlog));
+        let queue_wait = state.drain_meter.estimated_wait(now, state.queue.len() + 1);
+        if self.servers.server_count(class) == 0 || self.lacks_share(now, class) {
+            return Some((NotRunReason::NoBackendServer, queue_wait));
         }
         if state.queue.len() >= self.opts.max_queue_len {
-            return Some((NotRunReason::QueueFull, backlog));
+            return Some((NotRunReason::QueueFull, queue_wait));
         }
-        let patience = arrival.deadline.unwrap_or(service.target).min(service.target);
-        let room = patience.saturating_sub(state.service_time(patience));
-        let foretold = self.opts.order == QueueOrder::EarliestDeadline && !state.queue.is_empty();
-        let wait = state.drain.wait(now, state.queue.len());
-        if patience.is_zero() || (foretold && wait > room / WAIT_ONE_IN) {
-            return Some((NotRunReason::TooLate, backlog));
+        let time_budget = arrival.deadline.unwrap_or(service.target).min(service.target);
+        let max_wait = time_budget.saturating_sub(state.service_time(time_budget));
+        let predictable =
+            self.opts.order == QueueOrder::EarliestDeadline && !state.queue.is_empty();
+        let wait = state.drain_meter.estimated_wait(now, state.queue.len());
+        if time_budget.is_zero() || (predictable && wait > max_wait / WAIT_DIVISOR) {
+            return Some((NotRunReason::TooLate, queue_wait));
         }
         None
     }
 
-    /// For grantors out of reach: the first request waits for a share, those behind it needn't.
+    /// With the grantors unreachable, the first request waits for a share and later ones are
+    /// refused.
     fn lacks_share(&self, now: Time, class: ClassIx) -> bool {
         let state = self.classes.get(class);
-        self.servers.shares(class) == 0
+        self.servers.share_sum(class) == 0
             && !state.queue.is_empty()
-            && state.starved_since.is_some_and(|at| now.since(at) >= NO_SHARE_FOR)
+            && state.starved_since.is_some_and(|at| now.since(at) >= MAX_SHARE_WAIT)
     }
 
     fn new_request(
@@ -104,7 +105,7 @@
     ) -> Request {
         let deadline =
             now + arrival.deadline.unwrap_or(MAX_ATTEMPT_DURATION).min(MAX_ATTEMPT_DURATION);
-        // A key on an idempotent class changes nothing: running twice does no harm there.
+        // Idempotent requests may run twice, so their keys are ignored.
         let key = arrival.key.filter(|_| !service.idempotent);
         let keyed = key.map(|key| {
             let shard = shard_of_key(&key);
@@ -112,43 +113,43 @@
         });
         Request {
             class,
-            member: self.fairness.find_or_add(&service.member),
+            organisation: self.fairness.find_or_add(&service.organisation),
             arrived: now,
             deadline,
-            answer_by: deadline.min(now + service.target),
+            target_deadline: deadline.min(now + service.target),
             idempotent: service.idempotent,
             keyed,
             phase: Phase::AwaitsPermit,
             attempts: SmallVec::new(),
-            sends: 0,
+            send_count: 0,
             caller_waits: true,
             may_have_run: false,
             hedge_at: None,
         }
     }
 
-    /// Puts a request into its class's queue.
+    /// Adds a request to its class's queue.
     pub(super) fn enqueue(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let (class, member) = (request.class, request.member);
-        let starved = self.servers.shares(class) == 0;
+        let (class, organisation) = (request.class, request.organisation);
+        let starved = self.servers.share_sum(class) == 0;
         let state = self.classes.get_mut(class);
         if starved {
             state.starved_since.get_or_insert(now);
         }
         let target = state.service.as_ref().map_or(MAX_ATTEMPT_DURATION, |service| service.target);
-        let patience = request.answer_by.since(request.arrived).min(target);
-        let give_up_at = request.answer_by - state.service_time(patience);
-        let key = QueueKey { give_up_at: give_up_at.max(now), request: id };
+        let time_budget = request.target_deadline.since(request.arrived).min(target);
+        let queue_deadline = request.target_deadline - state.service_time(time_budget);
+        let key = QueueKey { queue_deadline: queue_deadline.max(now), request: id };
         request.phase = Phase::Queued(key);
         state.queue.insert(key, id);
-        state.note_need();
-        self.timers.insert((key.give_up_at, Timer::GiveUp(id)));
-        self.fairness.enqueued(member, class);
+        state.record_need();
+        self.timers.insert((key.queue_deadline, Timer::QueueDeadline(id)));
+        self.fairness.enqueued(organisation, class);
         self.waiting += 1;
     }
 
-    /// Takes a request out of its queue.
+    /// Removes a request from its queue.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let Phase::Queued(key) = request.phase else { return };
@@ -156,15 +157,15 @@
         state.queue.remove(&key);
         let last = state.queue.is_empty();
         if last {
-            state.drain.emptied();
+            state.drain_meter.queue_emptied();
         }
-        self.fairness.dequeued(request.member, request.class, last);
-        self.timers.remove(&(key.give_up_at, Timer::GiveUp(id)));
+        self.fairness.dequeued(request.organisation, request.class, last);
+        self.timers.remove(&(key.queue_deadline, Timer::QueueDeadline(id)));
         self.waiting -= 1;
     }
 }
 
-/// Answers at once that the request isn't run.
+/// Refuses a request that was never sent.
 fn refuse(id: RequestId, reason: NotRunReason, wait: Duration, out: &mut Vec<EntryEffect>) {
     let retry_after = RetryAfter::from_wait(wait);
     out.push(EntryEffect::Answer { request: id, verdict: Verdict::Refuse { reason, retry_after } });
--- a/crates/requests/src/entry/budget.rs
+++ b/crates/requests/src/entry/budget.rs
@@ -1,20 +1,19 @@
-//! How much may be sent a second time.
+//! Token bucket that limits retries and hedges.
 
-/// What each first sending adds: a little under a tenth, so that retries and hedges together, with
-/// the tokens that a class begins with, stay under a tenth of the load whatever fails. Three blind retries would quadruple the load of servers that are
-/// failing because of load.
-const EARNED: f64 = 0.09;
+/// Tokens added by each first attempt. Together with [`INITIAL_TOKENS`] it keeps retries and hedges
+/// below a tenth of the load, so that they can't amplify an overload.
+const TOKENS_PER_REQUEST: f64 = 0.09;
 
-/// The most that is saved up: a class that was quiet for long may not flood a failing server.
-const MOST: f64 = 10.0;
+/// Capacity of the bucket: limits the burst of retries after a quiet time.
+const MAX_TOKENS: f64 = 10.0;
 
-/// What a class begins with: its first requests may meet a dead server.
-const AT_FIRST: f64 = 3.0;
+/// Tokens at the start, since a class's first requests may meet a dead server.
+const INITIAL_TOKENS: f64 = 3.0;
 
-/// What hedges leave for retries: a retry saves a request that a hedge only speeds up.
-const KEPT_FOR_RETRIES: f64 = 2.0;
+/// Tokens that hedges leave for retries.
+const RESERVED_FOR_RETRIES: f64 = 2.0;
 
-/// Tokens for second sendings of one class.
+/// Tokens for the retries and hedges of one class.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryBudget {
     tokens: f64,
@@ -22,28 +21,28 @@
 
 impl RetryBudget {
     pub(super) fn new() -> Self {
-        RetryBudget { tokens: AT_FIRST }
+        RetryBudget { tokens: INITIAL_TOKENS }
     }
 
     pub(super) fn earn(&mut self) {
-        self.tokens = (self.tokens + EARNED).min(MOST);
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Takes a token for a retry if there is one.
+    /// Takes a token for a retry; returns whether there was one.
     pub(super) fn spend(&mut self) -> bool {
-        self.spend_above(0.0)
+        self.spend_above_reserve(0.0)
     }
 
-    /// Takes a token for a hedge if enough are left for retries.
+    /// Takes a token for a hedge; returns whether enough were left for retries.
     pub(super) fn spend_on_hedge(&mut self) -> bool {
-        self.spend_above(KEPT_FOR_RETRIES)
+        self.spend_above_reserve(RESERVED_FOR_RETRIES)
     }
 
-    fn spend_above(&mut self, kept: f64) -> bool {
-        let enough = self.tokens >= kept + 1.0;
-        if enough {
+    fn spend_above_reserve(&mut self, reserve: f64) -> bool {
+        let available = self.tokens >= reserve + 1.0;
+        if available {
             self.tokens -= 1.0;
         }
-        enough
+        available
     }
 }
--- a/crates/requests/src/entry/class.rs
+++ b/crates/requests/src/entry/class.rs
@@ -1,11 +1,11 @@
-//! What an entry knows of one class.
+//! An entry's state of one class.
 
 use {
     super::{
         budget::RetryBudget,
-        latency::Latency,
-        limit::Limit,
-        meter::{Drain, LoadMeter},
+        latency::LatencyHistogram,
+        limit::ConcurrencyLimit,
+        meter::{DrainMeter, LoadMeter},
         options::QueueOrder,
     },
     crate::ids::RequestId,
@@ -16,29 +16,29 @@
     },
 };
 
-/// A second sending starts after this many hundredths of the class's p95: fewer than one request
-/// in twenty gets that far, so hedges stay far below the budget while all is well.
-const HEDGE_PERCENT: u32 = 150;
+/// Delay of a hedge in percent of the class's p95 latency. Fewer than 5% of the requests get that
+/// far.
+const HEDGE_DELAY_PERCENT: u32 = 150;
 
-/// No hedge before this: timers and scheduling make shorter waits meaningless.
-const HEDGE_LEAST: Duration = Duration::from_millis(2);
+/// Minimum delay of a hedge; timer resolution makes shorter ones meaningless.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(2);
 
-/// The place of a class in [`Classes`].
+/// Index of a class in [`Classes`].
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(super) struct ClassIx(pub(super) usize);
 
-/// The place of a request in its class's queue.
+/// Position of a request in its class's queue.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct QueueKey {
-    /// When it is worth nothing any more; equal ones in the order of arrival.
-    pub(super) give_up_at: Time,
+    /// When the request can't be answered in time any more; ties are broken by order of arrival.
+    pub(super) queue_deadline: Time,
     pub(super) request: RequestId,
 }
 
-/// What the configuration in force says of a class that serves requests.
+/// Settings of a latency-critical class in the current configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Service {
-    pub(super) member: Organisation,
+    pub(super) organisation: Organisation,
     pub(super) target: Duration,
     pub(super) idempotent: bool,
 }
@@ -47,16 +47,16 @@
 #[derive(Clone, Debug)]
 pub(super) struct ClassState {
     pub(super) name: ClassName,
-    /// `None` if the configuration in force has no such class, or not of this kind.
+    /// `None` if the current configuration has no such latency-critical class.
     pub(super) service: Option<Service>,
     pub(super) queue: BTreeMap<QueueKey, RequestId>,
     pub(super) open: u32,
-    pub(super) latency: Latency,
-    pub(super) limit: Limit,
+    pub(super) latency: LatencyHistogram,
+    pub(super) limit: ConcurrencyLimit,
     pub(super) budget: RetryBudget,
-    pub(super) drain: Drain,
+    pub(super) drain_meter: DrainMeter,
     pub(super) load: LoadMeter,
-    /// Since when requests have waited without any share that they could use.
+    /// Since when requests have waited without any usable share.
     pub(super) starved_since: Option<Time>,
 }
 
@@ -67,33 +67,33 @@
             service: None,
             queue: BTreeMap::new(),
             open: 0,
-            latency: Latency::new(Duration::ZERO),
-            limit: Limit::new(),
+            latency: LatencyHistogram::new(Duration::ZERO),
+            limit: ConcurrencyLimit::new(),
             budget: RetryBudget::new(),
-            drain: Drain::new(),
+            drain_meter: DrainMeter::new(),
             load: LoadMeter::default(),
             starved_since: None,
         }
     }
 
-    /// The time to set aside for the backend server, so that who is sent is also answered in time.
+    /// Time to reserve for the backend server, so that a request sent at the end of its wait is
+    /// still answered in time.
     ///
-    /// The tail of what was measured, so that few of those who waited longest are late. At most
-    /// three quarters of the target: a class whose own tail is beyond its target must still be
-    /// served.
+    /// The p99 latency, but at most three quarters of the target: a class whose p99 exceeds its
+    /// target must still be served.
     pub(super) fn service_time(&self, target: Duration) -> Duration {
         let tail = self.latency.quantile(990).unwrap_or(self.latency.mean() * 2);
         tail.min(target * 3 / 4)
     }
 
-    /// How long a first sending is waited for before a second one may help.
+    /// How long an attempt is open before a hedge is sent.
     pub(super) fn hedge_after(&self) -> Duration {
-        let target = self.service.as_ref().map_or(Duration::from_secs(1), |known| known.target);
-        let tail = self.latency.quantile(950).map(|p95| p95 * HEDGE_PERCENT / 100);
-        tail.unwrap_or(target / 2).max(HEDGE_LEAST)
+        let target = self.service.as_ref().map_or(Duration::from_secs(1), |service| service.target);
+        let tail = self.latency.quantile(950).map(|p95| p95 * HEDGE_DELAY_PERCENT / 100);
+        tail.unwrap_or(target / 2).max(MIN_HEDGE_DELAY)
     }
 
-    /// The one to be sent next.
+    /// The next request to send.
     pub(super) fn head(&self, order: QueueOrder) -> Option<(QueueKey, RequestId)> {
         let head = match order {
             QueueOrder::EarliestDeadline | QueueOrder::OldestFirst => self.queue.first_key_value(),
@@ -102,13 +102,13 @@
         head.map(|(key, request)| (*key, *request))
     }
 
-    pub(super) fn note_need(&mut self) {
+    pub(super) fn record_need(&mut self) {
         let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
-        self.load.needs(self.open.saturating_add(waiting));
+        self.load.record_need(self.open.saturating_add(waiting));
     }
 }
 
-/// All classes ever named by a configuration or a backend server.
+/// All classes named by a configuration or a backend server.
 #[derive(Debug, Default)]
 pub(super) struct Classes {
     list: Vec<ClassState>,
--- a/crates/requests/src/entry/dispatch.rs
+++ b/crates/requests/src/entry/dispatch.rs
@@ -1,8 +1,8 @@
-//! Sending: which waiting request goes next, and to which backend server.
+//! Dispatch: which waiting request is sent next, and to which backend server.
 
 use {
     super::{
-        Attempt, Entry, Phase, Timer, class::ClassIx, event::EntryEffect, fairness::MemberIx,
+        Attempt, Entry, Phase, Timer, class::ClassIx, event::EntryEffect, fairness::OrganisationIx,
         servers::ServerIx,
     },
     crate::{
@@ -13,54 +13,54 @@
     std::time::Duration,
 };
 
-/// How long the runtime may take to tell the end of an attempt after its timeout.
-const END_GRACE: Duration = Duration::from_millis(500);
+/// How long after an attempt's timeout the runtime may report its end.
+const ATTEMPT_END_GRACE: Duration = Duration::from_millis(500);
 
-/// A sending that the runtime hasn't begun after this is begun too late: the backend server was
-/// chosen for its load then.
-const SEND_WITHIN: Duration = Duration::from_secs(1);
+/// How long the runtime may take to begin an attempt; after that the choice of the backend server
+/// is out of date.
+const MAX_SEND_DELAY: Duration = Duration::from_secs(1);
 
-/// A request that could go now.
-struct Next {
+/// A request to send and the backend server for it.
+struct NextSend {
     request: RequestId,
     server: ServerIx,
 }
 
 impl Entry {
-    /// Sends what can be sent.
+    /// Sends waiting requests while there is free capacity.
     pub(super) fn dispatch(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
-        while self.waiting > 0 && self.servers.free() > 0 {
-            let Some(next) = self.next(now) else { return };
+        while self.waiting > 0 && self.servers.total_free_capacity() > 0 {
+            let Some(next) = self.next_send(now) else { return };
             self.dequeue(next.request);
             let class = self.requests.get(&next.request).map(|request| request.class);
             if let Some(class) = class {
                 let state = self.classes.get_mut(class);
                 let waiting = !state.queue.is_empty();
-                state.drain.sent(now, waiting);
+                state.drain_meter.sent(now, waiting);
             }
             self.send(now, next.request, next.server, out);
         }
     }
 
-    /// The member that used the least goes first, and of its classes the most urgent request.
-    fn next(&mut self, now: Time) -> Option<Next> {
-        for member in self.fairness.waiting_in_turn() {
-            let (free, total) = (self.servers.free(), self.servers.total());
-            if !self.fairness.may_take(member, now, free, total) {
+    /// Picks the organisation with the least usage, and the most urgent request of its classes.
+    fn next_send(&mut self, now: Time) -> Option<NextSend> {
+        for organisation in self.fairness.waiting_by_usage() {
+            let (free, total) = (self.servers.total_free_capacity(), self.servers.total_share());
+            if !self.fairness.may_use_slot(organisation, now, free, total) {
                 continue;
             }
-            let Some((class, request)) = self.most_urgent(member) else { continue };
+            let Some((class, request)) = self.most_urgent(organisation) else { continue };
             let idempotent = self.requests.get(&request).is_some_and(|req| req.idempotent);
             let picked = self.servers.pick(class, idempotent, None, &mut self.rng);
             if let Some(server) = picked {
-                return Some(Next { request, server });
+                return Some(NextSend { request, server });
             }
         }
         None
     }
 
-    fn most_urgent(&self, member: MemberIx) -> Option<(ClassIx, RequestId)> {
-        let heads = self.fairness.classes(member).iter().filter_map(|ix| {
+    fn most_urgent(&self, organisation: OrganisationIx) -> Option<(ClassIx, RequestId)> {
+        let heads = self.fairness.classes(organisation).iter().filter_map(|ix| {
             let state = self.classes.get(*ix);
             let ready = state.limit.allows(state.open) && self.servers.has_candidate(*ix);
             let head = if ready { state.head(self.opts.order) } else { None };
@@ -69,7 +69,7 @@
         heads.min().map(|(_, class, request)| (class, request))
     }
 
-    /// Sends a request once more.
+    /// Starts an attempt to send a request.
     pub(super) fn send(
         &mut self,
         now: Time,
@@ -80,21 +80,20 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let state = self.classes.get_mut(request.class);
         let expected = state.latency.mean();
-        // An exchange isn't broken off at its caller's deadline. The backend server may work on it
-        // all the same, and a slot that is taken for free too early overloads it; and the outcome
-        // of a key is worth knowing.
+        // The exchange isn't cancelled at its caller's deadline: the backend server may continue to
+        // work on it and use its slot, and the outcome of a key is still of use.
         let timeout = MAX_ATTEMPT_DURATION;
         let deadline = request.deadline.since(now);
         let attempt = AttemptId(self.next_attempt);
         self.next_attempt += 1;
-        let ends_at = now + timeout + END_GRACE;
+        let result_due_at = now + timeout + ATTEMPT_END_GRACE;
         request.phase = Phase::Open;
         request.attempts.push(attempt);
-        // A retry that had to wait earns nothing either, or retries would pay for themselves.
-        if request.sends == 0 {
+        // Only a first attempt earns tokens; a retry that was queued doesn't.
+        if request.send_count == 0 {
             state.budget.earn();
         }
-        request.sends += 1;
+        request.send_count += 1;
         if request.idempotent && request.hedge_at.is_none() {
             let at = now + state.hedge_after();
             request.hedge_at = Some(at);
@@ -102,43 +101,44 @@
         }
         state.open += 1;
         state.limit.opened(state.open);
-        state.load.open(now, state.open);
-        state.note_need();
+        state.load.set_open(now, state.open);
+        state.record_need();
         let record = Attempt {
             request: id,
             class: request.class,
-            member: request.member,
+            organisation: request.organisation,
             server,
             sent_at: now,
-            ends_at,
+            result_due_at,
             expected,
         };
-        self.fairness.sent(request.member, expected);
+        self.fairness.sent(request.organisation, expected);
         self.attempts.insert(attempt, record);
-        self.timers.insert((ends_at, Timer::AttemptEnd(attempt)));
+        self.timers.insert((result_due_at, Timer::AttemptTimeout(attempt)));
         self.servers.opened(server);
         let (vm, addr, shard) = {
             let server = self.servers.get(server);
             (server.vm.clone(), server.addr.clone(), server.shard)
         };
-        let lapses = self.grantors.get(shard).map_or(now, |grantor| grantor.lapses);
-        let send_by = lapses.min(now + SEND_WITHIN);
+        let shares_expire_at =
+            self.grantors.get(shard).map_or(now, |grantor| grantor.shares_expire_at);
+        let send_by = shares_expire_at.min(now + MAX_SEND_DELAY);
         out.push(EntryEffect::Send { request: id, attempt, vm, addr, timeout, deadline, send_by });
     }
 
     /// Sends an idempotent request a second time, since its first answer is late.
     ///
-    /// For one slow backend server, before it is noticed and ejected. Only while nobody waits: a
-    /// second sending under load takes the slot of somebody else's first.
+    /// For a slow backend server that isn't ejected yet. Only while no request waits: under load a
+    /// hedge would take the slot of another request.
     pub(super) fn hedge(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let alone = request.attempts.len() == 1;
-        if !request.caller_waits || request.phase != Phase::Open || !alone {
+        let single_attempt = request.attempts.len() == 1;
+        if !request.caller_waits || request.phase != Phase::Open || !single_attempt {
             return;
         }
-        let again = now + self.classes.get(request.class).hedge_after();
-        request.hedge_at = Some(again);
-        self.timers.insert((again, Timer::Hedge(id)));
+        let next_hedge_at = now + self.classes.get(request.class).hedge_after();
+        request.hedge_at = Some(next_hedge_at);
+        self.timers.insert((next_hedge_at, Timer::Hedge(id)));
         if self.waiting > 0 {
             return;
         }
@@ -150,11 +150,11 @@
         }
     }
 
-    /// Sends a request again that certainly didn't run, or may run twice. Returns whether it is
-    /// on its way or waits again.
+    /// Resends a request that didn't run or is idempotent. Returns whether it was sent or
+    /// queued.
     ///
-    /// For a backend server that has died: its requests go elsewhere. For an overload that makes
-    /// servers fail, the budget keeps the second sendings to a tenth, so that they can't feed it.
+    /// For a backend server that has died: its requests go to others. When servers fail because of
+    /// overload, the budget keeps retries from amplifying it.
     pub(super) fn retry(
         &mut self,
         now: Time,
--- a/crates/requests/src/entry/dump.rs
+++ b/crates/requests/src/entry/dump.rs
@@ -1,23 +1,23 @@
-//! The state of an entry for its dump on request: no bodies, no keys.
+//! State dump of an entry, without bodies and keys.
 
 use {
-    super::{Entry, health::Standing},
+    super::{Entry, health::HealthState},
     egretlb_types::{ClassName, VmId},
     serde::{Deserialize, Serialize},
 };
 
-/// What an entry is doing.
+/// State of an entry.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct EntryDump {
-    /// Requests that aren't finished.
+    /// Number of unfinished requests.
     pub requests: usize,
-    /// Exchanges open at backend servers.
+    /// Number of exchanges open at backend servers.
     pub attempts: usize,
-    /// Outcomes of keys that their owners haven't confirmed.
+    /// Number of outcome reports that key owners haven't confirmed.
     pub reports: usize,
-    /// Whether the entry takes nothing new.
+    /// Whether the entry refuses new requests because of a shutdown.
     pub shutting_down: bool,
-    /// The classes of the configuration in force.
+    /// The latency-critical classes of the current configuration.
     pub classes: Vec<ClassDump>,
     /// The backend servers.
     pub servers: Vec<ServerDump>,
@@ -26,41 +26,41 @@
 /// One class in an [`EntryDump`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ClassDump {
-    /// Its name.
+    /// Name of the class.
     pub class: ClassName,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub queued: usize,
-    /// Exchanges open.
+    /// Number of open exchanges.
     pub open: u32,
-    /// The most exchanges that may be open, if their latency has set a limit.
+    /// Limit on open exchanges; `None` if latency hasn't set one.
     pub limit: Option<u32>,
-    /// Half of the recent answers came within this, in microseconds.
+    /// Median of the recent latencies, in microseconds.
     pub p50_micros: Option<u64>,
-    /// 99 in 100 of the recent answers came within this, in microseconds.
+    /// 99th percentile of the recent latencies, in microseconds.
     pub p99_micros: Option<u64>,
-    /// Backend servers that run it.
+    /// Number of backend servers that run the class.
     pub servers: u32,
 }
 
 /// One backend server in an [`EntryDump`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ServerDump {
-    /// Its VM.
+    /// The server's VM.
     pub vm: VmId,
-    /// How many requests the entry may have open there.
+    /// Maximum number of requests that the entry may have open there.
     pub share: u16,
-    /// How many it has.
+    /// Number of requests that it has open there.
     pub open: u16,
-    /// Its latency against the others', in thousandths.
+    /// Latency relative to the class means, in thousandths.
     pub slowness_permille: u32,
     /// Whether it is ejected.
     pub ejected: bool,
-    /// Whether it is being tried again after an ejection.
+    /// Whether it is probed after an ejection.
     pub probing: bool,
 }
 
 impl Entry {
-    /// The state for a dump.
+    /// Returns the state for a dump.
     pub fn dump(&self) -> EntryDump {
         let micros = |span: std::time::Duration| span.as_micros() as u64;
         let classes = self.classes.indices().map(|ix| (ix, self.classes.get(ix)));
@@ -70,14 +70,14 @@
             share: server.share,
             open: server.open,
             slowness_permille: (server.health.slowness * 1_000.0) as u32,
-            ejected: matches!(server.health.standing, Standing::Out { .. }),
-            probing: matches!(server.health.standing, Standing::Probing { .. }),
+            ejected: matches!(server.health.state, HealthState::Ejected { .. }),
+            probing: matches!(server.health.state, HealthState::Probing { .. }),
         });
         EntryDump {
             requests: self.requests.len(),
             attempts: self.attempts.len(),
             reports: self.reports.len(),
-            shutting_down: self.shut_down_at.is_some(),
+            shutting_down: self.shutdown_started_at.is_some(),
             classes: served
                 .map(|(ix, class)| ClassDump {
                     class: class.name.clone(),
@@ -86,7 +86,7 @@
                     limit: class.limit.get(),
                     p50_micros: class.latency.quantile(500).map(micros),
                     p99_micros: class.latency.quantile(990).map(micros),
-                    servers: self.servers.serving(ix),
+                    servers: self.servers.server_count(ix),
                 })
                 .collect(),
             servers: servers.collect(),
--- a/crates/requests/src/entry/event.rs
+++ b/crates/requests/src/entry/event.rs
@@ -1,4 +1,4 @@
-//! What an entry is told and what it asks its runtime to do.
+//! Events and effects of an entry.
 
 use {
     crate::{
@@ -17,157 +17,157 @@
 /// A caller's request, without its body.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Arrival {
-    /// The request's number, new for each request.
+    /// Id of the request, unique.
     pub request: RequestId,
-    /// The class that the caller named.
+    /// Class named by the caller.
     pub class: ClassName,
-    /// How long the caller will still wait, if it said so.
+    /// Time until the caller's deadline, if it sent one.
     pub deadline: Option<Duration>,
-    /// The caller's idempotency key, if it sent one.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<RequestKey>,
-    /// The hash of what is to be run.
+    /// Hash of the request.
     pub body: BodyHash,
-    /// The size of the body that the runtime holds, in bytes.
+    /// Size of the body, in bytes; the runtime holds it.
     pub body_size: u64,
 }
 
-/// What became of one sending to a backend server.
+/// Result of one attempt to send a request to a backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AttemptResult {
-    /// The answer came whole, to the last byte that its headers promised.
+    /// A complete answer.
     Complete {
-        /// The HTTP status.
+        /// HTTP status.
         status: u16,
         /// For a request with a key, the answer's body if it has at most
         /// [`crate::MAX_RECORDED_BODY_BYTES`] bytes.
         recorded_body: Option<Vec<u8>>,
     },
-    /// No byte of the request left this process: the connection couldn't be opened.
+    /// The connection couldn't be opened; no byte of the request was sent.
     NotSent,
-    /// Bytes may have left, and no answer came: a reset, a timeout, a cancelled attempt.
+    /// Bytes may have been sent, and no answer came: a reset, a timeout or a cancelled attempt.
     Failed,
-    /// Part of an answer came.
+    /// The answer ended early.
     Truncated,
-    /// The backend server says that it didn't run the request.
+    /// The backend server states that it didn't run the request.
     Declined {
-        /// Whether it declined because it is leaving, rather than for want of room.
+        /// Whether it declined because it is draining, not because it is full.
         draining: bool,
     },
 }
 
-/// Who owns a shard, as the control stream has it.
+/// Owner of a shard, from the control stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ShardOwner {
     /// The shard.
     pub shard: ShardId,
-    /// Its owner.
+    /// Node that owns it.
     pub node: NodeId,
-    /// The owner's epoch.
+    /// Epoch of the ownership.
     pub epoch: Epoch,
 }
 
-/// What the entry is told.
+/// Input of an [`crate::Entry`].
 #[derive(Clone, Debug)]
 pub enum EntryEvent {
     /// A request arrived with its whole body.
     Arrived(Arrival),
-    /// The caller closed its connection before its answer was whole.
+    /// The caller closed its connection before it had its complete answer.
     CallerGone {
         /// The request.
         request: RequestId,
     },
     /// A configuration came into force.
     Config {
-        /// The whole configuration.
+        /// The configuration.
         document: Arc<ConfigDocument>,
     },
-    /// Owners of shards as they now are; shards not named are unchanged.
+    /// Changed owners; shards not listed keep theirs.
     Owners {
         /// The owners.
         owners: Vec<ShardOwner>,
     },
-    /// The platform's list of VMs, whole; it lags.
+    /// The platform's complete list of VMs, which lags.
     Vms {
         /// The VMs.
         vms: Vec<VmRecord>,
     },
-    /// A grantor answered an ask for shares.
+    /// A grantor answered a share request.
     SharesGranted {
         /// The grant.
         grant: ShareGrant,
     },
-    /// A grantor would like to have shares back for others: ask again soon.
+    /// A grantor needs shares for others: a new request is due.
     SharesRecalled {
         /// The shard.
         shard: ShardId,
     },
-    /// A key's owner answered the ask for a permit, or couldn't be reached.
+    /// A key's owner answered a permit request, or couldn't be reached.
     PermitAnswer {
         /// The request that the permit is for.
         request: RequestId,
-        /// The answer; [`Permit::Unavailable`] if the owner certainly never got the ask.
+        /// The answer; [`Permit::Unavailable`] if the request certainly never reached the owner.
         permit: Permit,
     },
-    /// An attempt ended. The runtime tells this exactly once for each [`EntryEffect::Send`], also
-    /// after [`EntryEffect::CancelAttempt`].
+    /// An attempt ended. Reported exactly once for each [`EntryEffect::Send`], also after
+    /// [`EntryEffect::CancelAttempt`].
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// Its result.
         result: AttemptResult,
     },
-    /// The key's owner has the outcome.
+    /// The key's owner has recorded the outcome.
     ReportConfirmed {
         /// The request whose outcome was reported.
         request: RequestId,
     },
-    /// Time passed. Some ten times a second, and at [`crate::Entry::wake_at`].
+    /// Time passed. Expected about ten times a second, and at [`crate::Entry::wake_at`].
     Tick,
-    /// Shut down gracefully: take nothing new, finish what is in progress.
+    /// Shut down gracefully: refuse new requests and finish those in progress.
     Shutdown,
 }
 
-/// Why a request that may have run has no answer of its own.
+/// Why a request that may have run has no answer.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ErrorReason {
-    /// No answer came by the caller's deadline or within [`crate::MAX_ATTEMPT_DURATION`].
+    /// No answer by the caller's deadline or within [`crate::MAX_ATTEMPT_DURATION`].
     TimedOut,
-    /// The connection to the backend server broke, or its answer was cut off.
+    /// The connection to the backend server broke, or its answer was truncated.
     Broken,
-    /// An earlier request with this key may have run, and nobody can tell.
+    /// An earlier request with this key may have run.
     KeyInDoubt,
 }
 
 /// The final answer to a caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Pass on the whole answer of the attempt; it ran.
+    /// Forward the attempt's complete answer; the request ran.
     Forward {
-        /// The attempt whose answer it is.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// The answer recorded for the key; it ran before, and not again.
+    /// Return the answer recorded for the key; the earlier request ran.
     Recorded(RecordedAnswer),
-    /// Refused: it certainly didn't run.
+    /// Refuse the request; it didn't run.
     Refuse {
-        /// Why.
+        /// Reason of the refusal.
         reason: NotRunReason,
-        /// When to come back.
+        /// When the caller may try again.
         retry_after: RetryAfter,
     },
-    /// It was sent and no whole answer came.
+    /// The request was sent and has no complete answer.
     Error {
-        /// Why.
+        /// Reason of the error.
         reason: ErrorReason,
-        /// What is known about its having run.
+        /// What is known about whether it ran.
         ran: Ran,
-        /// When asking again makes sense, for a request that may be sent again.
+        /// When the caller may try again, if the request may be sent again.
         retry_after: RetryAfter,
     },
 }
 
 impl Verdict {
-    /// What the caller is told in `Egretlb-Ran`.
+    /// Value of the `Egretlb-Ran` header.
     pub fn ran(&self) -> Ran {
         match self {
             Verdict::Forward { .. } | Verdict::Recorded(_) => Ran::Yes,
@@ -177,53 +177,53 @@
     }
 }
 
-/// What the entry asks its runtime to do.
+/// Output of an [`crate::Entry`], performed by the runtime.
 #[derive(Clone, Debug)]
 pub enum EntryEffect {
     /// Send the request to the backend server, over a connection that no other exchange uses.
     Send {
         /// The request.
         request: RequestId,
-        /// The number of this sending.
+        /// Id of the attempt.
         attempt: AttemptId,
         /// The backend server's VM.
         vm: VmId,
-        /// Its address, as `ip:port`.
+        /// Address of the server, as `ip:port`.
         addr: CompactString,
-        /// After this the attempt has failed, though the caller's deadline may be earlier: until
-        /// then its answer still tells that the server's slot is free.
+        /// Timeout of the attempt. May be later than the caller's deadline: until then an answer
+        /// shows that the server's slot is free.
         timeout: Duration,
-        /// What is left of the caller's deadline, to be passed on to the backend server.
+        /// Time until the caller's deadline, forwarded to the backend server.
         deadline: Duration,
-        /// Asked again just before the first byte leaves: if it is later, the share may have
-        /// lapsed meanwhile, and the attempt ends with [`AttemptResult::NotSent`].
+        /// To be checked just before the first byte is sent: after this time the share may have
+        /// expired, and the attempt ends with [`AttemptResult::NotSent`].
         send_by: Time,
     },
-    /// Close the attempt's connection; never use it again.
+    /// Close the attempt's connection and never reuse it.
     CancelAttempt {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Give the caller its final answer now. Each request gets exactly one.
+    /// Send the caller its final answer; each request gets exactly one.
     Answer {
         /// The request.
         request: RequestId,
         /// The answer.
         verdict: Verdict,
     },
-    /// The caller has gone and nothing of the request is needed any more: drop its body.
+    /// The caller has disconnected and the request's body isn't needed any more.
     Forget {
         /// The request.
         request: RequestId,
     },
-    /// Ask a key's owner for a permit.
+    /// Request a permit from a key's owner.
     RequestPermit {
         /// The owner.
         node: NodeId,
-        /// The ask.
+        /// The request.
         request: PermitRequest,
     },
-    /// Tell a key's owner what became of a permitted request; sent again until
+    /// Report the outcome of a request with a permit to its key's owner; repeated until
     /// [`EntryEvent::ReportConfirmed`].
     ReportOutcome {
         /// The owner.
@@ -231,20 +231,20 @@
         /// The report.
         report: OutcomeReport,
     },
-    /// Ask a rack shard's owner for shares; an ask that wants nothing gives them back.
+    /// Request shares from a rack shard's owner; an empty request returns them.
     RequestShares {
         /// The owner.
         node: NodeId,
-        /// The ask.
+        /// The request.
         request: ShareRequest,
     },
-    /// Tell the owner of the class's shard what load was measured.
+    /// Report the measured load to the owner of the class's shard.
     ReportLoad {
         /// The class.
         class: ClassName,
         /// The measurements.
         load: ClassLoad,
     },
-    /// After [`EntryEvent::Shutdown`]: nothing is in progress and no report is outstanding.
+    /// After [`EntryEvent::Shutdown`]: nothing is in progress and no report is pending.
     Drained,
 }
--- a/crates/requests/src/entry/grantors.rs
+++ b/crates/requests/src/entry/grantors.rs
@@ -1,4 +1,4 @@
-//! The grantors of shares, one for each rack shard, as one entry sees them.
+//! An entry's state of the grantors of shares, one for each rack shard.
 
 use {
     super::servers::ServerIx,
@@ -10,83 +10,86 @@
     },
 };
 
-/// How often shares are asked for while nothing changes. Three asks may be lost before a lease
-/// lapses.
-const ASK_PERIOD: Duration = Duration::from_secs(3);
+/// How often shares are requested while nothing changes. Three requests may be lost before a lease
+/// expires.
+const REQUEST_PERIOD: Duration = Duration::from_secs(3);
 
-/// After so long an ask counts as lost.
-const ASK_LOST: Duration = Duration::from_millis(500);
+/// After this time an unanswered request counts as lost.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The least time between two asks because of demand; doubled while asking brings nothing, so that
-/// a long overload costs few messages.
-const DEMAND_GAP: Duration = Duration::from_millis(50);
+/// Minimum time between two requests because of demand; doubled while requests gain no shares.
+const MIN_DEMAND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The longest time between two asks because of demand.
-const DEMAND_GAP_MAX: Duration = Duration::from_secs(2);
+/// Maximum time between two requests because of demand.
+const MAX_DEMAND_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Demand has grown when it is by one in so many above what was last said.
-const GROWTH_ONE_IN: usize = 4;
+/// Demand has grown when it exceeds the last requested need by more than this fraction (1/n).
+const GROWTH_DIVISOR: usize = 4;
 
-/// The need for shares as it is now.
+/// Current need for shares.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Demand {
     /// Whether more shares would help.
-    pub(super) short: bool,
-    /// Requests open and waiting.
+    pub(super) needs_shares: bool,
+    /// Number of open and waiting requests.
     pub(super) need: usize,
 }
 
-/// One grantor.
+/// State of one grantor.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Grantor {
     pub(super) owner: Option<(NodeId, Epoch)>,
     pub(super) seq: u64,
-    /// When the last ask was sent.
-    pub(super) asked_at: Option<Time>,
-    /// Whether its answer is still to come.
-    pub(super) waiting: bool,
-    /// When the shares held lapse.
-    pub(super) lapses: Time,
+    /// When the last request was sent.
+    pub(super) requested_at: Option<Time>,
+    /// Whether the answer to the last request is outstanding.
+    pub(super) awaiting_grant: bool,
+    /// When the lease of the held shares ends.
+    pub(super) shares_expire_at: Time,
     pub(super) known_version: u64,
     pub(super) servers: BTreeSet<ServerIx>,
     pub(super) granted: u32,
-    /// What was needed in all when the last ask was sent.
-    pub(super) asked_need: usize,
-    /// Ask as soon as the gap allows.
-    pub(super) hurry: bool,
-    gap: Duration,
+    /// Total need when the last request was sent.
+    pub(super) requested_need: usize,
+    /// Whether a request is due as soon as the last one is answered or lost.
+    pub(super) urgent: bool,
+    demand_interval: Duration,
 }
 
 impl Grantor {
-    /// Whether it is time to ask.
+    /// Whether a request is due.
     pub(super) fn is_due(&self, now: Time, demand: Demand) -> bool {
         if self.owner.is_none() {
             return false;
         }
-        let Some(asked_at) = self.asked_at else { return true };
-        let age = now.since(asked_at);
-        if self.waiting {
-            return age >= ASK_LOST;
+        let Some(requested_at) = self.requested_at else { return true };
+        let age = now.since(requested_at);
+        if self.awaiting_grant {
+            return age >= REQUEST_TIMEOUT;
         }
-        // What the grantor was told is out of date; otherwise asking again only repeats it.
-        let grown = demand.need > self.asked_need + self.asked_need / GROWTH_ONE_IN;
-        let gap = if grown { DEMAND_GAP } else { self.gap.max(DEMAND_GAP) };
-        age >= ASK_PERIOD || self.hurry || (demand.short && age >= gap)
+        // The grantor's figures are out of date, so another request can gain shares.
+        let grown = demand.need > self.requested_need + self.requested_need / GROWTH_DIVISOR;
+        let demand_interval =
+            if grown { MIN_DEMAND_INTERVAL } else { self.demand_interval.max(MIN_DEMAND_INTERVAL) };
+        age >= REQUEST_PERIOD || self.urgent || (demand.needs_shares && age >= demand_interval)
     }
 
-    /// Takes down what an answer brought, `granted` in all.
-    pub(super) fn answered(&mut self, granted: u32) {
-        self.waiting = false;
+    /// Records an answer that grants `granted` shares in total.
+    pub(super) fn record_grant(&mut self, granted: u32) {
+        self.awaiting_grant = false;
         let gained = granted > self.granted;
         self.granted = granted;
-        self.gap =
-            if gained { DEMAND_GAP } else { (self.gap * 2).clamp(DEMAND_GAP, DEMAND_GAP_MAX) };
+        self.demand_interval = if gained {
+            MIN_DEMAND_INTERVAL
+        } else {
+            (self.demand_interval * 2).clamp(MIN_DEMAND_INTERVAL, MAX_DEMAND_INTERVAL)
+        };
     }
 
-    /// The end of a lease that was asked for at `asked_at`, whatever length the grantor names:
-    /// never longer than what successors wait out.
-    pub(super) fn lease_end(asked_at: Time, lease: Duration) -> Time {
-        asked_at + lease.min(SHARE_LEASE)
+    /// End of a lease requested at `requested_at`. Limited to [`SHARE_LEASE`], which a new grantor
+    /// waits for.
+    pub(super) fn lease_end(requested_at: Time, lease: Duration) -> Time {
+        requested_at + lease.min(SHARE_LEASE)
     }
 }
 
@@ -109,7 +112,7 @@
         self.shards.entry(shard).or_default()
     }
 
-    /// The shards whose grantors are to be asked now.
+    /// Shards whose grantors are due for a request.
     pub(super) fn due(&self, now: Time, demand: Demand) -> Vec<ShardId> {
         let due = self.shards.iter().filter(|(_, grantor)| grantor.is_due(now, demand));
         due.map(|(shard, _)| *shard).collect()
--- a/crates/requests/src/entry/keyed.rs
+++ b/crates/requests/src/entry/keyed.rs
@@ -14,34 +14,33 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long after a shutdown reports are waited for. A key without a report is in doubt, which is
-/// safe; a process that waits for a dead owner doesn't end.
-pub(super) const REPORT_ON_SHUTDOWN: Duration = Duration::from_secs(10);
+/// How long a shutdown waits for reports to be confirmed. A key without a report falls in doubt,
+/// which is safe.
+pub(super) const SHUTDOWN_REPORT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// After so long a report is sent again, at first.
-const REPORT_AGAIN: Duration = Duration::from_secs(1);
+/// Initial interval at which a report is resent.
+const INITIAL_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest wait between two sendings of a report.
-const REPORT_AGAIN_MAX: Duration = Duration::from_secs(30);
+/// Maximum interval at which a report is resent.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(30);
 
-/// The most reports that are kept; the oldest goes first, and its key stays in doubt. An hour
-/// without owners at three filings a second.
-const REPORTS_MAX: usize = 10_000;
+/// Maximum number of pending reports; beyond it the oldest is dropped and its key falls in doubt.
+const MAX_PENDING_REPORTS: usize = 10_000;
 
-/// When to come back for a permit or for a request in progress.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+/// When the caller may retry after a refusal or error because of a key.
+const PERMIT_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A report that its key's owner hasn't confirmed.
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingReport {
     report: OutcomeReport,
-    again: Duration,
+    retry_interval: Duration,
 }
 
-/// The reports that aren't confirmed yet.
+/// All pending reports.
 #[derive(Debug, Default)]
 pub(super) struct Reports {
-    pending: BTreeMap<RequestId, Pending>,
+    pending: BTreeMap<RequestId, PendingReport>,
 }
 
 impl Reports {
@@ -71,29 +70,30 @@
         out.push(EntryEffect::RequestPermit { node, request });
     }
 
-    pub(super) fn take_permit(
+    pub(super) fn apply_permit(
         &mut self,
         now: Time,
         id: RequestId,
         permit: Permit,
         out: &mut Vec<EntryEffect>,
     ) {
-        // Too late, or come twice: a request that has ended has reported its outcome already, and
-        // one that was sent must not be sent again.
-        let waits = self.requests.get(&id).is_some_and(|req| req.phase == Phase::AwaitsPermit);
-        if !waits {
+        // Late or duplicate: a request that has ended has reported its outcome, and one that was
+        // sent must not be sent again.
+        let awaits_permit =
+            self.requests.get(&id).is_some_and(|req| req.phase == Phase::AwaitsPermit);
+        if !awaits_permit {
             return;
         }
-        let retry_after = RetryAfter::from_wait(ASK_AGAIN);
+        let retry_after = RetryAfter::from_wait(PERMIT_RETRY_AFTER);
         match permit {
             Permit::Granted => self.enqueue(now, id),
             Permit::Recorded(answer) => {
-                self.end_unpermitted(now, id, Verdict::Recorded(answer), out);
+                self.finish_unpermitted(now, id, Verdict::Recorded(answer), out);
             }
             Permit::InDoubt => {
                 let reason = ErrorReason::KeyInDoubt;
                 let verdict = Verdict::Error { reason, ran: Ran::Unknown, retry_after };
-                self.end_unpermitted(now, id, verdict, out);
+                self.finish_unpermitted(now, id, verdict, out);
             }
             Permit::InProgress => {
                 self.refuse_permit(now, id, NotRunReason::KeyInProgress, out);
@@ -103,11 +103,17 @@
         }
     }
 
-    /// The owner hasn't answered in time. It may have given the permit, and the answer is lost:
-    /// the report that nothing ran frees the key then.
-    pub(super) fn permit_overdue(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
-        let waits = self.requests.get(&id).is_some_and(|req| req.phase == Phase::AwaitsPermit);
-        if waits {
+    /// The owner hasn't answered in time. If it granted the permit and its answer was lost, the
+    /// report that nothing ran frees the key.
+    pub(super) fn permit_timed_out(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        out: &mut Vec<EntryEffect>,
+    ) {
+        let awaits_permit =
+            self.requests.get(&id).is_some_and(|req| req.phase == Phase::AwaitsPermit);
+        if awaits_permit {
             let reason = ErrorReason::Broken;
             self.fail(now, id, reason, NotRunReason::NoPermit, out);
         }
@@ -120,12 +126,12 @@
         reason: NotRunReason,
         out: &mut Vec<EntryEffect>,
     ) {
-        let retry_after = RetryAfter::from_wait(ASK_AGAIN);
-        self.end_unpermitted(now, id, Verdict::Refuse { reason, retry_after }, out);
+        let retry_after = RetryAfter::from_wait(PERMIT_RETRY_AFTER);
+        self.finish_unpermitted(now, id, Verdict::Refuse { reason, retry_after }, out);
     }
 
-    /// Ends a request whose permit isn't its own: there is no outcome to report.
-    fn end_unpermitted(
+    /// Ends a request that got no permit: there is no outcome to report.
+    fn finish_unpermitted(
         &mut self,
         now: Time,
         id: RequestId,
@@ -139,10 +145,10 @@
             state.load.refused();
         }
         self.answer(id, verdict, out);
-        self.end_if_done(now, id, out);
+        self.finish_if_done(now, id, out);
     }
 
-    /// Reports what became of a key, until its owner has confirmed.
+    /// Reports the outcome of a key until its owner has confirmed it.
     pub(super) fn report(
         &mut self,
         now: Time,
@@ -157,24 +163,26 @@
             holder: PermitHolder { entry: self.opts.node, request: id },
             outcome,
         };
-        if self.reports.pending.len() >= REPORTS_MAX {
+        if self.reports.pending.len() >= MAX_PENDING_REPORTS {
             self.reports.pending.pop_first();
         }
-        self.reports.pending.insert(id, Pending { report, again: REPORT_AGAIN });
-        self.report_again(now, id, out);
+        self.reports
+            .pending
+            .insert(id, PendingReport { report, retry_interval: INITIAL_REPORT_INTERVAL });
+        self.resend_report(now, id, out);
     }
 
-    pub(super) fn report_again(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
+    pub(super) fn resend_report(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
         let Some(pending) = self.reports.pending.get_mut(&id) else { return };
-        self.timers.insert((now + pending.again, Timer::Report(id)));
-        pending.again = (pending.again * 2).min(REPORT_AGAIN_MAX);
+        self.timers.insert((now + pending.retry_interval, Timer::Report(id)));
+        pending.retry_interval = (pending.retry_interval * 2).min(MAX_REPORT_INTERVAL);
         if let Some((node, _)) = self.owners.get(&pending.report.shard) {
             let report = pending.report.clone();
             out.push(EntryEffect::ReportOutcome { node: *node, report });
         }
     }
 
-    pub(super) fn report_done(&mut self, id: RequestId) {
+    pub(super) fn report_confirmed(&mut self, id: RequestId) {
         self.reports.pending.remove(&id);
     }
 }
--- a/crates/requests/src/entry/latency.rs
+++ b/crates/requests/src/entry/latency.rs
@@ -1,34 +1,38 @@
-//! How long a class's requests take at the backend servers, measured.
+//! Latency of a class's requests at the backend servers.
 
 use std::time::Duration;
 
-/// Buckets of a quarter octave each, from 64 µs to over a minute.
-const BUCKETS: usize = 80;
+/// Four buckets per octave, from 64 µs to over a minute.
+const BUCKET_COUNT: usize = 80;
 
-/// The finest latency told apart; shorter ones share the first bucket.
-const FINEST_MICROS: u64 = 64;
+/// Start of the first bucket, which also holds shorter latencies.
+const FIRST_BUCKET_MICROS: u64 = 64;
 
-/// After so many samples all counts are halved, so that old ones fade out.
-const FADE_AFTER: u32 = 1_024;
+/// After this many samples all counts are halved, so that old ones decay.
+const DECAY_SAMPLES: u32 = 1_024;
 
-/// With fewer samples nothing is claimed about the tail.
-const ENOUGH: u32 = 20;
+/// Minimum number of samples for a quantile.
+const MIN_SAMPLES: u32 = 20;
 
-/// The weight of one sample in the mean.
+/// Weight of one sample in the mean.
 const MEAN_WEIGHT: f64 = 1.0 / 32.0;
 
-/// A fading histogram of latencies.
+/// A decaying histogram of latencies.
 #[derive(Clone, Debug)]
-pub(super) struct Latency {
-    counts: [u32; BUCKETS],
+pub(super) struct LatencyHistogram {
+    counts: [u32; BUCKET_COUNT],
     total: u32,
     mean_micros: f64,
 }
 
-impl Latency {
-    /// Nothing measured yet; `guess` stands for the mean until then.
-    pub(super) fn new(guess: Duration) -> Self {
-        Latency { counts: [0; BUCKETS], total: 0, mean_micros: guess.as_micros() as f64 }
+impl LatencyHistogram {
+    /// Creates an empty histogram with `initial_mean` as its mean until the first sample.
+    pub(super) fn new(initial_mean: Duration) -> Self {
+        LatencyHistogram {
+            counts: [0; BUCKET_COUNT],
+            total: 0,
+            mean_micros: initial_mean.as_micros() as f64,
+        }
     }
 
     pub(super) fn record(&mut self, latency: Duration) {
@@ -37,7 +41,7 @@
         self.mean_micros += (micros as f64 - self.mean_micros) * weight;
         self.counts[bucket(micros)] += 1;
         self.total += 1;
-        if self.total >= FADE_AFTER {
+        if self.total >= DECAY_SAMPLES {
             self.counts.iter_mut().for_each(|count| *count /= 2);
             self.total = self.counts.iter().sum();
         }
@@ -47,17 +51,17 @@
         Duration::from_micros(self.mean_micros as u64)
     }
 
-    /// The latency that `permille` thousandths stay within, or `None` with too few samples.
+    /// Upper bound of the `permille` quantile, or `None` with too few samples.
     pub(super) fn quantile(&self, permille: u32) -> Option<Duration> {
-        if self.total < ENOUGH {
+        if self.total < MIN_SAMPLES {
             return None;
         }
         let rank = (u64::from(self.total) * u64::from(permille)).div_ceil(1_000);
-        let mut seen = 0;
+        let mut cumulative = 0;
         for (i, count) in self.counts.iter().enumerate() {
-            seen += u64::from(*count);
-            if seen >= rank {
-                return Some(Duration::from_micros(upper_micros(i)));
+            cumulative += u64::from(*count);
+            if cumulative >= rank {
+                return Some(Duration::from_micros(bucket_end_micros(i)));
             }
         }
         None
@@ -65,14 +69,14 @@
 }
 
 fn bucket(micros: u64) -> usize {
-    let scaled = micros.max(FINEST_MICROS) * 4 / FINEST_MICROS;
+    let scaled = micros.max(FIRST_BUCKET_MICROS) * 4 / FIRST_BUCKET_MICROS;
     let octave = scaled.ilog2() - 2;
     let quarter = (scaled >> octave) & 3;
-    (octave as usize * 4 + quarter as usize).min(BUCKETS - 1)
+    (octave as usize * 4 + quarter as usize).min(BUCKET_COUNT - 1)
 }
 
-/// The end of a bucket's range.
-fn upper_micros(bucket: usize) -> u64 {
+/// Upper bound of a bucket.
+fn bucket_end_micros(bucket: usize) -> u64 {
     let (octave, quarter) = (bucket / 4, bucket as u64 % 4);
-    ((quarter + 5) << octave) * FINEST_MICROS / 4
+    ((quarter + 5) << octave) * FIRST_BUCKET_MICROS / 4
 }
--- a/crates/requests/src/entry/limit.rs
+++ b/crates/requests/src/entry/limit.rs
@@ -1,49 +1,48 @@
-//! How many requests of a class may be open at once, learned from latency.
+//! Concurrency limit of a class, adapted to its latency.
 
 use {egretlb_types::Time, std::time::Duration};
 
-/// How long is measured at least before the limit is changed; short against a burst of seconds.
-const WINDOW: Duration = Duration::from_millis(250);
+/// Minimum length of a window; the limit is adjusted once per window.
+const MIN_WINDOW: Duration = Duration::from_millis(250);
 
-/// A window lasts for so many mean latencies too: what was sent before a change is still answered
-/// for one of them.
-const WINDOW_LATENCIES: f64 = 2.0;
+/// Minimum length of a window in mean latencies, since requests sent before a change of the limit
+/// are still answered for about one.
+const WINDOW_MEAN_LATENCIES: f64 = 2.0;
 
-/// A class with too few answers in this time is left alone.
-const WINDOW_MAX: Duration = Duration::from_secs(5);
+/// A window of this length with too few answers is discarded.
+const MAX_WINDOW: Duration = Duration::from_secs(5);
 
-/// Fewer answers than this in a window prove nothing: their mean is off by more than the slowdown
-/// looked for.
-const ENOUGH: u32 = 50;
+/// Minimum number of answers in a window, so that its mean is accurate enough.
+const MIN_SAMPLES: u32 = 50;
 
-/// Answers slower than this many times those at light load show that the servers are overloaded.
-const SLOWDOWN: f64 = 1.5;
+/// Mean latency, as a multiple of the baseline, from which the servers count as overloaded.
+const OVERLOAD_RATIO: f64 = 1.5;
 
-/// What is left of the limit after a cut.
-const CUT: f64 = 0.85;
+/// Factor by which a cut reduces the limit.
+const CUT_FACTOR: f64 = 0.85;
 
-/// The limit is never cut below this, so that something is measured.
-const LEAST: f64 = 4.0;
+/// Minimum limit, so that latency is still measured.
+const MIN_LIMIT: f64 = 4.0;
 
-/// How fast the notion of light load follows a service that has become slower for good: double in
-/// some 140 windows, half a minute or more.
-const BASELINE_GROWTH: f64 = 1.005;
+/// Growth of the baseline per window, for a service that has become slower for good: it doubles in
+/// about 140 windows.
+const BASELINE_GROWTH_PER_WINDOW: f64 = 1.005;
 
-/// So many cuts in a row without effect show that load isn't what makes the answers slow. Enough
-/// for every entry to have cut too: one entry's cuts alone change little.
-const FUTILE_CUTS: u32 = 12;
+/// Consecutive cuts without effect after which load isn't considered the cause. Enough for every
+/// entry to have cut, because one entry's cuts have little effect.
+const MAX_INEFFECTIVE_CUTS: u32 = 12;
 
-/// Cuts in a row leave this part of what was open before them. Should load not be the reason, no
-/// more is lost until the cuts are taken back.
-const LEAST_LEFT: f64 = 0.4;
+/// Fraction of the previously open requests that consecutive cuts leave at least, in case load
+/// isn't the cause.
+const MIN_REMAINING_FRACTION: f64 = 0.4;
 
-/// A limit on open requests, for services that slow down when much is open.
+/// Limits the open requests of a service that slows down under concurrency.
 ///
-/// Slots alone don't protect such a service: they count requests, not what each takes while batch
-/// tasks share the VM. Slow answers at the limit cut it by 15%, fast ones raise it; cuts that don't
-/// help are taken back, since they would only refuse work that the service could have done.
+/// Slots alone don't protect such a service: they ignore what each request costs while batch tasks
+/// share the VM. High latency cuts the limit by 15%, low latency raises it; cuts without effect are
+/// undone.
 #[derive(Clone, Debug)]
-pub(super) struct Limit {
+pub(super) struct ConcurrencyLimit {
     limit: f64,
     baseline_micros: f64,
     window_start: Time,
@@ -55,9 +54,9 @@
     before_cuts_open: f64,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     pub(super) fn new() -> Self {
-        Limit {
+        ConcurrencyLimit {
             limit: f64::INFINITY,
             baseline_micros: f64::INFINITY,
             window_start: Time::ZERO,
@@ -70,12 +69,12 @@
         }
     }
 
-    /// The limit, if there is one.
+    /// The limit, or `None` if there is none.
     pub(super) fn get(&self) -> Option<u32> {
         self.limit.is_finite().then_some(self.limit as u32)
     }
 
-    /// Whether one more may be opened.
+    /// Whether one more request may be opened.
     pub(super) fn allows(&self, open: u32) -> bool {
         f64::from(open) < self.limit
     }
@@ -84,17 +83,17 @@
         self.peak_open = self.peak_open.max(open);
     }
 
-    /// Takes one answer's latency; `target` is the class's.
+    /// Records one answer's latency; `target` is the latency target of the class.
     pub(super) fn record(&mut self, now: Time, latency: Duration, target: Duration) {
         self.sum_micros += latency.as_micros() as f64;
         self.count += 1;
         let mean = self.sum_micros / f64::from(self.count);
-        let window = WINDOW.max(Duration::from_micros((mean * WINDOW_LATENCIES) as u64));
+        let window = MIN_WINDOW.max(Duration::from_micros((mean * WINDOW_MEAN_LATENCIES) as u64));
         let age = now.since(self.window_start);
-        if age < window || (self.count < ENOUGH && age < WINDOW_MAX) {
+        if age < window || (self.count < MIN_SAMPLES && age < MAX_WINDOW) {
             return;
         }
-        if self.count >= ENOUGH {
+        if self.count >= MIN_SAMPLES {
             self.adjust(mean, target);
         }
         self.window_start = now;
@@ -104,11 +103,10 @@
     }
 
     fn adjust(&mut self, mean: f64, target: Duration) {
-        self.baseline_micros = (self.baseline_micros * BASELINE_GROWTH).min(mean);
-        // A class that meets its target with room to spare is left alone, however much slower it
-        // has become.
-        let threatens = mean > target.as_micros() as f64 / 3.0;
-        if threatens && mean > self.baseline_micros * SLOWDOWN {
+        self.baseline_micros = (self.baseline_micros * BASELINE_GROWTH_PER_WINDOW).min(mean);
+        // A class well within its target is left alone, even if it has become slower.
+        let near_target = mean > target.as_micros() as f64 / 3.0;
+        if near_target && mean > self.baseline_micros * OVERLOAD_RATIO {
             self.cut(mean);
             return;
         }
@@ -124,14 +122,14 @@
             self.before_cuts_open = f64::from(self.peak_open);
         }
         self.cuts += 1;
-        if self.cuts > FUTILE_CUTS && mean > self.before_cuts_micros * 0.9 {
+        if self.cuts > MAX_INEFFECTIVE_CUTS && mean > self.before_cuts_micros * 0.9 {
             self.baseline_micros = mean;
             self.limit = f64::INFINITY;
             self.cuts = 0;
             return;
         }
         let open = f64::from(self.peak_open);
-        let least = LEAST.max(self.before_cuts_open * LEAST_LEFT);
-        self.limit = (self.limit.min(open) * CUT).max(least);
+        let floor = MIN_LIMIT.max(self.before_cuts_open * MIN_REMAINING_FRACTION);
+        self.limit = (self.limit.min(open) * CUT_FACTOR).max(floor);
     }
 }
--- a/crates/requests/src/entry/meter.rs
+++ b/crates/requests/src/entry/meter.rs
@@ -1,64 +1,65 @@
-//! Measurements of one class: how fast its queue drains, what it needs, what is reported.
+//! Measurements of one class: drain rate of its queue, demand and reported load.
 
 use {
     egretlb_types::{ClassLoad, Time},
     std::time::Duration,
 };
 
-/// The weight of one gap in the mean time between two sendings from a waiting queue.
+/// Weight of one gap in the mean gap.
 const GAP_WEIGHT: f64 = 1.0 / 32.0;
 
 /// How often a class's load is reported to its owner.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
-/// The time between two sendings of a class while requests wait.
+/// Measures the gap between two sends of a class while requests wait.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Drain {
-    gap_micros: f64,
-    last: Option<Time>,
+pub(super) struct DrainMeter {
+    mean_gap_micros: f64,
+    last_sent_at: Option<Time>,
 }
 
-impl Drain {
-    /// Nothing measured: taken as draining at once, so that nobody is refused on a guess.
+impl DrainMeter {
+    /// Without measurements the estimated wait is zero, so that nothing is refused on a guess.
     pub(super) fn new() -> Self {
-        Drain { gap_micros: 0.0, last: None }
+        DrainMeter { mean_gap_micros: 0.0, last_sent_at: None }
     }
 
-    /// One was sent and others wait still, if `waiting`.
-    pub(super) fn sent(&mut self, now: Time, waiting: bool) {
-        if let Some(last) = self.last {
+    /// Records a send; `backlogged` if more requests wait.
+    pub(super) fn sent(&mut self, now: Time, backlogged: bool) {
+        if let Some(last) = self.last_sent_at {
             let gap = now.since(last).as_micros() as f64;
-            self.gap_micros += (gap - self.gap_micros) * GAP_WEIGHT;
+            self.mean_gap_micros += (gap - self.mean_gap_micros) * GAP_WEIGHT;
         }
-        // Without a backlog the gap tells of arrivals, not of how fast they could be served.
-        self.last = waiting.then_some(now);
+        // Without a backlog the gap depends on arrivals, not on how fast requests can be served.
+        self.last_sent_at = backlogged.then_some(now);
     }
 
-    /// Nobody waits any more: the time until somebody does again isn't a wait.
-    pub(super) fn emptied(&mut self) {
-        self.last = None;
+    /// The queue is empty: the time until the next request arrives isn't a gap.
+    pub(super) fn queue_emptied(&mut self) {
+        self.last_sent_at = None;
     }
 
-    /// How long the one behind `ahead` others will wait. A queue that has stopped draining counts
-    /// the time since it last did.
-    pub(super) fn wait(&self, now: Time, ahead: usize) -> Duration {
-        let stalled = self.last.map_or(0.0, |last| now.since(last).as_micros() as f64);
-        Duration::from_micros((self.gap_micros * ahead as f64).max(stalled) as u64)
+    /// Estimated wait behind `ahead` requests. For a queue that has stopped draining, at least the
+    /// time since its last send.
+    pub(super) fn estimated_wait(&self, now: Time, ahead: usize) -> Duration {
+        let since_last_micros =
+            self.last_sent_at.map_or(0.0, |last| now.since(last).as_micros() as f64);
+        Duration::from_micros((self.mean_gap_micros * ahead as f64).max(since_last_micros) as u64)
     }
 }
 
-/// What a class's callers and backend servers saw in the period under way.
+/// Load of one class in the current period.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LoadMeter {
-    start: Time,
+    period_start: Time,
     load: ClassLoad,
     open_micros: u128,
-    changed: Time,
+    open_changed_at: Time,
     open: u32,
     peak_need: u32,
-    last_peak: u32,
-    /// Arrivals a second in the period before this one.
-    last_rate: f64,
+    previous_peak_need: u32,
+    /// Arrivals per second in the previous period.
+    previous_rate: f64,
 }
 
 impl LoadMeter {
@@ -70,7 +71,7 @@
         self.load.refused += 1;
     }
 
-    pub(super) fn answered(&mut self, within_target: bool) {
+    pub(super) fn record_answered(&mut self, within_target: bool) {
         if within_target {
             self.load.within_target += 1;
         } else {
@@ -78,45 +79,45 @@
         }
     }
 
-    pub(super) fn open(&mut self, now: Time, open: u32) {
-        self.open_micros += u128::from(self.open) * now.since(self.changed).as_micros();
-        self.changed = now;
+    pub(super) fn set_open(&mut self, now: Time, open: u32) {
+        self.open_micros += u128::from(self.open) * now.since(self.open_changed_at).as_micros();
+        self.open_changed_at = now;
         self.open = open;
     }
 
-    /// Notes that so many requests were open or waiting.
-    pub(super) fn needs(&mut self, need: u32) {
+    /// Records how many requests are open or waiting.
+    pub(super) fn record_need(&mut self, need: u32) {
         self.peak_need = self.peak_need.max(need);
     }
 
-    /// The most needed at once in this period and the one before.
+    /// Maximum need in this period and the previous one.
     pub(super) fn peak_need(&self) -> u32 {
-        self.peak_need.max(self.last_peak)
+        self.peak_need.max(self.previous_peak_need)
     }
 
-    /// How many would be open at once if all that arrive were sent at once and took `mean` each.
+    /// Number of requests that would be open if every arrival were sent at once and took `mean`.
     ///
-    /// What is refused isn't open and doesn't wait: an entry with too small a share would otherwise
-    /// refuse, seem to need less, and get less still.
-    pub(super) fn offered(&self, mean: Duration) -> u32 {
-        (self.last_rate * mean.as_secs_f64()).ceil() as u32
+    /// Counts refused requests too: otherwise an entry with a small share would refuse requests,
+    /// appear to need less, and get less still.
+    pub(super) fn offered_concurrency(&self, mean: Duration) -> u32 {
+        (self.previous_rate * mean.as_secs_f64()).ceil() as u32
     }
 
-    /// The load of a period that has ended, if anything happened in it.
-    pub(super) fn take(&mut self, now: Time) -> Option<ClassLoad> {
-        let period = now.since(self.start);
+    /// Returns the load of the period if it has ended and there was any.
+    pub(super) fn take_report(&mut self, now: Time) -> Option<ClassLoad> {
+        let period = now.since(self.period_start);
         if period < REPORT_PERIOD {
             return None;
         }
-        self.open(now, self.open);
+        self.set_open(now, self.open);
         let mut load = std::mem::take(&mut self.load);
         load.period = period;
         load.open_permille = (self.open_micros * 1_000 / period.as_micros()) as u32;
         self.open_micros = 0;
-        self.start = now;
-        self.last_rate = f64::from(load.arrived) / period.as_secs_f64();
-        self.last_peak = std::mem::replace(&mut self.peak_need, self.open);
-        let busy = load.arrived > 0 || load.open_permille > 0;
-        busy.then_some(load)
+        self.period_start = now;
+        self.previous_rate = f64::from(load.arrived) / period.as_secs_f64();
+        self.previous_peak_need = std::mem::replace(&mut self.peak_need, self.open);
+        let active = load.arrived > 0 || load.open_permille > 0;
+        active.then_some(load)
     }
 }
--- a/crates/requests/src/entry/mod.rs
+++ b/crates/requests/src/entry/mod.rs
@@ -1,9 +1,9 @@
-//! One entry's decisions about callers' requests.
+//! An entry's handling of callers' requests.
 //!
-//! A request's way: it arrives and is admitted or refused at once; a non-idempotent one with a key
-//! waits for a permit of the key's owner; it waits in its class's queue; it is sent to a backend
-//! server for which the entry holds a share; the whole answer is passed on. Each request gets
-//! exactly one final answer, as soon as it is known.
+//! A request is admitted or refused on arrival; a non-idempotent one with a key waits for a permit
+//! from the key's owner; it waits in its class's queue; it is sent to a backend server for which
+//! the entry holds a share; the complete answer is forwarded. Each request gets exactly one final
+//! answer.
 
 mod arrive;
 mod budget;
@@ -48,7 +48,7 @@
     },
 };
 
-/// Decides what becomes of the requests that arrive at one entry process.
+/// Admits, queues, sends and answers the requests that arrive at one entry process.
 #[derive(Debug)]
 pub struct Entry {
     opts: EntryOptions,
@@ -59,21 +59,21 @@
     grantors: Grantors,
     owners: HashMap<ShardId, (NodeId, Epoch)>,
     requests: HashMap<RequestId, Request>,
-    /// Ordered, so that a test with a protection off behaves the same in each run.
+    /// Ordered, so that tests with a disabled protection are deterministic.
     attempts: BTreeMap<AttemptId, Attempt>,
     next_attempt: u64,
     timers: BTreeSet<(Time, Timer)>,
     reports: Reports,
-    /// Requests that wait in queues.
+    /// Number of queued requests.
     waiting: usize,
-    /// When it is next looked whether to ask for shares because of demand.
-    look_at: Time,
-    shut_down_at: Option<Time>,
+    /// When demand is next checked between ticks.
+    next_demand_check: Time,
+    shutdown_started_at: Option<Time>,
     drained: bool,
 }
 
 impl Entry {
-    /// An entry that knows no configuration, no owners and no backend servers yet.
+    /// Creates an entry without configuration, owners and backend servers.
     pub fn new(opts: EntryOptions) -> Self {
         let rng = SmallRng::seed_from_u64(opts.seed);
         Entry {
@@ -90,16 +90,16 @@
             timers: BTreeSet::new(),
             reports: Reports::default(),
             waiting: 0,
-            look_at: Time::ZERO,
-            shut_down_at: None,
+            next_demand_check: Time::ZERO,
+            shutdown_started_at: None,
             drained: false,
         }
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting effects, in order.
     pub fn step(&mut self, now: Time, event: EntryEvent, out: &mut Vec<EntryEffect>) {
-        // What has run out meanwhile goes first: after a pause, shares and deadlines must not be
-        // used by the event that ends it.
+        // Timers that are due run first: after a pause the event must not use expired shares or
+        // deadlines.
         self.run_timers(now, out);
         match event {
             EntryEvent::Arrived(arrival) => self.arrive(now, arrival, out),
@@ -107,18 +107,18 @@
             EntryEvent::Config { document } => self.configure(&document),
             EntryEvent::Owners { owners } => self.set_owners(now, &owners, out),
             EntryEvent::Vms { vms } => self.set_vms(&vms),
-            EntryEvent::SharesGranted { grant } => self.take_grant(now, grant, out),
-            EntryEvent::SharesRecalled { shard } => self.recalled(now, shard, out),
+            EntryEvent::SharesGranted { grant } => self.apply_grant(now, grant, out),
+            EntryEvent::SharesRecalled { shard } => self.handle_recall(now, shard, out),
             EntryEvent::PermitAnswer { request, permit } => {
-                self.take_permit(now, request, permit, out);
+                self.apply_permit(now, request, permit, out);
             }
             EntryEvent::AttemptEnded { attempt, result } => {
-                self.answered(now, attempt, result, out)
+                self.attempt_ended(now, attempt, result, out)
             }
-            EntryEvent::ReportConfirmed { request } => self.report_done(request),
+            EntryEvent::ReportConfirmed { request } => self.report_confirmed(request),
             EntryEvent::Tick => self.tick(now, out),
             EntryEvent::Shutdown => {
-                self.shut_down_at.get_or_insert(now);
+                self.shutdown_started_at.get_or_insert(now);
             }
         }
         self.dispatch(now, out);
@@ -127,7 +127,7 @@
         self.finish_drain(now, out);
     }
 
-    /// When the next [`EntryEvent::Tick`] is due at the latest, besides the regular ones.
+    /// When an additional [`EntryEvent::Tick`] is due; `None` if no timer is set.
     pub fn wake_at(&self) -> Option<Time> {
         self.timers.first().map(|(at, _)| *at)
     }
@@ -141,7 +141,7 @@
             let ix = self.classes.find_or_add(&spec.name);
             self.fairness.find_or_add(&spec.member);
             self.classes.get_mut(ix).service =
-                Some(Service { member: spec.member.clone(), target, idempotent });
+                Some(Service { organisation: spec.member.clone(), target, idempotent });
         }
     }
 
@@ -152,37 +152,39 @@
             }
             self.timers.pop_first();
             match timer {
-                Timer::GiveUp(request) => self.give_up_waiting(now, request, out),
+                Timer::QueueDeadline(request) => self.expire_queued(now, request, out),
                 Timer::Deadline(request) => self.deadline(now, request, out),
                 Timer::Hedge(request) => self.hedge(now, request, out),
-                Timer::PermitWait(request) => self.permit_overdue(now, request, out),
-                Timer::AttemptEnd(attempt) => self.attempt_overdue(now, attempt, out),
-                Timer::Lapse(shard) => self.lapse(now, shard),
+                Timer::PermitTimeout(request) => self.permit_timed_out(now, request, out),
+                Timer::AttemptTimeout(attempt) => self.attempt_timed_out(now, attempt, out),
+                Timer::SharesExpire(shard) => self.expire_shares(now, shard),
                 Timer::Server(server) => self.servers.expire(server, now),
-                Timer::Report(request) => self.report_again(now, request, out),
+                Timer::Report(request) => self.resend_report(now, request, out),
             }
         }
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
-        self.send_due_requests(now, self.is_short(), out);
+        self.send_due_requests(now, self.needs_shares(), out);
         for ix in self.classes.indices() {
             let class = self.classes.get_mut(ix);
-            if let Some(load) = class.load.take(now) {
+            if let Some(load) = class.load.take_report(now) {
                 out.push(EntryEffect::ReportLoad { class: class.name.clone(), load });
             }
         }
     }
 
-    /// After a shutdown: gives back all shares and says so once nothing is in progress.
+    /// After a shutdown returns all shares and reports [`EntryEffect::Drained`] once nothing is in
+    /// progress.
     fn finish_drain(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
-        let Some(since) = self.shut_down_at else { return };
-        let reported = self.reports.is_empty() || now.since(since) >= keyed::REPORT_ON_SHUTDOWN;
+        let Some(since) = self.shutdown_started_at else { return };
+        let reported =
+            self.reports.is_empty() || now.since(since) >= keyed::SHUTDOWN_REPORT_TIMEOUT;
         if self.drained || !self.requests.is_empty() || !self.attempts.is_empty() || !reported {
             return;
         }
         self.drained = true;
-        self.give_back_shares(now, out);
+        self.return_shares(now, out);
         out.push(EntryEffect::Drained);
     }
 }
--- a/crates/requests/src/entry/options.rs
+++ b/crates/requests/src/entry/options.rs
@@ -1,24 +1,24 @@
-//! What an entry is created with.
+//! Options of an entry.
 
 use {
     crate::protections::Protections,
     egretlb_types::{DataCentre, NodeId},
 };
 
-/// In which order the requests of one class are sent when they have to wait.
+/// Order in which waiting requests of one class are sent.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum QueueOrder {
-    /// The earliest deadline first; who can't be served in time by the measured drain of the queue
-    /// is refused on arrival.
+    /// Earliest deadline first; a request that can't be sent in time at the queue's drain rate is
+    /// refused on arrival.
     #[default]
     EarliestDeadline,
-    /// The newest first; the others wait until they can't be answered in time any more.
+    /// Newest first; older requests wait until they can't be answered in time any more.
     NewestFirst,
-    /// The oldest first, refused when it can't be answered in time any more.
+    /// Oldest first; requests are refused when they can't be answered in time any more.
     OldestFirst,
 }
 
-/// What an entry is created with.
+/// Options of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryOptions {
     pub(super) node: NodeId,
@@ -30,11 +30,11 @@
 }
 
 impl EntryOptions {
-    /// The most requests of one class that wait in one entry. A queue worth waiting in is far
-    /// shorter; the bound keeps the memory of an entry finite before anything is measured.
+    /// Default maximum number of waiting requests of one class. Bounds the memory of an entry
+    /// before its drain rate is known.
     pub const MAX_QUEUE_LEN: usize = 2_048;
 
-    /// Options of the entry `node` in `data_centre`, whose random choices come from `seed`.
+    /// Creates options for the entry `node` in `data_centre`; `seed` seeds its random choices.
     pub fn new(node: NodeId, data_centre: DataCentre, seed: u64) -> Self {
         EntryOptions {
             node,
@@ -46,19 +46,19 @@
         }
     }
 
-    /// Sets the most requests of one class that wait.
+    /// Sets the maximum number of waiting requests of one class.
     pub fn max_queue_len(mut self, max_queue_len: usize) -> Self {
         self.max_queue_len = max_queue_len;
         self
     }
 
-    /// Sets the order in which requests of one class are sent.
+    /// Sets the order in which waiting requests of one class are sent.
     pub fn order(mut self, order: QueueOrder) -> Self {
         self.order = order;
         self
     }
 
-    /// Switches protections off, for tests.
+    /// Disables protections, for tests.
     pub fn protections(mut self, protections: Protections) -> Self {
         self.protections = protections;
         self
--- a/crates/requests/src/entry/outcome.rs
+++ b/crates/requests/src/entry/outcome.rs
@@ -1,4 +1,4 @@
-//! What an attempt's end, a deadline or a vanished caller means for the request.
+//! Handling of ended attempts, deadlines and disconnected callers.
 
 use {
     super::{
@@ -15,88 +15,94 @@
     std::time::Duration,
 };
 
-/// From this status on an answer counts against the server. A server that fails fast would
-/// otherwise look quick and draw everyone's requests.
-const SERVER_ERROR: u16 = 500;
+/// Minimum status that counts as a failure of the server. A server that fails fast would otherwise
+/// look healthy and attract requests.
+const MIN_ERROR_STATUS: u16 = 500;
 
-/// When to come back after an error whose end can't be foretold.
-const AFTER_ERROR: Duration = Duration::from_secs(1);
+/// When the caller may retry after an error of unknown duration.
+const ERROR_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Entry {
-    pub(super) fn answered(
+    pub(super) fn attempt_ended(
         &mut self,
         now: Time,
         id: AttemptId,
         result: AttemptResult,
         out: &mut Vec<EntryEffect>,
     ) {
-        // Told twice, or long after it was given up: the answer belongs to nobody any more.
+        // A duplicate, or the attempt has timed out before.
         let Some(attempt) = self.attempts.remove(&id) else { return };
-        self.timers.remove(&(attempt.ends_at, Timer::AttemptEnd(id)));
-        self.close(now, &attempt, &result);
-        let owed = self.requests.get(&attempt.request).is_some_and(|req| req.caller_waits);
-        if !owed && !self.opts.protections.match_answers {
-            return self.pass_to_anybody(id, out);
+        self.timers.remove(&(attempt.result_due_at, Timer::AttemptTimeout(id)));
+        self.record_attempt_end(now, &attempt, &result);
+        let caller_waits = self.requests.get(&attempt.request).is_some_and(|req| req.caller_waits);
+        if !caller_waits && !self.opts.protections.match_answers {
+            return self.forward_to_any_waiting(id, out);
         }
         let Some(request) = self.requests.get_mut(&attempt.request) else { return };
         request.attempts.retain(|open| *open != id);
         match result {
             AttemptResult::Complete { status, recorded_body } => {
-                self.whole(now, id, &attempt, RecordedAnswer { status, body: recorded_body }, out);
+                self.complete(
+                    now,
+                    id,
+                    &attempt,
+                    RecordedAnswer { status, body: recorded_body },
+                    out,
+                );
             }
             AttemptResult::Truncated if !self.opts.protections.reject_truncated_answers => {
                 let answer = RecordedAnswer { status: 200, body: None };
-                self.whole(now, id, &attempt, answer, out);
+                self.complete(now, id, &attempt, answer, out);
             }
             AttemptResult::NotSent | AttemptResult::Declined { .. } => {
-                self.not_answered(now, &attempt, out);
+                self.attempt_failed(now, &attempt, out);
             }
             AttemptResult::Failed | AttemptResult::Truncated => {
                 request.may_have_run = true;
-                self.not_answered(now, &attempt, out);
+                self.attempt_failed(now, &attempt, out);
             }
         }
     }
 
-    /// Takes an ended exchange out of all counts.
-    fn close(&mut self, now: Time, attempt: &Attempt, result: &AttemptResult) {
+    /// Removes an ended attempt from all counts and records its result.
+    fn record_attempt_end(&mut self, now: Time, attempt: &Attempt, result: &AttemptResult) {
         let took = now.since(attempt.sent_at);
         let state = self.classes.get_mut(attempt.class);
         state.open = state.open.saturating_sub(1);
-        state.load.open(now, state.open);
+        state.load.set_open(now, state.open);
         let mean = state.latency.mean().max(Duration::from_micros(1));
         let ratio = took.as_secs_f64() / mean.as_secs_f64();
         let answered =
-            matches!(result, AttemptResult::Complete { status, .. } if *status < SERVER_ERROR);
+            matches!(result, AttemptResult::Complete { status, .. } if *status < MIN_ERROR_STATUS);
         if answered {
             state.latency.record(took);
             let target = state.service.as_ref().map_or(Duration::MAX, |service| service.target);
             state.limit.record(now, took, target);
         }
-        // What is open beyond a share that was taken back is free for others once it is known to
-        // have ended.
+        // An exchange beyond a reduced share has ended; the grantor can grant its slot once it
+        // knows.
         let server = self.servers.get(attempt.server);
         if server.open > server.share
             && let Some(grantor) = self.grantors.get_mut(server.shard)
         {
-            grantor.hurry = true;
+            grantor.urgent = true;
         }
-        self.fairness.ended(attempt.member, attempt.expected, took);
+        self.fairness.ended(attempt.organisation, attempt.expected, took);
         if let AttemptResult::Declined { draining: true } = result {
-            let until = self.servers.said_leaving(attempt.server, now);
+            let until = self.servers.set_declared_draining(attempt.server, now);
             self.timers.insert((until, Timer::Server(attempt.server)));
         }
-        let judge = |health: &mut Health| match result {
+        let record_result = |health: &mut Health| match result {
             AttemptResult::Declined { draining: true } => {}
-            _ if answered => health.answered(ratio),
-            _ => health.failed(),
+            _ if answered => health.record_answer(ratio),
+            _ => health.record_failure(),
         };
-        if let Some(until) = self.servers.closed(attempt.server, now, judge) {
+        if let Some(until) = self.servers.closed(attempt.server, now, record_result) {
             self.timers.insert((until, Timer::Server(attempt.server)));
         }
     }
 
-    fn whole(
+    fn complete(
         &mut self,
         now: Time,
         id: AttemptId,
@@ -108,19 +114,19 @@
         if let Some(keyed) = &mut request.keyed {
             keyed.outcome = Some(KeyOutcome::Ran(answer));
         }
-        // The second answer of a hedged request: the caller has the first.
+        // The second answer to a hedged request is dropped.
         if request.caller_waits {
-            let in_time = now <= request.answer_by;
-            self.classes.get_mut(attempt.class).load.answered(in_time);
+            let in_time = now <= request.target_deadline;
+            self.classes.get_mut(attempt.class).load.record_answered(in_time);
             self.answer(attempt.request, Verdict::Forward { attempt: id }, out);
         }
-        self.end_if_done(now, attempt.request, out);
+        self.finish_if_done(now, attempt.request, out);
     }
 
-    fn not_answered(&mut self, now: Time, attempt: &Attempt, out: &mut Vec<EntryEffect>) {
+    fn attempt_failed(&mut self, now: Time, attempt: &Attempt, out: &mut Vec<EntryEffect>) {
         let id = attempt.request;
         let Some(request) = self.requests.get(&id) else { return };
-        // Another sending of it is still open; its answer may come.
+        // Another attempt is open and may still succeed.
         if !request.attempts.is_empty() {
             return;
         }
@@ -130,8 +136,7 @@
         self.fail(now, id, ErrorReason::Broken, NotRunReason::NoBackendServer, out);
     }
 
-    /// Gives the final answer of a request that gets no answer of its own: refused if it certainly
-    /// didn't run, else an error.
+    /// Ends a request without an answer: a refusal if it didn't run, else an error.
     pub(super) fn fail(
         &mut self,
         now: Time,
@@ -142,26 +147,26 @@
     ) {
         let Some(request) = self.requests.get(&id) else { return };
         let state = self.classes.get_mut(request.class);
-        let backlog = state.drain.wait(now, state.queue.len() + 1);
-        let sent = request.may_have_run || !request.attempts.is_empty();
-        let verdict = if sent {
+        let queue_wait = state.drain_meter.estimated_wait(now, state.queue.len() + 1);
+        let was_sent = request.may_have_run || !request.attempts.is_empty();
+        let verdict = if was_sent {
             let ran = if self.opts.protections.truthful_ran { Ran::Unknown } else { Ran::No };
-            let retry_after = RetryAfter::from_wait(backlog.max(AFTER_ERROR));
+            let retry_after = RetryAfter::from_wait(queue_wait.max(ERROR_RETRY_AFTER));
             Verdict::Error { reason: error, ran, retry_after }
         } else {
-            Verdict::Refuse { reason: refusal, retry_after: RetryAfter::from_wait(backlog) }
+            Verdict::Refuse { reason: refusal, retry_after: RetryAfter::from_wait(queue_wait) }
         };
         if request.caller_waits {
             match verdict {
                 Verdict::Refuse { .. } => state.load.refused(),
-                _ => state.load.answered(false),
+                _ => state.load.record_answered(false),
             }
             self.answer(id, verdict, out);
         }
-        self.end_if_done(now, id, out);
+        self.finish_if_done(now, id, out);
     }
 
-    /// Gives the caller its one final answer.
+    /// Sends the caller its final answer, unless it has one.
     pub(super) fn answer(&mut self, id: RequestId, verdict: Verdict, out: &mut Vec<EntryEffect>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if std::mem::replace(&mut request.caller_waits, false) {
@@ -169,9 +174,9 @@
         }
     }
 
-    /// Forgets a request once its caller waits for nothing and nothing of it is open, and reports
-    /// what became of its key.
-    pub(super) fn end_if_done(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
+    /// Removes a request that owes no answer and has no open attempt, and reports the outcome of
+    /// its key.
+    pub(super) fn finish_if_done(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.caller_waits || !request.attempts.is_empty() {
             return;
@@ -179,22 +184,22 @@
         self.dequeue(id);
         let Some(request) = self.requests.remove(&id) else { return };
         self.timers.remove(&(request.deadline, Timer::Deadline(id)));
-        self.timers.remove(&(request.arrived + PERMIT_TIMEOUT, Timer::PermitWait(id)));
+        self.timers.remove(&(request.arrived + PERMIT_TIMEOUT, Timer::PermitTimeout(id)));
         if let Some(at) = request.hedge_at {
             self.timers.remove(&(at, Timer::Hedge(id)));
         }
         if let Some(keyed) = request.keyed {
-            let unknown =
+            let default_outcome =
                 if request.may_have_run { KeyOutcome::Unknown } else { KeyOutcome::NotRun };
-            let outcome = keyed.outcome.clone().unwrap_or(unknown);
+            let outcome = keyed.outcome.clone().unwrap_or(default_outcome);
             self.report(now, id, &keyed, outcome, out);
         }
     }
 
-    /// A waiting request can't be answered in time any more: its caller is told at once.
-    pub(super) fn give_up_waiting(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
+    /// Refuses a waiting request that can't be answered in time any more.
+    pub(super) fn expire_queued(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
         let queued = self.requests.get(&id).map(|request| request.phase);
-        if matches!(queued, Some(Phase::Queued(key)) if key.give_up_at <= now) {
+        if matches!(queued, Some(Phase::Queued(key)) if key.queue_deadline <= now) {
             self.dequeue(id);
             if let Some(request) = self.requests.get_mut(&id) {
                 request.phase = Phase::Open;
@@ -213,33 +218,39 @@
         self.fail(now, id, ErrorReason::TimedOut, refusal, out);
     }
 
-    /// The caller has gone: its place is free. What was sent runs on, since its answer still tells
-    /// how fast the server is and what became of a key; nothing is sent for it any more.
+    /// The caller has disconnected: nothing more is sent for the request. Open attempts continue,
+    /// since their answers still show the server's latency and the outcome of a key.
     pub(super) fn caller_gone(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if std::mem::replace(&mut request.caller_waits, false) {
             out.push(EntryEffect::Forget { request: id });
         }
-        self.end_if_done(now, id, out);
+        self.finish_if_done(now, id, out);
     }
 
-    /// The runtime owed the end of an attempt: taken as failed, so that its place isn't lost.
-    pub(super) fn attempt_overdue(&mut self, now: Time, id: AttemptId, out: &mut Vec<EntryEffect>) {
+    /// The runtime hasn't reported the end of an attempt: it counts as failed, so that its slot is
+    /// freed.
+    pub(super) fn attempt_timed_out(
+        &mut self,
+        now: Time,
+        id: AttemptId,
+        out: &mut Vec<EntryEffect>,
+    ) {
         if self.attempts.contains_key(&id) {
             out.push(EntryEffect::CancelAttempt { attempt: id });
-            self.answered(now, id, AttemptResult::Failed, out);
+            self.attempt_ended(now, id, AttemptResult::Failed, out);
         }
     }
 
-    /// What happens without [`crate::Protections::match_answers`]: a late answer goes to whoever
-    /// waits.
-    fn pass_to_anybody(&mut self, id: AttemptId, out: &mut Vec<EntryEffect>) {
-        let waits = |attempt: &&Attempt| {
+    /// Used without [`crate::Protections::match_answers`]: a late answer goes to any waiting
+    /// request.
+    fn forward_to_any_waiting(&mut self, id: AttemptId, out: &mut Vec<EntryEffect>) {
+        let caller_waits = |attempt: &&Attempt| {
             let request = self.requests.get(&attempt.request);
             request.is_some_and(|request| request.caller_waits)
         };
-        let other = self.attempts.values().find(waits).map(|attempt| attempt.request);
-        if let Some(request) = other {
+        let waiting = self.attempts.values().find(caller_waits).map(|attempt| attempt.request);
+        if let Some(request) = waiting {
             self.answer(request, Verdict::Forward { attempt: id }, out);
         }
     }
--- a/crates/requests/src/entry/request.rs
+++ b/crates/requests/src/entry/request.rs
@@ -1,9 +1,9 @@
-//! One caller's request, and one sending of it.
+//! State of a caller's request and of an attempt to send it.
 
 use {
     super::{
         class::{ClassIx, QueueKey},
-        fairness::MemberIx,
+        fairness::OrganisationIx,
         servers::ServerIx,
     },
     crate::{
@@ -15,10 +15,10 @@
     std::time::Duration,
 };
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
-    /// The key's owner was asked for a permit.
+    /// A permit was requested from the key's owner.
     AwaitsPermit,
     /// It waits for a backend server.
     Queued(QueueKey),
@@ -30,19 +30,19 @@
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub(super) class: ClassIx,
-    pub(super) member: MemberIx,
+    pub(super) organisation: OrganisationIx,
     pub(super) arrived: Time,
-    /// When the caller gets its answer at the latest.
+    /// When the caller gets its final answer at the latest.
     pub(super) deadline: Time,
-    /// When it should have its answer: by the class's target, or earlier if the caller says so.
-    pub(super) answer_by: Time,
+    /// End of the class's latency target, or the caller's deadline if that is earlier.
+    pub(super) target_deadline: Time,
     pub(super) idempotent: bool,
     /// The key of a non-idempotent request.
     pub(super) keyed: Option<Box<Keyed>>,
     pub(super) phase: Phase,
     pub(super) attempts: SmallVec<[AttemptId; 2]>,
-    /// How often it was sent.
-    pub(super) sends: u32,
+    /// Number of attempts so far.
+    pub(super) send_count: u32,
     /// Whether a final answer is still owed.
     pub(super) caller_waits: bool,
     /// Whether bytes of it may have reached a backend server.
@@ -50,47 +50,47 @@
     pub(super) hedge_at: Option<Time>,
 }
 
-/// What belongs to a request with a key.
+/// State of a request with a key.
 #[derive(Clone, Debug)]
 pub(super) struct Keyed {
     pub(super) shard: ShardId,
     pub(super) key: RequestKey,
     pub(super) body: BodyHash,
-    /// What is to be reported, once it is known.
+    /// The outcome to report, once known.
     pub(super) outcome: Option<KeyOutcome>,
 }
 
-/// One sending of a request to a backend server.
+/// One attempt to send a request to a backend server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) request: RequestId,
     pub(super) class: ClassIx,
-    pub(super) member: MemberIx,
+    pub(super) organisation: OrganisationIx,
     pub(super) server: ServerIx,
     pub(super) sent_at: Time,
-    /// When the runtime must have told its end.
-    pub(super) ends_at: Time,
-    /// What it was expected to take, as charged to the member.
+    /// When the runtime must have reported its end.
+    pub(super) result_due_at: Time,
+    /// Expected duration, as charged to the organisation.
     pub(super) expected: Duration,
 }
 
-/// What is due at a time.
+/// Timers of an entry.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Timer {
     /// A waiting request can't be answered in time any more.
-    GiveUp(RequestId),
-    /// The caller's last moment.
+    QueueDeadline(RequestId),
+    /// The caller's deadline has passed.
     Deadline(RequestId),
-    /// A second sending might help.
+    /// A hedge may be sent.
     Hedge(RequestId),
-    /// No permit came.
-    PermitWait(RequestId),
-    /// The runtime owed the end of an attempt.
-    AttemptEnd(AttemptId),
-    /// Shares lapse.
-    Lapse(ShardId),
-    /// Something about a server runs out.
+    /// No permit has arrived.
+    PermitTimeout(RequestId),
+    /// The runtime hasn't reported the end of an attempt.
+    AttemptTimeout(AttemptId),
+    /// The shares of a grantor expire.
+    SharesExpire(ShardId),
+    /// An ejection or a server's own draining notice expires.
     Server(ServerIx),
-    /// A report is to be sent again.
+    /// A report is to be resent.
     Report(RequestId),
 }
--- a/crates/requests/src/entry/servers.rs
+++ b/crates/requests/src/entry/servers.rs
@@ -1,9 +1,9 @@
-//! The backend servers: what the entry holds there, and which ones can take a request now.
+//! The backend servers: shares held of them, and which ones can take a request now.
 
 use {
     super::{
         class::ClassIx,
-        health::{Health, Standing},
+        health::{Health, HealthState},
     },
     crate::shares::ServerInfo,
     compact_str::CompactString,
@@ -13,18 +13,18 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// How long a server's own word that it is leaving stands. The VM list, which lags, will have said
-/// so by then, or the server has stayed.
-const SAID_LEAVING_FOR: Duration = Duration::from_secs(60);
+/// How long a server's own notice that it is draining is valid. The VM list, which lags, confirms it
+/// within this time if the server really goes.
+const DECLARED_DRAINING_TTL: Duration = Duration::from_secs(60);
 
-/// At most one in so many of a class's servers is ejected at once. When more of them look bad the
-/// load is at fault, and taking servers out would make it worse for the others.
-const EJECT_ONE_IN: u32 = 5;
+/// At most one in this many of a class's servers is ejected at once. If more look unhealthy, load
+/// is the likely cause, and ejections would add load to the others.
+const SERVERS_PER_EJECTION: u32 = 5;
 
-/// Pairs drawn before a class is taken to have no server that fits.
-const DRAWS: usize = 4;
+/// Random pairs tried before all candidates are scanned.
+const MAX_PAIR_DRAWS: usize = 4;
 
-/// The place of a server in [`Servers`].
+/// Index of a server in [`Servers`].
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(super) struct ServerIx(pub(super) usize);
 
@@ -34,79 +34,79 @@
     pub(super) vm: VmId,
     pub(super) addr: CompactString,
     pub(super) shard: ShardId,
-    pub(super) near: bool,
+    pub(super) local: bool,
     pub(super) classes: SmallVec<[ClassIx; 4]>,
-    /// How many requests may be open there.
+    /// Maximum number of requests that may be open there.
     pub(super) share: u16,
-    /// How many are.
+    /// Number of open requests.
     pub(super) open: u16,
     pub(super) health: Health,
-    described_leaving: bool,
-    listed_leaving: bool,
-    said_leaving: Option<Time>,
-    /// Its place in the candidates of each class, while it can take a request.
-    places: SmallVec<[(ClassIx, usize); 4]>,
+    described_draining: bool,
+    listed_draining: bool,
+    declared_draining_until: Option<Time>,
+    /// Its index in the candidates of each class, while it can take a request.
+    positions: SmallVec<[(ClassIx, usize); 4]>,
 }
 
-/// The servers of one class that can take a request now.
+/// Servers of one class that can take a request now.
 #[derive(Clone, Debug, Default)]
 struct Candidates {
-    near: Vec<ServerIx>,
-    far: Vec<ServerIx>,
-    /// How many servers run the class.
+    local: Vec<ServerIx>,
+    remote: Vec<ServerIx>,
+    /// Number of servers that run the class.
     servers: u32,
-    /// How many of them are ejected.
-    out: u32,
-    /// The sum of the shares held of them.
+    /// Number of them that are ejected.
+    ejected: u32,
+    /// Sum of their shares.
     shares: u32,
 }
 
-/// All backend servers that grantors described.
+/// All backend servers that grantors have described.
 #[derive(Debug, Default)]
 pub(super) struct Servers {
     list: Vec<Server>,
     by_vm: HashMap<VmId, ServerIx>,
-    unused: Vec<ServerIx>,
+    recycled: Vec<ServerIx>,
     candidates: Vec<Candidates>,
-    /// Requests that could be opened now, over all candidates.
-    free: u32,
-    /// The sum of the shares.
-    total: u32,
+    /// Number of requests that could be opened now.
+    free_capacity: u32,
+    /// Sum of all shares.
+    total_share: u32,
 }
 
 impl Server {
-    fn is_leaving(&self) -> bool {
-        self.described_leaving || self.listed_leaving || self.said_leaving.is_some()
+    fn is_draining(&self) -> bool {
+        self.described_draining || self.listed_draining || self.declared_draining_until.is_some()
     }
 
-    /// How many more requests it could take.
-    fn room(&self) -> u16 {
-        if self.is_leaving() {
+    /// Number of further requests that it can take.
+    fn free_capacity(&self) -> u16 {
+        if self.is_draining() {
             return 0;
         }
-        match self.health.standing {
-            Standing::In => self.share.saturating_sub(self.open),
-            Standing::Probing { .. } if self.open == 0 => self.share.min(1),
-            Standing::Probing { .. } | Standing::Out { .. } => 0,
+        match self.health.state {
+            HealthState::Active => self.share.saturating_sub(self.open),
+            HealthState::Probing { .. } if self.open == 0 => self.share.min(1),
+            HealthState::Probing { .. } | HealthState::Ejected { .. } => 0,
         }
     }
 
     fn is_probing(&self) -> bool {
-        matches!(self.health.standing, Standing::Probing { .. })
+        matches!(self.health.state, HealthState::Probing { .. })
     }
 
-    /// How many shares make sense to ask for, if `want` are needed.
-    pub(super) fn useful(&self, want: u16) -> u16 {
-        match self.health.standing {
-            _ if self.is_leaving() => 0,
-            Standing::In => want,
-            Standing::Probing { .. } => 1,
-            Standing::Out { .. } => 0,
+    /// Number of shares to request when `want` are needed.
+    pub(super) fn max_requestable(&self, want: u16) -> u16 {
+        match self.health.state {
+            _ if self.is_draining() => 0,
+            HealthState::Active => want,
+            HealthState::Probing { .. } => 1,
+            HealthState::Ejected { .. } => 0,
         }
     }
 
-    /// The lower, the better to send to.
-    fn score(&self) -> f64 {
+    /// Lower is better.
+    fn load_score(&self) -> f64 {
         f64::from(self.open + 1) * self.health.slowness
     }
 }
@@ -120,16 +120,16 @@
         self.by_vm.get(vm).copied()
     }
 
-    pub(super) fn free(&self) -> u32 {
-        self.free
+    pub(super) fn total_free_capacity(&self) -> u32 {
+        self.free_capacity
     }
 
-    pub(super) fn total(&self) -> u32 {
-        self.total
+    pub(super) fn total_share(&self) -> u32 {
+        self.total_share
     }
 
-    /// One more than the largest place.
-    pub(super) fn end(&self) -> usize {
+    /// Upper bound, exclusive, of all server indices.
+    pub(super) fn index_bound(&self) -> usize {
         self.list.len()
     }
 
@@ -139,35 +139,35 @@
         all.filter(|(_, server)| !server.classes.is_empty())
     }
 
-    /// How many servers run the class.
-    pub(super) fn serving(&self, class: ClassIx) -> u32 {
+    /// Number of servers that run the class.
+    pub(super) fn server_count(&self, class: ClassIx) -> u32 {
         self.candidates.get(class.0).map_or(0, |candidates| candidates.servers)
     }
 
-    /// How many requests of the class the shares held allow, besides other classes' ones.
-    pub(super) fn shares(&self, class: ClassIx) -> u32 {
+    /// Sum of the shares of the servers that run the class; other classes may use them too.
+    pub(super) fn share_sum(&self, class: ClassIx) -> u32 {
         self.candidates.get(class.0).map_or(0, |candidates| candidates.shares)
     }
 
     pub(super) fn has_candidate(&self, class: ClassIx) -> bool {
         let candidates = self.candidates.get(class.0);
-        candidates.is_some_and(|c| !c.near.is_empty() || !c.far.is_empty())
+        candidates.is_some_and(|c| !c.local.is_empty() || !c.remote.is_empty())
     }
 
-    /// Takes a grantor's description of a server, with the places of its classes.
+    /// Applies a grantor's description of a server.
     pub(super) fn describe(
         &mut self,
         info: &ServerInfo,
         shard: ShardId,
         classes: SmallVec<[ClassIx; 4]>,
-        home: &DataCentre,
+        local_data_centre: &DataCentre,
     ) -> ServerIx {
         let ix = self.find_or_add(info, shard);
-        self.change(ix, |server| {
+        self.update(ix, |server| {
             server.addr = info.addr.clone();
             server.shard = shard;
-            server.near = info.data_centre == *home;
-            server.described_leaving = info.state == VmState::Leaving;
+            server.local = info.data_centre == *local_data_centre;
+            server.described_draining = info.state == VmState::Leaving;
         });
         self.set_classes(ix, classes);
         ix
@@ -176,9 +176,9 @@
     /// The grantor doesn't describe the server any more.
     pub(super) fn forget(&mut self, ix: ServerIx) {
         self.set_share(ix, 0);
-        self.change(ix, |server| server.described_leaving = true);
+        self.update(ix, |server| server.described_draining = true);
         self.set_classes(ix, SmallVec::new());
-        self.reuse_if_idle(ix);
+        self.recycle_if_idle(ix);
     }
 
     pub(super) fn set_share(&mut self, ix: ServerIx, share: u16) {
@@ -187,63 +187,64 @@
             let sum = &mut self.candidates[class.0].shares;
             *sum = *sum - u32::from(old) + u32::from(share);
         }
-        self.total = self.total - u32::from(old) + u32::from(share);
-        self.change(ix, |server| server.share = share);
+        self.total_share = self.total_share - u32::from(old) + u32::from(share);
+        self.update(ix, |server| server.share = share);
     }
 
-    /// The platform's list says so.
-    pub(super) fn list_leaving(&mut self, vm: &VmId, leaving: bool) {
+    /// Sets whether the platform's list shows the server as draining.
+    pub(super) fn set_listed_draining(&mut self, vm: &VmId, draining: bool) {
         if let Some(ix) = self.by_vm.get(vm).copied() {
-            self.change(ix, |server| server.listed_leaving = leaving);
+            self.update(ix, |server| server.listed_draining = draining);
         }
     }
 
-    /// The server itself says so.
-    pub(super) fn said_leaving(&mut self, ix: ServerIx, now: Time) -> Time {
-        let until = now + SAID_LEAVING_FOR;
-        self.change(ix, |server| server.said_leaving = Some(until));
+    /// Records the server's own notice that it is draining; returns until when it is valid.
+    pub(super) fn set_declared_draining(&mut self, ix: ServerIx, now: Time) -> Time {
+        let until = now + DECLARED_DRAINING_TTL;
+        self.update(ix, |server| server.declared_draining_until = Some(until));
         until
     }
 
-    /// Ends what has run out: a server's word that it is leaving, an ejection.
+    /// Ends an expired ejection or draining notice.
     pub(super) fn expire(&mut self, ix: ServerIx, now: Time) {
-        if let Standing::Out { until } = self.list[ix.0].health.standing
+        if let HealthState::Ejected { until } = self.list[ix.0].health.state
             && until <= now
         {
             for class in self.list[ix.0].classes.clone() {
-                self.candidates[class.0].out -= 1;
+                self.candidates[class.0].ejected -= 1;
             }
-            self.change(ix, |server| server.health.probe());
+            self.update(ix, |server| server.health.start_probing());
         }
-        self.change(ix, |server| {
-            server.said_leaving = server.said_leaving.filter(|until| *until > now);
+        self.update(ix, |server| {
+            server.declared_draining_until =
+                server.declared_draining_until.filter(|until| *until > now);
         });
     }
 
     pub(super) fn opened(&mut self, ix: ServerIx) {
-        self.change(ix, |server| server.open += 1);
+        self.update(ix, |server| server.open += 1);
     }
 
-    /// An exchange has ended. Returns until when the server is ejected, if it is now.
+    /// Records the end of an exchange. If the server is ejected now, returns until when.
     pub(super) fn closed(
         &mut self,
         ix: ServerIx,
         now: Time,
-        judge: impl FnOnce(&mut Health),
+        record_result: impl FnOnce(&mut Health),
     ) -> Option<Time> {
-        self.change(ix, |server| {
+        self.update(ix, |server| {
             server.open = server.open.saturating_sub(1);
-            judge(&mut server.health);
+            record_result(&mut server.health);
         });
-        let ejected = self.eject_if_bad(ix, now);
-        self.reuse_if_idle(ix);
+        let ejected = self.eject_if_unhealthy(ix, now);
+        self.recycle_if_idle(ix);
         ejected
     }
 
-    /// Two random choices, the better of which is taken; in the near data centre if it has room.
+    /// Picks the better of two random candidates, preferring the local data centre.
     ///
-    /// Two choices keep a slow server from being picked often, at the cost of two look-ups; the
-    /// best of all would draw every entry to the same server at once.
+    /// Two choices avoid slow servers at low cost; picking the best of all would send every entry
+    /// to the same server.
     pub(super) fn pick(
         &self,
         class: ClassIx,
@@ -254,16 +255,15 @@
         let candidates = self.candidates.get(class.0)?;
         let fits =
             |ix: &ServerIx| Some(*ix) != except && (may_probe || !self.list[ix.0].is_probing());
-        for list in [&candidates.near, &candidates.far] {
+        for list in [&candidates.local, &candidates.remote] {
             if list.is_empty() {
                 continue;
             }
-            for _ in 0..DRAWS {
+            for _ in 0..MAX_PAIR_DRAWS {
                 let pair = [0; 2].map(|_| list[rng.random_range(0..list.len())]);
-                let better = pair
-                    .into_iter()
-                    .filter(fits)
-                    .min_by(|a, b| self.list[a.0].score().total_cmp(&self.list[b.0].score()));
+                let better = pair.into_iter().filter(fits).min_by(|a, b| {
+                    self.list[a.0].load_score().total_cmp(&self.list[b.0].load_score())
+                });
                 if better.is_some() {
                     return better;
                 }
@@ -283,17 +283,17 @@
             vm: info.vm.clone(),
             addr: info.addr.clone(),
             shard,
-            near: false,
+            local: false,
             classes: SmallVec::new(),
             share: 0,
             open: 0,
             health: Health::new(),
-            described_leaving: false,
-            listed_leaving: false,
-            said_leaving: None,
-            places: SmallVec::new(),
+            described_draining: false,
+            listed_draining: false,
+            declared_draining_until: None,
+            positions: SmallVec::new(),
         };
-        let ix = self.unused.pop().unwrap_or(ServerIx(self.list.len()));
+        let ix = self.recycled.pop().unwrap_or(ServerIx(self.list.len()));
         if ix.0 == self.list.len() {
             self.list.push(server);
         } else {
@@ -307,13 +307,14 @@
         if self.list[ix.0].classes == classes {
             return;
         }
-        self.withdraw(ix);
+        self.remove_server(ix);
         let share = u32::from(self.list[ix.0].share);
-        let out = u32::from(matches!(self.list[ix.0].health.standing, Standing::Out { .. }));
+        let ejected =
+            u32::from(matches!(self.list[ix.0].health.state, HealthState::Ejected { .. }));
         for class in std::mem::take(&mut self.list[ix.0].classes) {
             self.candidates[class.0].servers -= 1;
             self.candidates[class.0].shares -= share;
-            self.candidates[class.0].out -= out;
+            self.candidates[class.0].ejected -= ejected;
         }
         for class in &classes {
             if self.candidates.len() <= class.0 {
@@ -321,107 +322,108 @@
             }
             self.candidates[class.0].servers += 1;
             self.candidates[class.0].shares += share;
-            self.candidates[class.0].out += out;
+            self.candidates[class.0].ejected += ejected;
         }
         self.list[ix.0].classes = classes;
-        self.offer(ix);
+        self.insert_server(ix);
     }
 
-    fn eject_if_bad(&mut self, ix: ServerIx, now: Time) -> Option<Time> {
+    fn eject_if_unhealthy(&mut self, ix: ServerIx, now: Time) -> Option<Time> {
         let server = &self.list[ix.0];
-        // A server that fails its probe goes back out: the bound is for those that still serve.
-        let bound = |class: &ClassIx| {
+        // A server that fails its probe is always ejected again: the limit is for active servers.
+        let below_limit = |class: &ClassIx| {
             let candidates = &self.candidates[class.0];
-            candidates.servers >= 2 && candidates.out < (candidates.servers / EJECT_ONE_IN).max(1)
+            candidates.servers >= 2
+                && candidates.ejected < (candidates.servers / SERVERS_PER_EJECTION).max(1)
         };
-        let allowed = server.is_probing() || server.classes.iter().all(bound);
-        if !server.health.is_bad() || !allowed {
+        let allowed = server.is_probing() || server.classes.iter().all(below_limit);
+        if !server.health.should_eject() || !allowed {
             return None;
         }
         for class in server.classes.clone() {
-            self.candidates[class.0].out += 1;
+            self.candidates[class.0].ejected += 1;
         }
         let mut until = now;
-        self.change(ix, |server| until = server.health.eject(now));
+        self.update(ix, |server| until = server.health.eject(now));
         Some(until)
     }
 
-    /// Changes a server and keeps the candidates and sums in step.
-    fn change(&mut self, ix: ServerIx, change: impl FnOnce(&mut Server)) {
-        let before = self.list[ix.0].room();
-        let near = self.list[ix.0].near;
-        change(&mut self.list[ix.0]);
+    /// Changes a server and updates the candidates and sums.
+    fn update(&mut self, ix: ServerIx, update: impl FnOnce(&mut Server)) {
+        let before = self.list[ix.0].free_capacity();
+        let local = self.list[ix.0].local;
+        update(&mut self.list[ix.0]);
         let server = &self.list[ix.0];
-        let after = server.room();
+        let after = server.free_capacity();
         let counted = !server.classes.is_empty();
         if counted {
-            self.free = self.free - u32::from(before) + u32::from(after);
+            self.free_capacity = self.free_capacity - u32::from(before) + u32::from(after);
         }
-        let moved = near != server.near;
+        let moved = local != server.local;
         if (before > 0 && after == 0) || moved {
-            self.take_places(ix, near);
+            self.remove_candidate(ix, local);
         }
         if after > 0 && (before == 0 || moved) {
-            self.give_places(ix);
+            self.insert_candidate(ix);
         }
     }
 
-    /// Takes the server out of the sums and candidates, before its classes change.
-    fn withdraw(&mut self, ix: ServerIx) {
+    /// Removes the server from sums and candidates before its classes change.
+    fn remove_server(&mut self, ix: ServerIx) {
         if !self.list[ix.0].classes.is_empty() {
-            self.free -= u32::from(self.list[ix.0].room());
+            self.free_capacity -= u32::from(self.list[ix.0].free_capacity());
         }
-        let near = self.list[ix.0].near;
-        self.take_places(ix, near);
+        let local = self.list[ix.0].local;
+        self.remove_candidate(ix, local);
     }
 
-    fn offer(&mut self, ix: ServerIx) {
-        let room = self.list[ix.0].room();
+    fn insert_server(&mut self, ix: ServerIx) {
+        let free_capacity = self.list[ix.0].free_capacity();
         if !self.list[ix.0].classes.is_empty() {
-            self.free += u32::from(room);
+            self.free_capacity += u32::from(free_capacity);
         }
-        if room > 0 {
-            self.give_places(ix);
+        if free_capacity > 0 {
+            self.insert_candidate(ix);
         }
     }
 
-    fn give_places(&mut self, ix: ServerIx) {
-        let Server { near, classes, places, .. } = &mut self.list[ix.0];
-        if !places.is_empty() {
+    fn insert_candidate(&mut self, ix: ServerIx) {
+        let Server { local, classes, positions, .. } = &mut self.list[ix.0];
+        if !positions.is_empty() {
             return;
         }
         for class in classes.iter() {
-            let list = self.candidates[class.0].list(*near);
-            places.push((*class, list.len()));
+            let list = self.candidates[class.0].list(*local);
+            positions.push((*class, list.len()));
             list.push(ix);
         }
     }
 
-    fn take_places(&mut self, ix: ServerIx, near: bool) {
-        for (class, place) in std::mem::take(&mut self.list[ix.0].places) {
-            let list = self.candidates[class.0].list(near);
-            list.swap_remove(place);
-            let Some(moved) = list.get(place).copied() else { continue };
-            let places = &mut self.list[moved.0].places;
-            if let Some(entry) = places.iter_mut().find(|entry| entry.0 == class) {
-                entry.1 = place;
+    fn remove_candidate(&mut self, ix: ServerIx, local: bool) {
+        for (class, position) in std::mem::take(&mut self.list[ix.0].positions) {
+            let list = self.candidates[class.0].list(local);
+            list.swap_remove(position);
+            let Some(moved) = list.get(position).copied() else { continue };
+            let positions = &mut self.list[moved.0].positions;
+            if let Some(entry) = positions.iter_mut().find(|entry| entry.0 == class) {
+                entry.1 = position;
             }
         }
     }
 
-    /// Lets the place of a forgotten server be used again once nothing is open there.
-    fn reuse_if_idle(&mut self, ix: ServerIx) {
+    /// Makes the index of a forgotten server available once nothing is open there.
+    fn recycle_if_idle(&mut self, ix: ServerIx) {
         let server = &self.list[ix.0];
-        let idle = server.classes.is_empty() && server.described_leaving && server.open == 0;
-        if idle && self.by_vm.get(&server.vm) == Some(&ix) {
+        let unused = server.classes.is_empty() && server.described_draining && server.open == 0;
+        if unused && self.by_vm.get(&server.vm) == Some(&ix) {
             self.by_vm.remove(&self.list[ix.0].vm);
-            self.unused.push(ix);
+            self.recycled.push(ix);
         }
     }
 }
 
 impl Candidates {
-    fn list(&mut self, near: bool) -> &mut Vec<ServerIx> {
-        if near { &mut self.near } else { &mut self.far }
+    fn list(&mut self, local: bool) -> &mut Vec<ServerIx> {
+        if local { &mut self.local } else { &mut self.remote }
     }
 }
--- a/crates/requests/src/entry/sharing.rs
+++ b/crates/requests/src/entry/sharing.rs
@@ -1,4 +1,4 @@
-//! Asking grantors for shares, and taking what they grant.
+//! Requests for shares, and the grants that answer them.
 
 use {
     super::{
@@ -17,19 +17,18 @@
     },
 };
 
-/// How often demand is looked at, between regular ticks.
-const LOOK_PERIOD: Duration = Duration::from_millis(10);
+/// Minimum time between two checks of demand, besides the regular ticks.
+const DEMAND_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Shares are asked for when fewer than one in so many of those held are free.
-const SHORT_ONE_IN: u32 = 8;
+/// More shares are requested when fewer than this fraction (1/n) of those held are free.
+const LOW_FREE_SHARE_DIVISOR: u32 = 8;
 
-/// What is asked for beyond the most that was needed of late, so that growth finds room: a quarter
-/// and two more.
-const HEADROOM_ONE_IN: u32 = 4;
-const HEADROOM_LEAST: u32 = 2;
+/// Headroom requested beyond the recent peak: this fraction (1/n) of it and [`MIN_HEADROOM`].
+const HEADROOM_DIVISOR: u32 = 4;
+const MIN_HEADROOM: u32 = 2;
 
-/// No share larger than this is asked for; far beyond any server's slots.
-const WANT_MAX: u32 = 1_024;
+/// Maximum share requested of one server.
+const MAX_WANTED_SHARE: u32 = 1_024;
 
 impl Entry {
     pub(super) fn set_owners(
@@ -39,80 +38,87 @@
         out: &mut Vec<EntryEffect>,
     ) {
         for owner in owners {
-            let known = self.owners.get(&owner.shard);
-            // The control stream never goes back; an event that does was overtaken.
-            if known.is_some_and(|(_, epoch)| *epoch >= owner.epoch) {
+            let current = self.owners.get(&owner.shard);
+            // Epochs only increase: an event with an older one was overtaken.
+            if current.is_some_and(|(_, epoch)| *epoch >= owner.epoch) {
                 continue;
             }
             self.owners.insert(owner.shard, (owner.node, owner.epoch));
             if let Some(grantor) = self.grantors.get_mut(owner.shard) {
                 grantor.owner = Some((owner.node, owner.epoch));
-                grantor.waiting = false;
-                grantor.hurry = true;
+                grantor.awaiting_grant = false;
+                grantor.urgent = true;
             }
         }
         self.send_due_requests(now, false, out);
     }
 
-    /// Takes the platform's list as a hint: which racks there are, and who is leaving.
+    /// Uses the platform's list as a hint of which racks exist and which VMs are draining.
     pub(super) fn set_vms(&mut self, vms: &[VmRecord]) {
         for record in vms {
             let shard = shard_of_rack(&record.rack);
             let owner = self.owners.get(&shard).copied();
             self.grantors.find_or_add(shard).owner = owner;
-            self.servers.list_leaving(&record.vm, record.state == VmState::Leaving);
+            self.servers.set_listed_draining(&record.vm, record.state == VmState::Leaving);
         }
     }
 
     /// Whether more shares would help now.
-    pub(super) fn is_short(&self) -> bool {
-        self.waits_without_share() || self.servers.free() * SHORT_ONE_IN < self.servers.total()
+    pub(super) fn needs_shares(&self) -> bool {
+        self.has_class_without_share()
+            || self.servers.total_free_capacity() * LOW_FREE_SHARE_DIVISOR
+                < self.servers.total_share()
     }
 
-    /// Whether a class has requests waiting and no server of its own that may take one.
+    /// Whether a class has requests waiting and none of its servers can take one.
     ///
-    /// Free shares of other classes' servers don't help it. Were they counted, a boundary check
-    /// would wait for the next periodic ask, up to 3 s, while shares for filings lie idle.
-    fn waits_without_share(&self) -> bool {
-        let waits =
+    /// Free shares of other classes' servers don't count: otherwise the class would wait for the
+    /// next periodic request for shares.
+    fn has_class_without_share(&self) -> bool {
+        let starved =
             |ix: ClassIx| !self.classes.get(ix).queue.is_empty() && !self.servers.has_candidate(ix);
-        self.waiting > 0 && self.classes.indices().any(waits)
+        self.waiting > 0 && self.classes.indices().any(starved)
     }
 
-    /// Asks soon when demand grows, without waiting for the next tick.
+    /// Requests shares when demand grows, without waiting for the next tick.
     pub(super) fn request_on_demand(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
-        if now < self.look_at {
+        if now < self.next_demand_check {
             return;
         }
-        self.look_at = now + LOOK_PERIOD;
-        if self.is_short() {
+        self.next_demand_check = now + DEMAND_CHECK_INTERVAL;
+        if self.needs_shares() {
             self.send_due_requests(now, true, out);
         }
     }
 
-    pub(super) fn recalled(&mut self, now: Time, shard: ShardId, out: &mut Vec<EntryEffect>) {
+    pub(super) fn handle_recall(&mut self, now: Time, shard: ShardId, out: &mut Vec<EntryEffect>) {
         if let Some(grantor) = self.grantors.get_mut(shard) {
-            grantor.hurry = true;
+            grantor.urgent = true;
         }
         self.send_due_requests(now, false, out);
     }
 
-    pub(super) fn send_due_requests(&mut self, now: Time, short: bool, out: &mut Vec<EntryEffect>) {
+    pub(super) fn send_due_requests(
+        &mut self,
+        now: Time,
+        needs_shares: bool,
+        out: &mut Vec<EntryEffect>,
+    ) {
         if self.drained {
             return;
         }
         let need = self.waiting + self.attempts.len();
-        let due = self.grantors.due(now, Demand { short, need });
+        let due = self.grantors.due(now, Demand { needs_shares, need });
         if due.is_empty() {
             return;
         }
-        let plan = self.plan();
+        let planned = self.plan_demand();
         for shard in due {
-            self.send_request(now, shard, &plan, out);
+            self.send_request(now, shard, &planned, out);
         }
     }
 
-    pub(super) fn give_back_shares(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
+    pub(super) fn return_shares(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
         for shard in self.grantors.shards() {
             let servers = self.grantors.get(shard).map(|grantor| grantor.servers.clone());
             for server in servers.unwrap_or_default() {
@@ -122,12 +128,12 @@
         }
     }
 
-    /// Sends an ask that says what is held until its answer, and what is wanted.
+    /// Sends a request that states what is held until its answer, and what is wanted.
     fn send_request(
         &mut self,
         now: Time,
         shard: ShardId,
-        plan: &[Planned],
+        planned: &[PlannedDemand],
         out: &mut Vec<EntryEffect>,
     ) {
         let Some(grantor) = self.grantors.get_mut(shard) else { return };
@@ -137,23 +143,23 @@
             let server = servers.get(*ix);
             server.shard == shard && (!server.classes.is_empty() || server.open > 0)
         });
-        let asks = grantor.servers.iter().filter_map(|ix| {
+        let demands = grantor.servers.iter().filter_map(|ix| {
             let server = servers.get(*ix);
-            // What is open stays held, also beyond the share: a smaller share takes effect as
+            // Open requests stay held, also beyond the share: a smaller share takes effect as
             // exchanges end.
             let holding = server.share.max(server.open);
-            let planned = plan.get(ix.0).copied().unwrap_or_default();
-            let want = server.useful(planned.want);
-            let need = planned.need.min(want);
-            let named = holding > 0 || want > 0;
-            named.then(|| ServerDemand { vm: server.vm.clone(), holding, need, want })
+            let wanted = planned.get(ix.0).copied().unwrap_or_default();
+            let want = server.max_requestable(wanted.want);
+            let need = wanted.need.min(want);
+            let relevant = holding > 0 || want > 0;
+            relevant.then(|| ServerDemand { vm: server.vm.clone(), holding, need, want })
         });
-        let servers: Vec<ServerDemand> = asks.collect();
+        let servers: Vec<ServerDemand> = demands.collect();
         grantor.seq += 1;
-        grantor.asked_at = Some(now);
-        grantor.waiting = true;
-        grantor.hurry = false;
-        grantor.asked_need = self.waiting + self.attempts.len();
+        grantor.requested_at = Some(now);
+        grantor.awaiting_grant = true;
+        grantor.urgent = false;
+        grantor.requested_need = self.waiting + self.attempts.len();
         let request = ShareRequest {
             shard,
             epoch,
@@ -165,55 +171,55 @@
         out.push(EntryEffect::RequestShares { node, request });
     }
 
-    pub(super) fn take_grant(&mut self, now: Time, grant: ShareGrant, out: &mut Vec<EntryEffect>) {
+    pub(super) fn apply_grant(&mut self, now: Time, grant: ShareGrant, out: &mut Vec<EntryEffect>) {
         let shard = grant.shard;
         let Some(grantor) = self.grantors.get_mut(shard) else { return };
         let epoch = grantor.owner.map(|(_, epoch)| epoch);
-        let current = epoch == Some(grant.epoch) && grant.seq == grantor.seq && grantor.waiting;
-        // A grant that was overtaken by a later ask, or by a later grantor, isn't in anybody's
-        // books any more.
+        let current =
+            epoch == Some(grant.epoch) && grant.seq == grantor.seq && grantor.awaiting_grant;
+        // The grantor doesn't count a grant that a later request or another grantor has superseded.
         if self.opts.protections.fence_grants && !current {
             return;
         }
-        let asked_at = grantor.asked_at.unwrap_or(now);
-        let old_lapse = grantor.lapses;
-        grantor.lapses = if self.opts.protections.expire_shares {
-            Grantor::lease_end(asked_at, grant.lease)
+        let requested_at = grantor.requested_at.unwrap_or(now);
+        let old_expiry = grantor.shares_expire_at;
+        grantor.shares_expire_at = if self.opts.protections.expire_shares {
+            Grantor::lease_end(requested_at, grant.lease)
         } else {
             Time::from_micros(u64::MAX)
         };
-        let lapses = grantor.lapses;
+        let shares_expire_at = grantor.shares_expire_at;
         let changed = grantor.known_version != grant.version;
         grantor.known_version = grant.version;
-        grantor.answered(grant.servers.iter().map(|server| u32::from(server.max_open)).sum());
-        self.timers.remove(&(old_lapse, Timer::Lapse(shard)));
+        grantor.record_grant(grant.servers.iter().map(|server| u32::from(server.max_open)).sum());
+        self.timers.remove(&(old_expiry, Timer::SharesExpire(shard)));
         if changed {
             self.describe(shard, &grant.descriptions);
         }
         let lowered = self.set_shares(&grant);
-        self.timers.insert((lapses, Timer::Lapse(shard)));
-        // A new description changes what is worth asking for; and what was taken back is free for
-        // others only once the grantor knows that it was.
+        self.timers.insert((shares_expire_at, Timer::SharesExpire(shard)));
+        // A new description changes the demand, and the grantor can use revoked shares only once it
+        // knows that they were given up.
         if let Some(grantor) = self.grantors.get_mut(shard) {
-            grantor.hurry = changed || lowered;
+            grantor.urgent = changed || lowered;
         }
         self.send_due_requests(now, false, out);
     }
 
     fn describe(&mut self, shard: ShardId, descriptions: &[ServerInfo]) {
-        let mut seen = BTreeSet::new();
+        let mut described = BTreeSet::new();
         for info in descriptions {
             let classes: SmallVec<[ClassIx; 4]> =
                 info.classes.iter().map(|name| self.classes.find_or_add(name)).collect();
-            seen.insert(self.servers.describe(info, shard, classes, &self.opts.data_centre));
+            described.insert(self.servers.describe(info, shard, classes, &self.opts.data_centre));
         }
         let Some(grantor) = self.grantors.get_mut(shard) else { return };
-        for gone in grantor.servers.difference(&seen) {
-            if self.servers.get(*gone).shard == shard {
-                self.servers.forget(*gone);
+        for removed in grantor.servers.difference(&described) {
+            if self.servers.get(*removed).shard == shard {
+                self.servers.forget(*removed);
             }
         }
-        grantor.servers.extend(seen);
+        grantor.servers.extend(described);
     }
 
     /// Returns whether any share became smaller.
@@ -242,10 +248,10 @@
         lowered
     }
 
-    /// The lease has run out without a new grant: nothing more is sent under it.
-    pub(super) fn lapse(&mut self, now: Time, shard: ShardId) {
+    /// The lease ended without a new grant: nothing more is sent under it.
+    pub(super) fn expire_shares(&mut self, now: Time, shard: ShardId) {
         let Some(grantor) = self.grantors.get_mut(shard) else { return };
-        if grantor.lapses > now {
+        if grantor.shares_expire_at > now {
             return;
         }
         for ix in grantor.servers.clone() {
@@ -255,20 +261,20 @@
         }
     }
 
-    /// How many requests the entry needs to have open at each server, and would like to.
+    /// Plans how many requests the entry needs and wants to have open at each server.
     ///
-    /// What is open and waiting, or was at most of late, and some more, spread over the class's
-    /// servers: the near ones first, and in an order of the entry's own, so that entries with
-    /// little to do don't all want the same server.
-    fn plan(&self) -> Vec<Planned> {
-        let mut plan = vec![Planned::default(); self.servers.end()];
+    /// The demand of each class, with headroom, is spread over its servers: local ones first, in an
+    /// order that differs between entries, so that entries with little load don't all request the
+    /// same server.
+    fn plan_demand(&self) -> Vec<PlannedDemand> {
+        let mut planned = vec![PlannedDemand::default(); self.servers.index_bound()];
         let mut by_class: Vec<Vec<ServerIx>> = Vec::new();
         for (ix, server) in self.servers.iter() {
             for class in &server.classes {
                 if by_class.len() <= class.0 {
                     by_class.resize_with(class.0 + 1, Vec::new);
                 }
-                if server.useful(1) > 0 {
+                if server.max_requestable(1) > 0 {
                     by_class[class.0].push(ix);
                 }
             }
@@ -278,29 +284,34 @@
             if class.service.is_none() || servers.is_empty() {
                 continue;
             }
-            servers.sort_by_key(|ix| self.preference(*ix, self.servers.get(*ix)));
+            servers.sort_by_key(|ix| self.selection_order(*ix, self.servers.get(*ix)));
             let waiting = u32::try_from(class.queue.len()).unwrap_or(u32::MAX);
-            let offered = class.load.offered(class.latency.mean());
-            let need = class.open.saturating_add(waiting).max(offered);
-            spread(need, class.load.peak_need().max(offered), servers, &mut plan);
+            let offered_concurrency = class.load.offered_concurrency(class.latency.mean());
+            let need = class.open.saturating_add(waiting).max(offered_concurrency);
+            distribute(
+                need,
+                class.load.peak_need().max(offered_concurrency),
+                servers,
+                &mut planned,
+            );
         }
-        plan
+        planned
     }
 
-    fn preference(&self, ix: ServerIx, server: &Server) -> (bool, u64) {
+    fn selection_order(&self, ix: ServerIx, server: &Server) -> (bool, u64) {
         let mixed = (ix.0 as u64 ^ self.opts.node.0).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        (!server.near, mixed ^ (mixed >> 32))
+        (!server.local, mixed ^ (mixed >> 32))
     }
 }
 
-/// What is asked of one server.
+/// Demand for one server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Planned {
+struct PlannedDemand {
     need: u16,
     want: u16,
 }
 
-impl Planned {
+impl PlannedDemand {
     fn add(&mut self, need: u32, want: u32) {
         self.need = add(self.need, need);
         self.want = add(self.want, want);
@@ -308,22 +319,22 @@
 }
 
 fn add(sum: u16, more: u32) -> u16 {
-    (u32::from(sum) + more.min(WANT_MAX)).min(WANT_MAX) as u16
+    (u32::from(sum) + more.min(MAX_WANTED_SHARE)).min(MAX_WANTED_SHARE) as u16
 }
 
-/// Adds what a class needs and would like to what is asked of its servers.
-fn spread(need: u32, peak: u32, servers: &[ServerIx], plan: &mut [Planned]) {
+/// Adds the demand of a class to that of its servers.
+fn distribute(need: u32, peak: u32, servers: &[ServerIx], planned: &mut [PlannedDemand]) {
     if peak == 0 {
-        // Thousands of quiet classes on one server want one share between them, not one each.
-        for ix in servers.iter().take(HEADROOM_LEAST as usize) {
-            plan[ix.0].want = plan[ix.0].want.max(1);
+        // Idle classes on the same server share one slot instead of requesting one each.
+        for ix in servers.iter().take(MIN_HEADROOM as usize) {
+            planned[ix.0].want = planned[ix.0].want.max(1);
         }
         return;
     }
-    let want = peak.max(need).saturating_add(peak / HEADROOM_ONE_IN + HEADROOM_LEAST);
+    let want = peak.max(need).saturating_add(peak / HEADROOM_DIVISOR + MIN_HEADROOM);
     let count = servers.len() as u32;
     let part = |sum: u32, i: usize| sum / count + u32::from((i as u32) < sum % count);
     for (i, ix) in servers.iter().enumerate() {
-        plan[ix.0].add(part(need, i), part(want, i));
+        planned[ix.0].add(part(need, i), part(want, i));
     }
 }
--- a/crates/requests/src/ids.rs
+++ b/crates/requests/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers that identify requests and their attempts within one entry.
+//! Ids of requests and attempts within one entry.
 
 use {
     serde::{Deserialize, Serialize},
@@ -23,16 +23,16 @@
 }
 
 number_type!(
-    /// A caller's request. Given by the runtime, never used twice by one entry process.
+    /// A caller's request. Assigned by the runtime, unique within an entry process.
     RequestId
 );
 number_type!(
-    /// One sending of a request to one backend server. Given by [`crate::Entry`], never used twice,
-    /// so that a late answer can't be taken for that of another sending.
+    /// One attempt to send a request to a backend server. Assigned by [`crate::Entry`] and never
+    /// reused, so that a late answer isn't matched to another attempt.
     AttemptId
 );
 number_type!(
-    /// A hash of a request's method, path and body, computed by the runtime. Two requests of one
-    /// idempotency key with different hashes are different requests.
+    /// Hash of a request's method, path and body, computed by the runtime. An idempotency key
+    /// identifies one request only if the hashes are equal.
     BodyHash
 );
--- a/crates/requests/src/keys/message.rs
+++ b/crates/requests/src/keys/message.rs
@@ -1,4 +1,4 @@
-//! What entries and the owners of request keys tell each other, and what owners journal.
+//! Messages between entries and the owners of request keys, and the owners' journal entries.
 
 use {
     crate::ids::{BodyHash, RequestId},
@@ -7,60 +7,60 @@
     std::time::Duration,
 };
 
-/// An entry's ask for a permit to send a non-idempotent request once.
+/// An entry's request for a permit to send a non-idempotent request once.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// The key's shard.
+    /// Shard that owns the key.
     pub shard: ShardId,
-    /// The key.
+    /// The idempotency key.
     pub key: RequestKey,
-    /// The hash of what is to be run.
+    /// Hash of the request to be sent.
     pub body: BodyHash,
-    /// Whose permit it will be.
+    /// Holder of the permit.
     pub holder: PermitHolder,
 }
 
-/// The one request that a permit is for: unique over all entries and their incarnations.
+/// The request that a permit is for; unique over all entries and their restarts.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct PermitHolder {
     /// The entry.
     pub entry: NodeId,
-    /// The entry's number of the request.
+    /// Id of the request within the entry.
     pub request: RequestId,
 }
 
-/// The answer of a key's owner.
+/// Answer of a key's owner to a [`PermitRequest`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Permit {
-    /// The intent is in the log: send it, once.
+    /// The intent is in the log: the request may be sent once.
     Granted,
-    /// It ran before; this was the answer.
+    /// The request has run; holds the recorded answer.
     Recorded(RecordedAnswer),
     /// Another request with the key is in progress.
     InProgress,
     /// An earlier request with the key may have run; it isn't run again.
     InDoubt,
-    /// The key came with another body before.
+    /// The key was used with a different request.
     BodyMismatch,
-    /// No permit can be given now; nothing was or will be run for this ask.
+    /// No permit can be granted now; nothing runs for this request.
     Unavailable,
 }
 
-/// A backend server's answer as remembered with a key.
+/// A backend server's answer as recorded with a key.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The body, if it has at most [`crate::MAX_RECORDED_BODY_BYTES`] bytes.
+    /// Body, if it has at most [`crate::MAX_RECORDED_BODY_BYTES`] bytes.
     pub body: Option<Vec<u8>>,
 }
 
-/// What became of a permitted request.
+/// Outcome of a request with a permit.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum KeyOutcome {
-    /// It ran, and this was the answer.
+    /// It ran and got this answer.
     Ran(RecordedAnswer),
-    /// It certainly didn't run: the key is free again.
+    /// It didn't run; the key may be used again.
     NotRun,
     /// It may have run.
     Unknown,
@@ -69,40 +69,40 @@
 /// An entry's report of an outcome.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct OutcomeReport {
-    /// The key's shard.
+    /// Shard that owns the key.
     pub shard: ShardId,
-    /// The key.
+    /// The idempotency key.
     pub key: RequestKey,
-    /// Whose permit it was.
+    /// Holder of the permit.
     pub holder: PermitHolder,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: KeyOutcome,
 }
 
-/// What the owner of a key's shard journals.
+/// Journal entry of the owner of a key's shard.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum KeyJournalEntry {
     /// A request with the key may be sent from now on.
     Intent {
-        /// The key.
+        /// The idempotency key.
         key: RequestKey,
-        /// The hash of what is to be run.
+        /// Hash of the request to be sent.
         body: BodyHash,
-        /// Whose permit it is.
+        /// Holder of the permit.
         holder: PermitHolder,
     },
-    /// What became of it.
+    /// The outcome of a request with a permit.
     Outcome {
-        /// The key.
+        /// The idempotency key.
         key: RequestKey,
-        /// Whose permit it was.
+        /// Holder of the permit.
         holder: PermitHolder,
-        /// What became of it.
+        /// Outcome of the request.
         outcome: KeyOutcome,
     },
 }
 
-/// All keys of a shard, for the journal and for a successor.
+/// All keys of a shard, for its journal and a new owner.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct KeySnapshot {
     /// The keys.
@@ -112,14 +112,14 @@
 /// One key in a [`KeySnapshot`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct KeyRecord {
-    /// The key.
+    /// The idempotency key.
     pub key: RequestKey,
-    /// The hash of what was to be run.
+    /// Hash of the request.
     pub body: BodyHash,
-    /// Whose permit it was.
+    /// Holder of the permit.
     pub holder: PermitHolder,
-    /// What became of it, if that is known.
+    /// Outcome, if known.
     pub outcome: Option<KeyOutcome>,
-    /// How long ago the intent or the outcome was recorded.
+    /// Time since the intent or the outcome was recorded.
     pub age: Duration,
 }
--- a/crates/requests/src/keys/mod.rs
+++ b/crates/requests/src/keys/mod.rs
@@ -1,8 +1,8 @@
-//! Request keys: at most one run of a non-idempotent request, whoever sends it again and when.
+//! Request keys: a non-idempotent request runs at most once, even if it is sent again.
 //!
-//! The owner of a key's shard journals the intent before it gives a permit, and the outcome when
-//! the entry reports it. A key whose permit has no outcome stays closed: the earlier request may
-//! have run. Keys are remembered for [`crate::KEY_RETENTION`] after that.
+//! The owner of a key's shard journals the intent before it grants a permit, and the outcome when
+//! the entry reports it. A key whose permit has no outcome accepts no further request, because the
+//! earlier one may have run. Keys are stored for [`crate::KEY_RETENTION`] after that.
 
 mod message;
 mod state;
--- a/crates/requests/src/keys/state.rs
+++ b/crates/requests/src/keys/state.rs
@@ -1,4 +1,4 @@
-//! What is known of one key, and what an ask for it is answered.
+//! State of one key, and the answer to a permit request for it.
 
 use {
     super::message::{KeyOutcome, Permit, PermitHolder, PermitRequest},
@@ -7,23 +7,23 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// When something was recorded, as far as this process knows.
+/// When an intent or an outcome was recorded.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Since {
-    /// On this process's clock.
+pub(super) enum RecordedAt {
+    /// Time on this process's clock.
     At(Time),
-    /// This long before the shard was taken over, at least.
+    /// Minimum age when the shard was taken over.
     Age(Duration),
 }
 
 #[derive(Clone, Debug)]
 pub(super) enum Phase {
-    /// The intent isn't known to be in the log yet; its holder waits.
-    Intending { ticket: Ticket },
-    /// The permit was given, or may have been.
+    /// The intent is being appended to the log; its holder waits.
+    IntentPending { ticket: Ticket },
+    /// The permit was granted, or may have been.
     Permitted,
-    /// The outcome is known, or known to stay unknown.
-    Ended(KeyOutcome),
+    /// The outcome was reported, or is known to be unknown.
+    Completed(KeyOutcome),
 }
 
 #[derive(Clone, Debug)]
@@ -31,51 +31,51 @@
     pub(super) body: BodyHash,
     pub(super) holder: PermitHolder,
     pub(super) phase: Phase,
-    pub(super) since: Since,
+    pub(super) recorded_at: RecordedAt,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct ShardKeys {
     pub(super) epoch: Option<Epoch>,
     pub(super) keys: BTreeMap<RequestKey, KeyState>,
-    /// Permits that wait for their intents.
+    /// Permits that wait for their intents to be in the log.
     pub(super) intents: BTreeMap<Ticket, RequestKey>,
     /// Reports that wait for their outcomes to be in the log.
     pub(super) reports: BTreeMap<Ticket, PermitHolder>,
-    /// Holders that have given up before their ask came, and when they said so.
-    pub(super) given_up: BTreeMap<PermitHolder, Time>,
+    /// Holders that reported an outcome before their permit request arrived, and when.
+    pub(super) abandoned: BTreeMap<PermitHolder, Time>,
 }
 
 impl KeyState {
-    /// What an ask for this key is answered, or `None` if the ask is to be taken as new or is the
-    /// holder's own ask come twice.
-    pub(super) fn answer(
+    /// Returns the answer to a permit request for this key, or `None` if the request is new or a
+    /// duplicate of the holder's own.
+    pub(super) fn evaluate(
         &self,
         now: Time,
         request: &PermitRequest,
         protections: Protections,
     ) -> Option<Permit> {
-        let own = self.holder == request.holder;
+        let same_holder = self.holder == request.holder;
         if self.body != request.body {
             return Some(Permit::BodyMismatch);
         }
         match &self.phase {
-            Phase::Intending { .. } if own => None,
-            Phase::Intending { .. } => Some(Permit::InProgress),
-            Phase::Permitted if own => Some(Permit::Granted),
-            Phase::Permitted if self.overdue(now) => {
+            Phase::IntentPending { .. } if same_holder => None,
+            Phase::IntentPending { .. } => Some(Permit::InProgress),
+            Phase::Permitted if same_holder => Some(Permit::Granted),
+            Phase::Permitted if self.is_outcome_overdue(now) => {
                 protections.keep_in_doubt.then_some(Permit::InDoubt)
             }
             Phase::Permitted => Some(Permit::InProgress),
-            Phase::Ended(KeyOutcome::Ran(answer)) => Some(Permit::Recorded(answer.clone())),
-            Phase::Ended(KeyOutcome::Unknown) => {
+            Phase::Completed(KeyOutcome::Ran(answer)) => Some(Permit::Recorded(answer.clone())),
+            Phase::Completed(KeyOutcome::Unknown) => {
                 protections.keep_in_doubt.then_some(Permit::InDoubt)
             }
-            Phase::Ended(KeyOutcome::NotRun) => None,
+            Phase::Completed(KeyOutcome::NotRun) => None,
         }
     }
 
-    fn overdue(&self, now: Time) -> bool {
-        matches!(self.since, Since::At(at) if now.since(at) >= OUTCOME_TIMEOUT)
+    fn is_outcome_overdue(&self, now: Time) -> bool {
+        matches!(self.recorded_at, RecordedAt::At(at) if now.since(at) >= OUTCOME_TIMEOUT)
     }
 }
--- a/crates/requests/src/keys/table.rs
+++ b/crates/requests/src/keys/table.rs
@@ -1,4 +1,4 @@
-//! The owner's book of keys.
+//! Table of the request keys of the shards that this process owns.
 
 use {
     super::{
@@ -6,7 +6,7 @@
             KeyJournalEntry, KeyOutcome, KeyRecord, KeySnapshot, OutcomeReport, Permit,
             PermitHolder, PermitRequest,
         },
-        state::{KeyState, Phase, ShardKeys, Since},
+        state::{KeyState, Phase, RecordedAt, ShardKeys},
     },
     crate::{
         limits::{KEY_RETENTION, MAX_KEYS_PER_SHARD, PERMIT_TIMEOUT},
@@ -16,23 +16,23 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How often keys past their retention are looked for. Each pass visits every key.
+/// How often keys past their retention are removed. Each sweep scans every key.
 const SWEEP_PERIOD: Duration = Duration::from_secs(60);
 
-/// How long an ask may be under way after its holder's report.
-const ASK_UNDER_WAY: Duration = Duration::from_secs(10);
+/// Maximum delay of a permit request that its holder's report has overtaken.
+const MAX_REQUEST_DELAY: Duration = Duration::from_secs(10);
 
-/// The most holders remembered for that, in a shard. Beyond it a key may fall in doubt for nothing.
-const GIVEN_UP_MAX: usize = 1_024;
+/// Maximum number of such holders tracked in a shard. Beyond it a key may fall in doubt needlessly.
+const MAX_ABANDONED_HOLDERS: usize = 1_024;
 
-/// What the book is told.
+/// Input of a [`KeyTable`].
 #[derive(Clone, Debug)]
 pub enum KeyTableEvent {
-    /// This process owns the shard now; its keys were replayed and restored before.
+    /// This process owns the shard now; its keys were restored and replayed before.
     Owned {
         /// The shard.
         shard: ShardId,
-        /// The epoch of the ownership.
+        /// Epoch of the ownership.
         epoch: Epoch,
     },
     /// This process doesn't own the shard any more.
@@ -40,9 +40,9 @@
         /// The shard.
         shard: ShardId,
     },
-    /// An entry asks for a permit.
+    /// An entry requests a permit.
     Request {
-        /// The ask.
+        /// The request.
         request: PermitRequest,
     },
     /// An entry reports an outcome.
@@ -52,55 +52,55 @@
     },
     /// A journal entry is in the log.
     Journaled {
-        /// Which.
+        /// Ticket of the entry.
         ticket: Ticket,
     },
-    /// Whether appends to the log succeed at present.
+    /// Availability of the log.
     LogState {
-        /// They do.
+        /// Whether appends succeed at present.
         up: bool,
     },
     /// Time passed.
     Tick,
 }
 
-/// What the book asks the runtime to do.
+/// Output of a [`KeyTable`], performed by the runtime.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum KeyTableEffect {
-    /// Append to the shard's journal, in the order of these effects; again until it is known to
-    /// have been appended, also across an outage of the log.
+    /// Append to the shard's journal, in the order of these effects; retry until the append is
+    /// confirmed, also across an outage of the log.
     Journal {
         /// The shard.
         shard: ShardId,
-        /// The entry.
+        /// The journal entry.
         entry: KeyJournalEntry,
-        /// What [`KeyTableEvent::Journaled`] is to name.
+        /// Ticket for [`KeyTableEvent::Journaled`].
         ticket: Ticket,
     },
-    /// Answer an entry's ask. Authority for the shard is asked again before a
+    /// Answer a permit request. Authority for the shard must be checked again before a
     /// [`Permit::Granted`] is sent.
     Answer {
-        /// The shard, for asking authority again.
+        /// Shard whose authority is checked.
         shard: ShardId,
-        /// The holder that asked.
+        /// Holder that sent the request.
         holder: PermitHolder,
         /// The answer.
         permit: Permit,
     },
-    /// Tell an entry that its report is kept.
+    /// Confirm to an entry that its report is in the log.
     ConfirmReport {
-        /// The holder whose report it is.
+        /// Holder that sent the report.
         holder: PermitHolder,
     },
 }
 
-/// Remembers the keys of all shards that this process owns.
+/// Stores the keys of all shards that this process owns.
 #[derive(Debug)]
 pub struct KeyTable {
     shards: BTreeMap<ShardId, ShardKeys>,
     next_ticket: Ticket,
     log_up: bool,
-    swept_at: Time,
+    last_sweep: Time,
     protections: Protections,
 }
 
@@ -111,23 +111,23 @@
 }
 
 impl KeyTable {
-    /// An empty book.
+    /// Creates an empty table.
     pub fn new() -> Self {
         KeyTable::with_protections(Protections::default())
     }
 
-    /// A book with some protections off, for tests.
+    /// Creates a table with some protections disabled, for tests.
     pub fn with_protections(protections: Protections) -> Self {
         KeyTable {
             shards: BTreeMap::new(),
             next_ticket: Ticket(1),
             log_up: true,
-            swept_at: Time::ZERO,
+            last_sweep: Time::ZERO,
             protections,
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting effects.
     pub fn step(
         &mut self,
         now: Time,
@@ -136,36 +136,36 @@
         out: &mut Vec<KeyTableEffect>,
     ) {
         match event {
-            KeyTableEvent::Owned { shard, epoch } => self.own(now, shard, epoch),
-            KeyTableEvent::Lost { shard } => self.lose(shard, out),
+            KeyTableEvent::Owned { shard, epoch } => self.acquire(now, shard, epoch),
+            KeyTableEvent::Lost { shard } => self.release(shard, out),
             KeyTableEvent::Request { request } => self.handle_request(now, request, auth, out),
             KeyTableEvent::Report { report } => self.report(now, report, auth, out),
             KeyTableEvent::Journaled { ticket } => self.journaled(now, ticket, auth, out),
             KeyTableEvent::LogState { up } => {
                 self.log_up = up;
                 if !up {
-                    self.refuse_waiting(now, Duration::ZERO, out);
+                    self.reject_pending_intents(now, Duration::ZERO, out);
                 }
             }
             KeyTableEvent::Tick => {
-                self.refuse_waiting(now, PERMIT_TIMEOUT, out);
+                self.reject_pending_intents(now, PERMIT_TIMEOUT, out);
                 for keys in self.shards.values_mut() {
-                    keys.given_up.retain(|_, since| now.since(*since) < ASK_UNDER_WAY);
+                    keys.abandoned.retain(|_, since| now.since(*since) < MAX_REQUEST_DELAY);
                 }
                 self.sweep(now);
             }
         }
     }
 
-    /// Folds an entry of a predecessor's journal, in its order.
+    /// Replays one entry of a predecessor's journal; entries must come in their order.
     pub fn replay(&mut self, shard: ShardId, entry: &KeyJournalEntry) {
         let keys = &mut self.shards.entry(shard).or_default().keys;
-        let since = Since::Age(Duration::ZERO);
+        let recorded_at = RecordedAt::Age(Duration::ZERO);
         match entry {
             KeyJournalEntry::Intent { key, body, holder } => {
-                // The permit may have been given: whether it was, only the holder knows.
+                // Only the holder knows whether it received the permit.
                 let state =
-                    KeyState { body: *body, holder: *holder, phase: Phase::Permitted, since };
+                    KeyState { body: *body, holder: *holder, phase: Phase::Permitted, recorded_at };
                 keys.insert(key.clone(), state);
             }
             KeyJournalEntry::Outcome { key, holder, outcome } => {
@@ -175,14 +175,14 @@
                 if *outcome == KeyOutcome::NotRun {
                     keys.remove(key);
                 } else {
-                    state.phase = Phase::Ended(outcome.clone());
-                    state.since = since;
+                    state.phase = Phase::Completed(outcome.clone());
+                    state.recorded_at = recorded_at;
                 }
             }
         }
     }
 
-    /// All keys of the shard, for the journal.
+    /// Returns all keys of the shard, for the journal.
     pub fn snapshot(&self, now: Time, shard: ShardId) -> KeySnapshot {
         let Some(shard) = self.shards.get(&shard) else { return KeySnapshot::default() };
         let records = shard.keys.iter().map(|(key, state)| KeyRecord {
@@ -190,51 +190,51 @@
             body: state.body,
             holder: state.holder,
             outcome: match &state.phase {
-                Phase::Ended(outcome) => Some(outcome.clone()),
-                Phase::Intending { .. } | Phase::Permitted => None,
+                Phase::Completed(outcome) => Some(outcome.clone()),
+                Phase::IntentPending { .. } | Phase::Permitted => None,
             },
-            age: match state.since {
-                Since::At(at) => now.since(at),
-                Since::Age(age) => age,
+            age: match state.recorded_at {
+                RecordedAt::At(at) => now.since(at),
+                RecordedAt::Age(age) => age,
             },
         });
         KeySnapshot { keys: records.collect() }
     }
 
-    /// Puts a snapshot in the place of all that is known of the shard.
+    /// Replaces all keys of the shard by those of a snapshot.
     pub fn restore(&mut self, shard: ShardId, snapshot: KeySnapshot) {
         let keys = snapshot.keys.into_iter().map(|record| {
-            let phase = record.outcome.map_or(Phase::Permitted, Phase::Ended);
-            let since = Since::Age(record.age);
-            (record.key, KeyState { body: record.body, holder: record.holder, phase, since })
+            let phase = record.outcome.map_or(Phase::Permitted, Phase::Completed);
+            let recorded_at = RecordedAt::Age(record.age);
+            (record.key, KeyState { body: record.body, holder: record.holder, phase, recorded_at })
         });
         let shard = self.shards.entry(shard).or_default();
         shard.keys = keys.collect();
     }
 
-    /// How many keys are remembered for the shard.
+    /// Number of keys stored for the shard.
     pub fn key_count(&self, shard: ShardId) -> usize {
         self.shards.get(&shard).map_or(0, |shard| shard.keys.len())
     }
 
-    fn own(&mut self, now: Time, shard: ShardId, epoch: Epoch) {
+    fn acquire(&mut self, now: Time, shard: ShardId, epoch: Epoch) {
         let shard = self.shards.entry(shard).or_default();
         shard.epoch = Some(epoch);
         for state in shard.keys.values_mut() {
-            if let Since::Age(age) = state.since {
-                // A permit's holder gets the whole time to report to the new owner. An age from
-                // before this clock's start is cut short, so a key is kept longer, never shorter.
-                let open = matches!(state.phase, Phase::Permitted);
-                state.since = Since::At(if open { now } else { now - age });
+            if let RecordedAt::Age(age) = state.recorded_at {
+                // A holder gets the full time to report to the new owner. An age that exceeds this
+                // clock's time is truncated, so a key is kept longer, never shorter.
+                let permitted = matches!(state.phase, Phase::Permitted);
+                state.recorded_at = RecordedAt::At(if permitted { now } else { now - age });
             }
         }
     }
 
-    /// Whoever waits for a permit is told at once that there will be none from here.
-    fn lose(&mut self, shard: ShardId, out: &mut Vec<KeyTableEffect>) {
+    /// Drops the shard and refuses the permits that are pending.
+    fn release(&mut self, shard: ShardId, out: &mut Vec<KeyTableEffect>) {
         let Some(lost) = self.shards.remove(&shard) else { return };
         for state in lost.keys.values() {
-            if matches!(state.phase, Phase::Intending { .. }) {
+            if matches!(state.phase, Phase::IntentPending { .. }) {
                 let holder = state.holder;
                 out.push(KeyTableEffect::Answer { shard, holder, permit: Permit::Unavailable });
             }
@@ -255,27 +255,27 @@
         let Some(keys) = self.shards.get_mut(&shard).filter(|keys| keys.epoch.is_some()) else {
             return answer(Permit::Unavailable);
         };
-        if held != keys.epoch || keys.given_up.contains_key(&holder) {
+        if held != keys.epoch || keys.abandoned.contains_key(&holder) {
             return answer(Permit::Unavailable);
         }
         if let Some(state) = keys.keys.get(&request.key) {
-            if let Some(permit) = state.answer(now, &request, self.protections) {
+            if let Some(permit) = state.evaluate(now, &request, self.protections) {
                 return answer(permit);
             }
             if state.holder == holder {
                 return;
             }
         }
-        // A full book refuses rather than forget a key early; a log that is down is refused at
-        // once rather than after a wait that the caller gains nothing from.
+        // A full table refuses rather than drop a key early. While the log is down requests are
+        // refused at once instead of after the timeout.
         let full = keys.keys.len() >= MAX_KEYS_PER_SHARD;
         if full || (!self.log_up && self.protections.journal_intent) {
             return answer(Permit::Unavailable);
         }
-        self.intend(now, request, out);
+        self.record_intent(now, request, out);
     }
 
-    fn intend(&mut self, now: Time, request: PermitRequest, out: &mut Vec<KeyTableEffect>) {
+    fn record_intent(&mut self, now: Time, request: PermitRequest, out: &mut Vec<KeyTableEffect>) {
         let ticket = self.next_ticket();
         let Some(keys) = self.shards.get_mut(&request.shard) else { return };
         let entry = KeyJournalEntry::Intent {
@@ -284,7 +284,7 @@
             holder: request.holder,
         };
         out.push(KeyTableEffect::Journal { shard: request.shard, entry, ticket });
-        let mut phase = Phase::Intending { ticket };
+        let mut phase = Phase::IntentPending { ticket };
         if !self.protections.journal_intent {
             phase = Phase::Permitted;
             out.push(KeyTableEffect::Answer {
@@ -293,11 +293,11 @@
                 permit: Permit::Granted,
             });
         }
-        let since = Since::At(now);
+        let recorded_at = RecordedAt::At(now);
         keys.intents.insert(ticket, request.key.clone());
         keys.keys.insert(
             request.key,
-            KeyState { body: request.body, holder: request.holder, phase, since },
+            KeyState { body: request.body, holder: request.holder, phase, recorded_at },
         );
     }
 
@@ -315,16 +315,17 @@
             }
             let Some(key) = keys.intents.remove(&ticket) else { continue };
             let Some(state) = keys.keys.get_mut(&key) else { return };
-            // Answered otherwise meanwhile: that answer stands.
-            if !matches!(state.phase, Phase::Intending { ticket: waits } if waits == ticket) {
+            // The permit was refused while the append was in progress.
+            if !matches!(state.phase, Phase::IntentPending { ticket: pending } if pending == ticket)
+            {
                 return;
             }
-            // Without authority a successor may already have read the journal without this
-            // intent, and may permit the key to another.
+            // Without authority a successor may have read the journal without this intent, and may
+            // grant the key to another request.
             let held = auth.epoch_if_held(now, *shard);
             let granted = held.is_some() && held == keys.epoch;
             state.phase = Phase::Permitted;
-            state.since = Since::At(now);
+            state.recorded_at = RecordedAt::At(now);
             let permit = if granted { Permit::Granted } else { Permit::Unavailable };
             out.push(KeyTableEffect::Answer { shard: *shard, holder: state.holder, permit });
             return;
@@ -340,33 +341,34 @@
     ) {
         let held = auth.epoch_if_held(now, report.shard);
         let Some(keys) = self.shards.get_mut(&report.shard) else { return };
-        // Not the owner: the entry reports again, to whoever is.
+        // Not the owner: the entry resends its report to the current one.
         if held.is_none() || held != keys.epoch {
             return;
         }
-        let known = keys.keys.get(&report.key).filter(|state| state.holder == report.holder);
-        let Some(state) = known else {
-            // Freed before, or never permitted. The ask may still be under way, overtaken by this
-            // report: a permit for it would be nobody's, and the key in doubt for nothing.
-            if keys.given_up.len() < GIVEN_UP_MAX {
-                keys.given_up.insert(report.holder, now);
+        let permitted = keys.keys.get(&report.key).filter(|state| state.holder == report.holder);
+        let Some(state) = permitted else {
+            // The key was freed before, or the permit request is still in transit. A permit granted
+            // later would have no holder and leave the key in doubt.
+            if keys.abandoned.len() < MAX_ABANDONED_HOLDERS {
+                keys.abandoned.insert(report.holder, now);
             }
             out.push(KeyTableEffect::ConfirmReport { holder: report.holder });
             return;
         };
-        if matches!(state.phase, Phase::Ended(_)) {
-            // Said before; if its entry is still on the way to the log, that one's answer counts.
-            let waits = keys.reports.values().any(|holder| *holder == report.holder);
-            if !waits {
+        if matches!(state.phase, Phase::Completed(_)) {
+            // A duplicate report; if the first one is still being journaled, it is confirmed after
+            // that.
+            let journaling = keys.reports.values().any(|holder| *holder == report.holder);
+            if !journaling {
                 out.push(KeyTableEffect::ConfirmReport { holder: report.holder });
             }
             return;
         }
-        self.end(now, report, true, out);
+        self.record_outcome(now, report, true, out);
     }
 
-    /// Records an outcome, in memory at once and in the journal behind the intent.
-    fn end(
+    /// Records an outcome in memory and journals it behind the intent.
+    fn record_outcome(
         &mut self,
         now: Time,
         report: OutcomeReport,
@@ -378,8 +380,8 @@
         if report.outcome == KeyOutcome::NotRun {
             keys.keys.remove(&report.key);
         } else if let Some(state) = keys.keys.get_mut(&report.key) {
-            state.phase = Phase::Ended(report.outcome.clone());
-            state.since = Since::At(now);
+            state.phase = Phase::Completed(report.outcome.clone());
+            state.recorded_at = RecordedAt::At(now);
         }
         if reported {
             keys.reports.insert(ticket, report.holder);
@@ -389,16 +391,20 @@
         out.push(KeyTableEffect::Journal { shard, entry, ticket });
     }
 
-    /// Refuses permits whose intent has waited for the log for `wait`. The key is free again: its
-    /// holder is told that nothing will run, and the journal says so behind the intent, should
-    /// that turn out to be in the log after all.
-    fn refuse_waiting(&mut self, now: Time, wait: Duration, out: &mut Vec<KeyTableEffect>) {
+    /// Refuses permits whose intent has been pending for at least `max_wait`, and frees their keys.
+    /// A journaled `NotRun` cancels the intent in case it reaches the log.
+    fn reject_pending_intents(
+        &mut self,
+        now: Time,
+        max_wait: Duration,
+        out: &mut Vec<KeyTableEffect>,
+    ) {
         let mut refused = Vec::new();
         for (shard, keys) in &self.shards {
             for key in keys.intents.values() {
                 let Some(state) = keys.keys.get(key) else { continue };
-                let Since::At(since) = state.since else { continue };
-                if matches!(state.phase, Phase::Intending { .. }) && now.since(since) >= wait {
+                let RecordedAt::At(at) = state.recorded_at else { continue };
+                if matches!(state.phase, Phase::IntentPending { .. }) && now.since(at) >= max_wait {
                     refused.push((*shard, key.clone(), state.holder));
                 }
             }
@@ -406,19 +412,19 @@
         for (shard, key, holder) in refused {
             out.push(KeyTableEffect::Answer { shard, holder, permit: Permit::Unavailable });
             let report = OutcomeReport { shard, key, holder, outcome: KeyOutcome::NotRun };
-            self.end(now, report, false, out);
+            self.record_outcome(now, report, false, out);
         }
     }
 
     fn sweep(&mut self, now: Time) {
-        if now.since(self.swept_at) < SWEEP_PERIOD {
+        if now.since(self.last_sweep) < SWEEP_PERIOD {
             return;
         }
-        self.swept_at = now;
+        self.last_sweep = now;
         for shard in self.shards.values_mut().filter(|shard| shard.epoch.is_some()) {
-            shard.keys.retain(|_, state| match state.since {
-                Since::At(at) => now.since(at) < KEY_RETENTION,
-                Since::Age(_) => true,
+            shard.keys.retain(|_, state| match state.recorded_at {
+                RecordedAt::At(at) => now.since(at) < KEY_RETENTION,
+                RecordedAt::Age(_) => true,
             });
         }
     }
--- a/crates/requests/src/lib.rs
+++ b/crates/requests/src/lib.rs
@@ -1,13 +1,13 @@
-//! Requests under load: admission, queues, routing, retries, shares and request keys, as reducers.
+//! Request path: admission, queueing, routing, retries, shares and request keys, as reducers.
 //!
-//! [`Entry`] decides for one entry process what becomes of each caller's request. [`ShareTable`]
-//! grants entries their shares of backend servers, and [`KeyTable`] remembers idempotency keys;
-//! both run in a scheduler, for the shards that it owns. None of them does input or output or
-//! reads a clock, and request bodies never come near them: they handle ids, hashes and sizes.
+//! [`Entry`] handles the requests that arrive at one entry process. [`ShareTable`] grants entries
+//! their shares of backend servers, and [`KeyTable`] stores idempotency keys; both run in a
+//! scheduler, for the shards that it owns. None of them performs I/O or reads a clock, and they
+//! handle ids, hashes and sizes instead of request bodies.
 //!
-//! The trade-off: an entry only sends what it holds a share for, so that a backend server is never
-//! handed more than its slots whatever fails, at the price of a message to the share's owner before
-//! a load can shift between entries.
+//! An entry sends only what it holds a share for, so a backend server never receives more requests
+//! than it has slots, whatever fails. In return, load can move between entries only after a message
+//! to the owner of the shares.
 
 pub mod entry;
 mod ids;
--- a/crates/requests/src/protections.rs
+++ b/crates/requests/src/protections.rs
@@ -1,30 +1,31 @@
-//! Switches for tests that show what each protection prevents.
+//! Switches that disable single protections in tests.
 
-/// The protections of the request path, all on by default.
+/// Protections of the request path, all enabled by default.
 ///
-/// Only for tests: each one is switched off to show that the checker of histories notices what it
-/// prevents.
+/// For tests only: they disable one protection and assert that the history checker reports the
+/// violation that it prevents.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Protections {
-    /// A share counts from the sending of its ask, and nothing is sent under a lapsed one.
+    /// A lease runs from the time its request was sent, and nothing is sent under an expired share.
     pub expire_shares: bool,
-    /// A grantor keeps a lapsed share aside until exchanges begun under it must have ended.
+    /// A grantor reserves an expired share until exchanges begun under it must have ended.
     pub await_open_exchanges: bool,
-    /// A new grantor waits out its predecessor's shares before it grants from the same pool.
+    /// A new grantor waits until its predecessor's shares have expired before it grants from the
+    /// same pool.
     pub await_predecessor_expiry: bool,
-    /// An entry takes only the grant that answers its last ask, from the newest epoch.
+    /// An entry accepts only the grant that answers its latest request, from the newest epoch.
     pub fence_grants: bool,
     /// A request that may have run is sent again only if its class is idempotent.
     pub at_most_once: bool,
-    /// The intent is in the log before a permit is given.
+    /// The intent is in the log before a permit is granted.
     pub journal_intent: bool,
-    /// A key whose permit has no outcome stays closed.
+    /// A key whose permit has no outcome accepts no further request.
     pub keep_in_doubt: bool,
-    /// An answer belongs to the request of its attempt; one of a finished request is dropped.
+    /// An answer is delivered only to the request of its attempt, and dropped if that has ended.
     pub match_answers: bool,
-    /// A truncated answer isn't passed on.
+    /// A truncated answer isn't forwarded.
     pub reject_truncated_answers: bool,
-    /// A request whose bytes may have left is never called not run.
+    /// A request of which bytes may have been sent is never reported as not run.
     pub truthful_ran: bool,
 }
 
--- a/crates/requests/src/shares/message.rs
+++ b/crates/requests/src/shares/message.rs
@@ -1,4 +1,4 @@
-//! What entries and the grantors of shares tell each other.
+//! Messages between entries and the grantors of shares.
 
 use {
     compact_str::CompactString,
@@ -8,23 +8,23 @@
     std::time::Duration,
 };
 
-/// An entry's ask for shares of the backend servers of one rack shard.
+/// An entry's request for shares of the backend servers of one rack shard.
 ///
-/// It says what the entry holds at most from now on until it takes the answer to this very ask, so
-/// the grantor knows what is in use whatever became of earlier answers.
+/// States the maximum that the entry holds until it receives the answer to this request, so the
+/// grantor knows what is in use even if earlier answers were lost.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ShareRequest {
     /// The rack shard.
     pub shard: ShardId,
-    /// The owner's epoch that the ask is meant for.
+    /// Epoch of the owner that the request is addressed to.
     pub epoch: Epoch,
     /// The entry.
     pub entry: NodeId,
-    /// Grows with each ask of this entry to this shard; an ask overtaken by a later one is void.
+    /// Increases with each request of this entry to this shard; a lower one is ignored.
     pub seq: u64,
-    /// The version of the servers' descriptions that the entry has, 0 for none.
+    /// Version of the server descriptions that the entry has, 0 for none.
     pub known_version: u64,
-    /// What the entry holds and wants; servers not named are neither held nor wanted.
+    /// Held and requested shares; servers not listed are neither held nor requested.
     pub servers: Vec<ServerDemand>,
 }
 
@@ -33,11 +33,11 @@
 pub struct ServerDemand {
     /// The server's VM.
     pub vm: VmId,
-    /// The most requests that the entry has or will have open there before the answer.
+    /// Maximum number of requests that the entry has or will have open there before the answer.
     pub holding: u16,
-    /// How many it would use now, for what is open and waiting.
+    /// Number that it would use now, for open and waiting requests.
     pub need: u16,
-    /// How many it would like to hold, with some room for growth; at least `need`.
+    /// Number that it requests including headroom for growth; at least `need`.
     pub want: u16,
 }
 
@@ -48,15 +48,15 @@
     pub shard: ShardId,
     /// The grantor's epoch.
     pub epoch: Epoch,
-    /// The number of the ask that this answers.
+    /// Sequence number of the request that this answers.
     pub seq: u64,
-    /// How long the shares last, counted by the entry from its sending of the ask.
+    /// Lease of the shares, counted by the entry from the sending of its request.
     pub lease: Duration,
-    /// The shares; servers not named are granted nothing.
+    /// Granted shares; servers not listed are granted nothing.
     pub servers: Vec<ServerGrant>,
-    /// The version of the descriptions.
+    /// Version of the server descriptions.
     pub version: u64,
-    /// All the servers of the shard, if the entry has another version; else empty.
+    /// All servers of the shard if the entry has another version, else empty.
     pub descriptions: Vec<ServerInfo>,
 }
 
@@ -65,21 +65,22 @@
 pub struct ServerGrant {
     /// The server's VM.
     pub vm: VmId,
-    /// How many requests the entry may have open there. Each takes a slot and a connection.
+    /// Maximum number of requests that the entry may have open there. Each takes a slot and a
+    /// connection.
     pub max_open: u16,
 }
 
-/// What an entry needs to know of a backend server.
+/// Description of a backend server for entries.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ServerInfo {
     /// The server's VM.
     pub vm: VmId,
-    /// Where it listens, as `ip:port`.
+    /// Address of the server, as `ip:port`.
     pub addr: CompactString,
-    /// Its data centre.
+    /// Data centre of the server.
     pub data_centre: DataCentre,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: VmState,
-    /// The classes whose service runs there.
+    /// Classes whose service runs there.
     pub classes: SmallVec<[ClassName; 4]>,
 }
--- a/crates/requests/src/shares/mod.rs
+++ b/crates/requests/src/shares/mod.rs
@@ -1,10 +1,10 @@
 //! Shares of backend servers: how many requests each entry may have open at each.
 //!
 //! The owner of a rack's shard is the grantor for the rack's servers. The sum of what all entries
-//! may have open at a server never passes its slots and connections, also while membership changes,
-//! entries die or the grantor is replaced. There is no journal: a new grantor learns from the
-//! entries' asks what they hold, and grants nothing more before all that its predecessor granted
-//! must have lapsed.
+//! may have open at a server never exceeds its slots and connections, also while membership
+//! changes, entries die or the grantor is replaced. There is no journal: a new grantor learns from
+//! the entries' requests what they hold, and grants nothing more until all that its predecessor
+//! granted must have expired.
 
 mod message;
 mod pool;
