--- a/crates/requests/src/shares/pool.rs
+++ b/crates/requests/src/shares/pool.rs
@@ -1,4 +1,4 @@
-//! One backend server's slots, and who has how many of them.
+//! The slots of one backend server and their allocation to entries.
 
 use {
     egretlb_types::{NodeId, Time, VmId},
@@ -6,43 +6,42 @@
     std::time::Duration,
 };
 
-/// After so long another entry goes without where there are fewer slots than entries. Each turn
-/// costs some messages for each server in overload.
-const TURN: Duration = Duration::from_secs(5);
+/// How often the entries without a share rotate when there are fewer slots than entries.
+const ROTATION_PERIOD: Duration = Duration::from_secs(5);
 
 /// What one entry may have open at the server.
 #[derive(Clone, Copy, Debug)]
 struct Charge {
     entry: NodeId,
-    /// The most that the entry may have open, whichever answer of ours it has seen.
+    /// Maximum number of open requests, whichever of the grantor's answers the entry has received.
     open: u16,
     need: u16,
     want: u16,
-    /// When its lease must have lapsed at the entry; its need counts until then.
-    lapses: Time,
-    /// When exchanges begun under the lease must have ended too; the slots are free then.
+    /// When the entry's lease must have expired; its need counts until then.
+    expires_at: Time,
+    /// When exchanges begun under the lease must have ended; the slots are free then.
     free_at: Time,
 }
 
-/// One entry's ask, as a pool needs it.
+/// One entry's request for the slots of one server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PoolRequest {
     pub(super) entry: NodeId,
     pub(super) holding: u16,
     pub(super) need: u16,
     pub(super) want: u16,
-    pub(super) lapses: Time,
+    pub(super) expires_at: Time,
     pub(super) free_at: Time,
 }
 
-/// An entry's fair part of a pool.
+/// An entry's fair share of a pool.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct FairShare {
     entry: NodeId,
     rank: u64,
     need: u16,
     want: u16,
-    part: u16,
+    share: u16,
 }
 
 /// The slots of one backend server.
@@ -53,17 +52,17 @@
 }
 
 impl Pool {
-    /// Sets how many requests may be open. A smaller size takes effect as entries ask again.
+    /// Sets the number of slots. A smaller size takes effect as entries send new requests.
     pub(super) fn resize(&mut self, size: u16) {
         self.size = size;
     }
 
-    /// Forgets charges that must have ended.
+    /// Removes charges that must have ended.
     pub(super) fn expire(&mut self, now: Time) {
         self.charges.retain(|charge| charge.free_at > now);
     }
 
-    /// What all entries may have open at most.
+    /// Maximum number of requests that all entries together may have open.
     pub(super) fn charged(&self) -> u32 {
         self.charges.iter().map(|charge| u32::from(charge.open)).sum()
     }
@@ -73,10 +72,10 @@
         own.map(|charge| u32::from(charge.open)).sum()
     }
 
-    /// Takes down what an entry says it holds and wants, and returns what it gets.
+    /// Records what an entry holds and wants, and returns its share.
     ///
-    /// `adopt_only` is for a new grantor that doesn't know yet what its predecessor granted to
-    /// others: it confirms what is held and adds nothing.
+    /// With `adopt_only` a new grantor, which doesn't know yet what its predecessor granted to
+    /// others, confirms what the entry holds and adds nothing.
     pub(super) fn grant(
         &mut self,
         now: Time,
@@ -89,85 +88,87 @@
             return 0;
         }
         let free = u32::from(self.size).saturating_sub(self.charged());
-        let most = if adopt_only { u32::from(request.holding) } else { free };
-        let PoolRequest { entry, holding, need, want, lapses, free_at } = request;
-        let charge = Charge { entry, open: holding, need, want, lapses, free_at };
+        let available = if adopt_only { u32::from(request.holding) } else { free };
+        let PoolRequest { entry, holding, need, want, expires_at, free_at } = request;
+        let charge = Charge { entry, open: holding, need, want, expires_at, free_at };
         self.charges.push(charge);
-        let parts = self.parts(now, vm);
-        let fair = parts.iter().find(|part| part.entry == entry).map_or(0, |part| part.part);
-        let granted = u32::from(fair).min(most) as u16;
-        // Until the entry's next ask it may act on the old answer or on this one.
+        let fair_shares = self.fair_shares(now, vm);
+        let fair_share = fair_shares
+            .iter()
+            .find(|entry_share| entry_share.entry == entry)
+            .map_or(0, |entry_share| entry_share.share);
+        let granted = u32::from(fair_share).min(available) as u16;
+        // Until its next request the entry may act on the old answer or on this one.
         if let Some(charge) = self.charges.last_mut() {
             charge.open = holding.max(granted);
         }
         granted
     }
 
-    /// The fair parts of the pool: first of what is needed now, then of what is wanted besides.
+    /// The entries' fair shares: first of what they need now, then of what they want beyond it.
     ///
-    /// Both times nobody gets more than it asks for, and what one leaves is lent to the others. So
-    /// an entry without load never keeps a slot that another's callers wait for. With fewer slots
-    /// than entries that need them, the rest goes round: by server and by turn, other entries go
-    /// without.
-    fn parts(&self, now: Time, vm: &VmId) -> SmallVec<[Part; 12]> {
-        let turn = now.as_micros() / TURN.as_micros() as u64;
-        let live = self.charges.iter().filter(|charge| charge.lapses > now);
-        let mut parts: SmallVec<[Part; 12]> = live
-            .map(|charge| Part {
+    /// Both passes are max-min fair, so an entry without load never keeps a slot that another one
+    /// needs. With fewer slots than entries in need, the order rotates by server and over time.
+    fn fair_shares(&self, now: Time, vm: &VmId) -> SmallVec<[FairShare; 12]> {
+        let rotation = now.as_micros() / ROTATION_PERIOD.as_micros() as u64;
+        let active = self.charges.iter().filter(|charge| charge.expires_at > now);
+        let mut fair_shares: SmallVec<[FairShare; 12]> = active
+            .map(|charge| FairShare {
                 entry: charge.entry,
-                rank: rank(vm, charge.entry, turn),
+                rank: rank(vm, charge.entry, rotation),
                 need: charge.need.min(charge.want),
                 want: charge.want,
-                part: 0,
+                share: 0,
             })
             .collect();
-        let left = share_out(self.size, &mut parts, |part| part.need);
-        share_out(left, &mut parts, |part| part.want - part.need);
-        parts
+        let remaining = distribute(self.size, &mut fair_shares, |entry_share| entry_share.need);
+        distribute(remaining, &mut fair_shares, |entry_share| entry_share.want - entry_share.need);
+        fair_shares
     }
 
-    /// Entries that should ask again: those that hold more than their part while somebody goes
-    /// short, and those that go short while something is free.
+    /// Entries that should send a new request: those above their fair share while another is short,
+    /// and those that are short while slots are free.
     pub(super) fn to_recall(&self, now: Time, vm: &VmId) -> SmallVec<[NodeId; 4]> {
-        let short = self.charges.iter().any(|charge| charge.open < charge.need);
-        if !short {
+        let shortage = self.charges.iter().any(|charge| charge.open < charge.need);
+        if !shortage {
             return SmallVec::new();
         }
         let free = self.charged() < u32::from(self.size);
-        let parts = self.parts(now, vm);
-        let recalled = self.charges.iter().filter(|charge| {
-            let part = parts.iter().find(|part| part.entry == charge.entry);
-            let fair = part.map_or(0, |part| part.part);
-            charge.open > fair || (free && charge.open < charge.need.min(fair))
+        let fair_shares = self.fair_shares(now, vm);
+        let to_recall = self.charges.iter().filter(|charge| {
+            let entry_share =
+                fair_shares.iter().find(|entry_share| entry_share.entry == charge.entry);
+            let fair_share = entry_share.map_or(0, |entry_share| entry_share.share);
+            charge.open > fair_share || (free && charge.open < charge.need.min(fair_share))
         });
-        recalled.map(|charge| charge.entry).collect()
+        to_recall.map(|charge| charge.entry).collect()
     }
 }
 
-/// Shares `size` out, max-min fair, by what each asks for; returns what is left.
+/// Distributes `size` slots max-min fair by `demand`; returns what is left.
 ///
-/// One by one, in the order of rank: with a division instead, the rest would always go to those
-/// that ask for most.
-fn share_out(size: u16, parts: &mut [Part], asks: impl Fn(&Part) -> u16) -> u16 {
-    parts.sort_unstable_by_key(|part| part.rank);
-    let mut left = size;
-    let mut given = 0;
-    let most = parts.iter().map(&asks).max().unwrap_or(0);
-    while left > 0 && given < most {
-        for part in parts.iter_mut() {
-            if left > 0 && asks(part) > given {
-                part.part += 1;
-                left -= 1;
+/// Slots are assigned one at a time in order of rank, so the remainder doesn't always go to the
+/// entries with the largest demand.
+fn distribute(size: u16, fair_shares: &mut [FairShare], demand: impl Fn(&FairShare) -> u16) -> u16 {
+    fair_shares.sort_unstable_by_key(|entry_share| entry_share.rank);
+    let mut remaining = size;
+    let mut round = 0;
+    let max_demand = fair_shares.iter().map(&demand).max().unwrap_or(0);
+    while remaining > 0 && round < max_demand {
+        for entry_share in fair_shares.iter_mut() {
+            if remaining > 0 && demand(entry_share) > round {
+                entry_share.share += 1;
+                remaining -= 1;
             }
         }
-        given += 1;
+        round += 1;
     }
-    left
+    remaining
 }
 
-/// An order of entries that differs from server to server and from turn to turn.
-fn rank(vm: &VmId, entry: NodeId, turn: u64) -> u64 {
-    let seed = vm.as_str().bytes().fold(entry.0 ^ (turn << 40), |sum, byte| {
+/// Order of entries, different for each server and rotation.
+fn rank(vm: &VmId, entry: NodeId, rotation: u64) -> u64 {
+    let seed = vm.as_str().bytes().fold(entry.0 ^ (rotation << 40), |sum, byte| {
         (sum ^ u64::from(byte)).wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(29)
     });
     seed ^ (seed >> 31)
--- a/crates/requests/src/shares/table.rs
+++ b/crates/requests/src/shares/table.rs
@@ -1,4 +1,4 @@
-//! The grantor's book.
+//! Table of the shares of all rack shards that this process owns.
 
 use {
     super::{
@@ -13,32 +13,31 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// The least time between two recalls sent to one entry. A recall asks the entry to say sooner
-/// what it needs; more of them would only repeat that.
-const RECALL_GAP: Duration = Duration::from_millis(100);
+/// Minimum time between two recalls sent to one entry.
+const MIN_RECALL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A backend server as the rack's owner knows it.
+/// A backend server as known to the owner of its rack.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerSpec {
-    /// What entries are told of it.
+    /// Description sent to entries.
     pub info: ServerInfo,
-    /// How many requests it works on at once.
+    /// Number of requests that it processes at once.
     pub slots: u16,
-    /// How many connections it accepts at once.
+    /// Number of connections that it accepts at once.
     pub connections: u16,
 }
 
-/// What the book is told.
+/// Input of a [`ShareTable`].
 #[derive(Clone, Debug)]
 pub enum ShareTableEvent {
     /// This process owns the shard now.
     Owned {
         /// The shard.
         shard: ShardId,
-        /// The epoch of the ownership.
+        /// Epoch of the ownership.
         epoch: Epoch,
-        /// Whether anybody owned the shard before and may have granted shares; only the very first
-        /// epoch of a shard has none.
+        /// Whether a previous owner may have granted shares; false only in the first epoch of a
+        /// shard.
         had_owner: bool,
     },
     /// This process doesn't own the shard any more.
@@ -46,71 +45,71 @@
         /// The shard.
         shard: ShardId,
     },
-    /// All backend servers of the shard's racks, with the classes that they serve. No ask is
-    /// answered before this was told; after [`ShareTableEvent::Lost`] it is to be told anew.
+    /// All backend servers of the shard's racks and their classes. Required before any request is
+    /// answered, and again after [`ShareTableEvent::Lost`].
     Servers {
         /// The shard.
         shard: ShardId,
         /// The servers.
         servers: Vec<ServerSpec>,
     },
-    /// An entry asks.
+    /// An entry requests shares.
     Request {
-        /// The ask.
+        /// The request.
         request: ShareRequest,
     },
     /// Time passed.
     Tick,
 }
 
-/// What the book asks the runtime to do.
+/// Output of a [`ShareTable`], performed by the runtime.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ShareTableEffect {
-    /// Answer an entry's ask. Authority for the shard is asked again before it is sent.
+    /// Answer a share request. Authority for the shard must be checked again before it is sent.
     Grant {
         /// The entry.
         entry: NodeId,
         /// The answer.
         grant: ShareGrant,
     },
-    /// Ask an entry to ask again soon, since others go short. Only a hint: it may be lost.
+    /// Ask an entry for a new request soon, since others are short of shares. A hint that may be
+    /// lost.
     Recall {
         /// The entry.
         entry: NodeId,
         /// The shard.
         shard: ShardId,
-        /// The epoch of this owner.
+        /// Epoch of this owner.
         epoch: Epoch,
     },
 }
 
 #[derive(Debug, Default)]
 struct ShardShares {
-    /// The epoch, once owned.
+    /// Epoch of the ownership; `None` before [`ShareTableEvent::Owned`].
     epoch: Option<Epoch>,
     /// When all that a predecessor granted must have ended.
-    outwaited: Time,
-    /// Whether the rack's servers were told: before that an answer would take shares away that
-    /// entries rightly hold.
-    servers_known: bool,
+    predecessor_expires_at: Time,
+    /// Whether the servers are known: an answer before that would revoke shares that entries hold.
+    servers_received: bool,
     servers: BTreeMap<VmId, ServerShares>,
-    /// Grows when a description changes.
+    /// Version of the descriptions; increases when one changes.
     version: u64,
     entries: BTreeMap<NodeId, EntryRequests>,
 }
 
 #[derive(Debug, Default)]
 struct ServerShares {
-    /// `None` for a server that isn't described, now or yet, but of which something is held.
+    /// `None` for a server that isn't described, but of which shares are held.
     spec: Option<ServerSpec>,
     pool: Pool,
 }
 
-/// What the book remembers of one entry's asks.
+/// State of one entry's requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct EntryRequests {
     last_seq: u64,
-    asked_at: Time,
+    requested_at: Time,
     recalled_at: Time,
 }
 
@@ -122,17 +121,17 @@
 }
 
 impl ShareTable {
-    /// An empty book.
+    /// Creates an empty table.
     pub fn new() -> Self {
         ShareTable::default()
     }
 
-    /// A book with some protections off, for tests.
+    /// Creates a table with some protections disabled, for tests.
     pub fn with_protections(protections: Protections) -> Self {
         ShareTable { protections, ..ShareTable::default() }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting effects.
     pub fn step(
         &mut self,
         now: Time,
@@ -142,7 +141,7 @@
     ) {
         match event {
             ShareTableEvent::Owned { shard, epoch, had_owner } => {
-                self.own(now, shard, epoch, had_owner);
+                self.acquire(now, shard, epoch, had_owner);
             }
             ShareTableEvent::Lost { shard } => {
                 self.shards.remove(&shard);
@@ -153,51 +152,52 @@
         }
     }
 
-    /// What the server's entries may have open at most, for the state dump; `None` if unknown.
+    /// Maximum number of requests that entries may have open at the server, for the state dump;
+    /// `None` for an unknown server.
     pub fn charged(&self, shard: ShardId, vm: &VmId) -> Option<u32> {
         Some(self.shards.get(&shard)?.servers.get(vm)?.pool.charged())
     }
 
-    /// What the entry may have open at most over all servers, for the state dump.
+    /// Maximum number of requests that the entry may have open at all servers, for the state dump.
     pub fn charged_to(&self, entry: NodeId) -> u32 {
         let servers = self.shards.values().flat_map(|shares| shares.servers.values());
         servers.map(|server| server.pool.charged_to(entry)).sum()
     }
 
-    fn own(&mut self, now: Time, shard: ShardId, epoch: Epoch, had_owner: bool) {
-        // The predecessor may have granted up to the moment at which its authority ended, which
-        // precedes `now`. What it granted then lapses last.
-        let wait = had_owner && self.protections.await_predecessor_expiry;
-        let span = if wait { self.charge_span() } else { Duration::ZERO };
+    fn acquire(&mut self, now: Time, shard: ShardId, epoch: Epoch, had_owner: bool) {
+        // The predecessor's authority ended before `now`, so all that it granted ends within this
+        // time.
+        let must_wait = had_owner && self.protections.await_predecessor_expiry;
+        let charge_duration = if must_wait { self.max_charge_duration() } else { Duration::ZERO };
         let shares = self.shards.entry(shard).or_default();
         shares.epoch = Some(epoch);
-        shares.outwaited = now + span;
+        shares.predecessor_expires_at = now + charge_duration;
     }
 
-    /// How long after its ask a share and the exchanges begun under it may last.
-    fn charge_span(&self) -> Duration {
-        let exchanges = if self.protections.await_open_exchanges {
+    /// How long after its request a share and the exchanges begun under it may last.
+    fn max_charge_duration(&self) -> Duration {
+        let exchange_time = if self.protections.await_open_exchanges {
             MAX_ATTEMPT_DURATION
         } else {
             Duration::ZERO
         };
-        with_clock_margin(SHARE_LEASE + exchanges)
+        with_clock_margin(SHARE_LEASE + exchange_time)
     }
 
     fn set_servers(&mut self, shard: ShardId, servers: Vec<ServerSpec>) {
         let shares = self.shards.entry(shard).or_default();
-        shares.servers_known = true;
-        let described = shares.servers.values().filter(|server| server.spec.is_some()).count();
-        let same = described == servers.len()
+        shares.servers_received = true;
+        let described_count =
+            shares.servers.values().filter(|server| server.spec.is_some()).count();
+        let unchanged = described_count == servers.len()
             && servers.iter().all(|spec| {
-                let known = shares.servers.get(&spec.info.vm);
-                known.is_some_and(|known| known.spec.as_ref() == Some(spec))
+                let existing = shares.servers.get(&spec.info.vm);
+                existing.is_some_and(|existing| existing.spec.as_ref() == Some(spec))
             });
-        if same {
+        if unchanged {
             return;
         }
-        // A server that is off the list for a moment must not come back with an empty pool: what
-        // is open there stays charged, whatever changed of the description.
+        // A server that is missing from one list keeps its pool: what is open there stays charged.
         for server in shares.servers.values_mut() {
             server.spec = None;
             server.pool.resize(0);
@@ -217,22 +217,22 @@
         auth: &dyn Authority,
         out: &mut Vec<ShareTableEffect>,
     ) {
-        let span = self.charge_span();
+        let charge_duration = self.max_charge_duration();
         let Some(shares) = self.shards.get_mut(&request.shard) else { return };
         let held = auth.epoch_if_held(now, request.shard);
-        // An ask meant for another owner says what was held then, not now.
+        // A request to another owner states what was held then, not now.
         let current = held.is_some() && held == shares.epoch && held == Some(request.epoch);
-        if !current || !shares.servers_known {
+        if !current || !shares.servers_received {
             return;
         }
-        let asks = shares.entries.entry(request.entry).or_default();
-        // An overtaken ask would take back what the entry was given since.
-        if request.seq <= asks.last_seq {
+        let entry_requests = shares.entries.entry(request.entry).or_default();
+        // An overtaken request would revoke what was granted since.
+        if request.seq <= entry_requests.last_seq {
             return;
         }
-        asks.last_seq = request.seq;
-        asks.asked_at = now;
-        let granted = shares.grant_all(now, span, &request);
+        entry_requests.last_seq = request.seq;
+        entry_requests.requested_at = now;
+        let granted = shares.grant_all(now, charge_duration, &request);
         let descriptions =
             if request.known_version == shares.version { Vec::new() } else { shares.describe() };
         let grant = ShareGrant {
@@ -249,37 +249,44 @@
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<ShareTableEffect>) {
-        let span = self.charge_span();
+        let charge_duration = self.max_charge_duration();
         for (shard, shares) in &mut self.shards {
             for server in shares.servers.values_mut() {
                 server.pool.expire(now);
             }
             shares.servers.retain(|_, server| server.spec.is_some() || server.pool.charged() > 0);
-            shares.entries.retain(|_, asks| now.since(asks.asked_at) < span);
+            shares.entries.retain(|_, entry_requests| {
+                now.since(entry_requests.requested_at) < charge_duration
+            });
             shares.recall(now, *shard, None, out);
         }
     }
 }
 
 impl ShardShares {
-    fn grant_all(&mut self, now: Time, span: Duration, request: &ShareRequest) -> Vec<ServerGrant> {
-        let adopt_only = now < self.outwaited;
-        for held in request.servers.iter().filter(|held| held.holding > 0) {
-            self.servers.entry(held.vm.clone()).or_default();
+    fn grant_all(
+        &mut self,
+        now: Time,
+        charge_duration: Duration,
+        request: &ShareRequest,
+    ) -> Vec<ServerGrant> {
+        let adopt_only = now < self.predecessor_expires_at;
+        for demand in request.servers.iter().filter(|demand| demand.holding > 0) {
+            self.servers.entry(demand.vm.clone()).or_default();
         }
         let mut granted = Vec::new();
         for (vm, server) in &mut self.servers {
-            let named = request.servers.iter().find(|wanted| wanted.vm == *vm);
+            let demand = request.servers.iter().find(|demand| demand.vm == *vm);
             let (holding, need, want) =
-                named.map_or((0, 0, 0), |wanted| (wanted.holding, wanted.need, wanted.want));
-            let leaving = server.spec.as_ref().is_none_or(ServerSpec::is_leaving);
+                demand.map_or((0, 0, 0), |demand| (demand.holding, demand.need, demand.want));
+            let draining = server.spec.as_ref().is_none_or(ServerSpec::is_draining);
             let pool_request = PoolRequest {
                 entry: request.entry,
                 holding,
-                need: if leaving { 0 } else { need },
-                want: if leaving { 0 } else { want },
-                lapses: now + with_clock_margin(SHARE_LEASE),
-                free_at: now + span,
+                need: if draining { 0 } else { need },
+                want: if draining { 0 } else { want },
+                expires_at: now + with_clock_margin(SHARE_LEASE),
+                free_at: now + charge_duration,
             };
             server.pool.expire(now);
             let max_open = server.pool.grant(now, vm, pool_request, adopt_only);
@@ -297,22 +304,24 @@
             .collect()
     }
 
-    /// Asks entries to ask again where others' asks have changed what they should hold.
+    /// Recalls shares from entries whose fair share has changed because of others' requests.
     fn recall(
         &mut self,
         now: Time,
         shard: ShardId,
-        asking: Option<NodeId>,
+        requester: Option<NodeId>,
         out: &mut Vec<ShareTableEffect>,
     ) {
         let Some(epoch) = self.epoch else { return };
         for (vm, server) in &self.servers {
             for entry in server.pool.to_recall(now, vm) {
-                let Some(asks) = self.entries.get_mut(&entry) else { continue };
-                if Some(entry) == asking || now.since(asks.recalled_at) < RECALL_GAP {
+                let Some(entry_requests) = self.entries.get_mut(&entry) else { continue };
+                if Some(entry) == requester
+                    || now.since(entry_requests.recalled_at) < MIN_RECALL_INTERVAL
+                {
                     continue;
                 }
-                asks.recalled_at = now;
+                entry_requests.recalled_at = now;
                 out.push(ShareTableEffect::Recall { entry, shard, epoch });
             }
         }
@@ -320,13 +329,13 @@
 }
 
 impl ServerSpec {
-    fn is_leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         self.info.state == VmState::Leaving
     }
 }
 
-/// How many requests may be open at a server. Each takes a slot and, since an exchange has a
-/// connection of its own, a connection: the scarcer of the two is what is shared out.
+/// Number of requests that may be open at a server. Each takes a slot and a connection, so the
+/// smaller of the two limits counts.
 fn pool_size(spec: &ServerSpec) -> u16 {
-    if spec.is_leaving() { 0 } else { spec.slots.min(spec.connections) }
+    if spec.is_draining() { 0 } else { spec.slots.min(spec.connections) }
 }
