--- a/crates/requests/examples/request_cost.rs
+++ b/crates/requests/examples/request_cost.rs
@@ -1,9 +1,9 @@
-//! What a request costs an entry, without input and output:
-//! `cargo run --release -p egretlb-requests --example request_cost`
+//! Measures what a request costs an entry, without I/O: `cargo run --release -p egretlb-requests
+//! --example request_cost`
 //!
-//! For each size a table line: nanoseconds for a request's arrival, sending and answer (half of
-//! the entry's slots are open all the while), nanoseconds for a refusal on arrival, bytes of memory
-//! for a request that waits, and the size of an ask for shares.
+//! Prints one line per size: nanoseconds for a request's arrival, sending and answer with half of
+//! the entry's slots open, nanoseconds for a refusal on arrival, bytes of memory per waiting
+//! request, and bytes per share request.
 
 use {
     egretlb_requests::{
@@ -26,7 +26,7 @@
 const REQUESTS: u64 = 400_000;
 const WAITING: u64 = 100_000;
 const SLOTS: u16 = 8;
-const PER_RACK: usize = 8;
+const SERVERS_PER_RACK: usize = 8;
 const SCHEDULER: NodeId = NodeId(1_000);
 
 struct Owner;
@@ -37,16 +37,16 @@
     }
 }
 
-/// One entry, the grantor, and the clock.
+/// One entry, the grantor and a virtual clock.
 struct Bench {
     entry: Entry,
-    book: ShareTable,
+    shares: ShareTable,
     now: Time,
     next: u64,
     sent: VecDeque<AttemptId>,
     classes: Vec<ClassName>,
-    ask_bytes: usize,
-    asks: usize,
+    share_request_bytes: usize,
+    share_requests: usize,
 }
 
 impl Bench {
@@ -57,13 +57,13 @@
             .max_queue_len(usize::MAX);
         let mut bench = Bench {
             entry: Entry::new(opts),
-            book: ShareTable::new(),
+            shares: ShareTable::new(),
             now: Time::from_secs(100),
             next: 0,
             sent: VecDeque::new(),
             classes: names.collect(),
-            ask_bytes: 0,
-            asks: 0,
+            share_request_bytes: 0,
+            share_requests: 0,
         };
         bench.set_up(servers);
         bench
@@ -91,7 +91,7 @@
     }
 
     fn spec(&self, vm: &VmRecord) -> ServerSpec {
-        // Each service runs on a part of the VMs: four classes on each.
+        // Each VM runs four of the classes.
         let number: usize = vm.vm.as_str()[3..].parse().unwrap();
         let count = self.classes.len();
         let served = (0..count.min(4)).map(|i| self.classes[(number * 4 + i) % count].clone());
@@ -123,7 +123,7 @@
 
     fn grantor(&mut self, event: ShareTableEvent) {
         let mut out = Vec::new();
-        self.book.step(self.now, event, &Owner, &mut out);
+        self.shares.step(self.now, event, &Owner, &mut out);
         for effect in out {
             if let ShareTableEffect::Grant { grant, .. } = effect {
                 self.step(EntryEvent::SharesGranted { grant });
@@ -138,8 +138,8 @@
             match effect {
                 EntryEffect::Send { attempt, .. } => self.sent.push_back(attempt),
                 EntryEffect::RequestShares { request, .. } => {
-                    self.ask_bytes += postcard::to_allocvec(&request).unwrap().len();
-                    self.asks += 1;
+                    self.share_request_bytes += postcard::to_allocvec(&request).unwrap().len();
+                    self.share_requests += 1;
                     self.grantor(ShareTableEvent::Request { request });
                 }
                 _ => {}
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Nanoseconds a request with `open` requests open all the while.
+    /// Nanoseconds per request while `open` requests are open.
     fn serve(&mut self, open: usize) -> f64 {
         let gap = Duration::from_micros(100_000 / open as u64);
         let mut ticked = self.now;
@@ -193,7 +193,7 @@
         vm: format!("vm-{i}").parse().unwrap(),
         addr: format!("10.0.{}.{}:80", i / 250, i % 250).into(),
         data_centre: format!("dc-{}", i % 4).parse().unwrap(),
-        rack: format!("rack-{}", i / PER_RACK).parse().unwrap(),
+        rack: format!("rack-{}", i / SERVERS_PER_RACK).parse().unwrap(),
         state: VmState::Live,
         capacity: Resources::default(),
         slots: SLOTS,
@@ -201,7 +201,7 @@
     }
 }
 
-/// Nanoseconds for a request of a class that doesn't exist.
+/// Nanoseconds per request of an unknown class.
 fn refusal_cost(bench: &mut Bench) -> f64 {
     let class: ClassName = "unknown".parse().unwrap();
     let start = Instant::now();
@@ -218,7 +218,7 @@
     start.elapsed().as_nanos() as f64 / REQUESTS as f64
 }
 
-/// Bytes that one more waiting request takes, by the growth of the process.
+/// Bytes per waiting request, from the growth of the resident memory.
 fn waiting_bytes(servers: usize, classes: usize) -> f64 {
     let mut bench = Bench::new(servers, classes, QueueOrder::NewestFirst);
     for _ in 0..WAITING {
@@ -238,7 +238,9 @@
 }
 
 fn main() {
-    println!("| servers | classes | ns a request | ns a refusal | bytes waiting | bytes an ask |");
+    println!(
+        "| servers | classes | ns per request | ns per refusal | bytes waiting | bytes per share request |"
+    );
     println!("|---|---|---|---|---|---|");
     for (servers, classes, open) in [(50, 4, 25), (65, 8, 29), (1_300, 64, 300)] {
         let mut bench = Bench::new(servers, classes, QueueOrder::default());
@@ -246,7 +248,9 @@
         let served = bench.serve(open);
         let refused = refusal_cost(&mut bench);
         let waiting = waiting_bytes(servers, classes);
-        let ask = bench.ask_bytes / bench.asks.max(1);
-        println!("| {servers} | {classes} | {served:.0} | {refused:.0} | {waiting:.0} | {ask} |");
+        let share_request = bench.share_request_bytes / bench.share_requests.max(1);
+        println!(
+            "| {servers} | {classes} | {served:.0} | {refused:.0} | {waiting:.0} | {share_request} |"
+        );
     }
 }
--- a/crates/requests/tests/adaptive_limit.rs
+++ b/crates/requests/tests/adaptive_limit.rs
@@ -1,4 +1,4 @@
-//! Services that slow down when much is open.
+//! Services that slow down under concurrency.
 
 mod support;
 
@@ -12,9 +12,8 @@
     },
 };
 
-/// Batch tasks share the VMs, so that a service is fastest with four requests at once on each and
-/// takes four times as long with eight. Filling every slot halves what the servers do; the limit
-/// finds a better point by itself.
+/// A service is fastest with four concurrent requests per VM and thrashes with eight. Guards
+/// against filling every slot, which would halve the throughput.
 #[test]
 fn a_thrashing_service_is_kept_below_its_slots() {
     let target = Duration::from_millis(500);
@@ -29,10 +28,10 @@
     };
     let streams = [stream(0, 8_000, 0.5), stream(8_000, 38_000, 1.5)];
     let runs = run_on(SRI_LANKA, &[class], &streams, &[], QueueOrder::default(), 7, 4);
-    let ours = runs.ours(0, 18_000..38_000);
-    println!("{}", runs.ours(0, 8_000..18_000).row("thrashing, its first 10 s", "egretlb"));
-    println!("{HEADER}\n{}", ours.row("thrashing, 1.5x", "egretlb"));
-    let goodput = ours.good as f64 / (best * 20.0);
+    let outcome = runs.egretlb(0, 18_000..38_000);
+    println!("{}", runs.egretlb(0, 8_000..18_000).row("thrashing, its first 10 s", "egretlb"));
+    println!("{HEADER}\n{}", outcome.row("thrashing, 1.5x", "egretlb"));
+    let goodput = outcome.good as f64 / (best * 20.0);
     println!("goodput of the best={goodput:.3}, with every slot filled=0.500 at most");
     assert!(goodput > 0.6);
 }
--- a/crates/requests/tests/fault_matrix.rs
+++ b/crates/requests/tests/fault_matrix.rs
@@ -7,19 +7,19 @@
     support::matrix::{SEED, all_cells, page, run_all},
 };
 
-/// A part fails while a request is at some step of its way. A user must get one answer, its own
-/// and whole, be told the truth about whether the request ran, and never have a filing doubled.
+/// Guards against lost, foreign or truncated answers, a wrong `Egretlb-Ran` and a second run of a
+/// non-idempotent request, for one fault at any step.
 #[test]
 fn every_fault_at_every_step() {
     let cells = run_all(&all_cells(), Protections::default(), SEED);
-    let broken: Vec<_> = cells.iter().filter(|cell| !cell.violations.is_empty()).collect();
-    println!("cells={} broken={}", cells.len(), broken.len());
-    for cell in &broken {
+    let failed: Vec<_> = cells.iter().filter(|cell| !cell.violations.is_empty()).collect();
+    println!("cells={} broken={}", cells.len(), failed.len());
+    for cell in &failed {
         println!("{:?} {:?}: {:?}", cell.kind, cell.faults, cell.violations);
     }
-    assert!(broken.is_empty());
-    let idle = cells.iter().find(|cell| !cell.fired);
-    assert!(idle.is_none(), "the fault never happened: {idle:?}");
-    let committed = include_str!("../../../docs/design/requests-faults.md");
-    assert!(committed == page(&cells), "write the page again: see examples/fault_table.rs");
+    assert!(failed.is_empty());
+    let not_injected = cells.iter().find(|cell| !cell.injected);
+    assert!(not_injected.is_none(), "the fault never happened: {not_injected:?}");
+    let expected_page = include_str!("../../../docs/design/requests-faults.md");
+    assert!(expected_page == page(&cells), "the page is out of date: run examples/fault_table.rs");
 }
--- a/crates/requests/tests/fault_pairs.rs
+++ b/crates/requests/tests/fault_pairs.rs
@@ -16,7 +16,7 @@
     },
 };
 
-/// One pair for each seed. A seed that has found something stays on the list unchanged.
+/// One pair per seed. A seed that has found a fault must stay in the range.
 const SEEDS: std::ops::Range<u64> = 0..400;
 
 fn draw(seed: u64) -> CellPlan {
@@ -31,17 +31,16 @@
     (kind, vec![fault(), fault()])
 }
 
-/// Two parts fail while one request is on its way, or one after the other. What must hold of one
-/// fault must hold of two.
+/// Guards against violations that only a second fault reveals.
 #[test]
 fn pairs_of_faults() {
     let plans: Vec<CellPlan> = SEEDS.map(draw).collect();
     let cells = run_all(&plans, Protections::default(), 50_000);
-    let mut broken = 0;
+    let mut failed = 0;
     for cell in cells.iter().filter(|cell| !cell.violations.is_empty()) {
         println!("{:?} {:?}: {:?}", cell.kind, cell.faults, cell.violations);
-        broken += 1;
+        failed += 1;
     }
-    println!("pairs={} broken={broken}", cells.len());
-    assert_eq!(broken, 0);
+    println!("pairs={} broken={failed}", cells.len());
+    assert_eq!(failed, 0);
 }
--- a/crates/requests/tests/first_path.rs
+++ b/crates/requests/tests/first_path.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its answer.
+//! One request from its arrival to its answer, without faults.
 
 mod support;
 
--- a/crates/requests/tests/going_away.rs
+++ b/crates/requests/tests/going_away.rs
@@ -1,4 +1,4 @@
-//! Backend servers that leave, and entries that shut down.
+//! Draining backend servers, and entries that shut down.
 
 mod support;
 
@@ -7,12 +7,12 @@
     egretlb_types::{NotRunReason, Ran, VmState, shard_of_rack},
     std::time::Duration,
     support::{
-        load::{BOGOTA, Stream, jobs, record},
+        load::{BOGOTA, Stream, load_requests, record},
         world::{ClassSetup, World},
     },
 };
 
-/// A world under half its capacity, with `seconds` of requests ahead.
+/// A world under half its capacity, with `seconds` of requests scheduled.
 fn busy(seconds: u64) -> World {
     let target = Duration::from_millis(500);
     let class = ClassSetup { name: "check", member: "andina", target, idempotent: false };
@@ -21,15 +21,14 @@
         Stream { class: 0, from_ms: 0, to_ms: seconds * 1_000, per_second, mean_work_ms: 100.0 };
     let mut world = World::new(BOGOTA.setup(&[class], QueueOrder::default(), 5));
     let start = world.now + Duration::from_secs(2);
-    for (i, job) in jobs(&[stream], BOGOTA.entries, 5).iter().enumerate() {
-        world.request(start + job.at, record(i, job, start));
+    for (i, load_request) in load_requests(&[stream], BOGOTA.entries, 5).iter().enumerate() {
+        world.request(start + load_request.at, record(i, load_request, start));
     }
     world
 }
 
-/// A VM is about to be taken away. Whichever of three sources says so first, the platform's list,
-/// the rack's owner or the server itself, nothing runs there three seconds later; a request that
-/// did would be lost with the VM.
+/// Guards against requests sent to a VM that is about to be removed, whichever source reports it
+/// first: the platform's list, the rack's owner or the server itself.
 #[test]
 fn leaving_servers_get_nothing_new() {
     for source in ["list", "owner", "server"] {
@@ -39,13 +38,13 @@
             "list" => {
                 world.vms[3].state = VmState::Leaving;
                 let vms = world.vms.clone();
-                world.tell_all(|| EntryEvent::Vms { vms: vms.clone() });
+                world.send_to_all(|| EntryEvent::Vms { vms: vms.clone() });
             }
             "owner" => {
                 world.vms[3].state = VmState::Leaving;
-                world.tell_servers(shard_of_rack(&world.vms[3].rack.clone()));
+                world.send_server_list(shard_of_rack(&world.vms[3].rack.clone()));
             }
-            _ => world.servers[3].leaving = true,
+            _ => world.servers[3].draining = true,
         }
         world.run_until(world.now + Duration::from_secs(3));
         let before = world.servers[3].started;
@@ -55,19 +54,18 @@
     }
 }
 
-/// An entry is told to stop while it is busy. Its callers get their answers, new ones are told at
-/// once to go elsewhere, and its slots are free for the other entries.
+/// Guards against a shutdown that drops open requests, accepts new ones or keeps its shares.
 #[test]
-fn shutdown_cuts_nothing_off() {
+fn shutdown_finishes_open_requests() {
     let mut world = busy(8);
     world.run_until(world.now + Duration::from_secs(5));
-    let told_at = world.now;
-    world.tell(0, EntryEvent::Shutdown);
-    world.run_until(told_at + Duration::from_secs(7));
+    let shutdown_at = world.now;
+    world.send_to(0, EntryEvent::Shutdown);
+    world.run_until(shutdown_at + Duration::from_secs(7));
     assert!(world.entries[0].drained);
     for record in world.requests.iter().filter(|record| record.entry == 0) {
         let (_, verdict) = record.answers.first().expect("an answer");
-        if record.arrived < told_at {
+        if record.arrived < shutdown_at {
             assert!(matches!(verdict, Verdict::Forward { .. }), "{record:?}");
         } else {
             let reason = NotRunReason::ShuttingDown;
@@ -76,6 +74,6 @@
         }
     }
     let node = world.entries[0].node;
-    let book = &world.schedulers[0].book;
-    assert_eq!(book.charged_to(node), 0);
+    let shares = &world.schedulers[0].shares;
+    assert_eq!(shares.charged_to(node), 0);
 }
--- a/crates/requests/tests/key_book.rs
+++ b/crates/requests/tests/key_book.rs
@@ -1,4 +1,4 @@
-//! The owner of request keys, alone.
+//! Tests of [`KeyTable`] alone.
 
 use {
     egretlb_requests::{
@@ -23,31 +23,31 @@
     }
 }
 
-/// A book that owns the shard, its clock, and the log that takes every entry at once if it is up.
-struct Desk {
-    book: KeyTable,
+/// A table that owns the shard, its clock, and a log that takes every entry at once if it is up.
+struct Harness {
+    table: KeyTable,
     now: Time,
     held: Held,
     log_up: bool,
     journal: Vec<KeyJournalEntry>,
 }
 
-impl Desk {
+impl Harness {
     fn new() -> Self {
-        let mut desk = Desk {
-            book: KeyTable::new(),
+        let mut harness = Harness {
+            table: KeyTable::new(),
             now: Time::from_secs(200_000),
             held: Held(Some(Epoch(1))),
             log_up: true,
             journal: Vec::new(),
         };
-        desk.step(KeyTableEvent::Owned { shard: SHARD, epoch: Epoch(1) });
-        desk
+        harness.step(KeyTableEvent::Owned { shard: SHARD, epoch: Epoch(1) });
+        harness
     }
 
     fn step(&mut self, event: KeyTableEvent) -> Vec<KeyTableEffect> {
         let mut out = Vec::new();
-        self.book.step(self.now, event, &self.held, &mut out);
+        self.table.step(self.now, event, &self.held, &mut out);
         for effect in out.clone() {
             if let KeyTableEffect::Journal { entry, ticket, .. } = effect
                 && self.log_up
@@ -98,81 +98,77 @@
     RecordedAnswer { status: 201, body: Some(b"filed".to_vec()) }
 }
 
-/// A service desk sends the same notice again, at once and later: it must not go out twice, and
-/// the later one gets the first one's answer.
+/// Guards against a second run of a request that is sent again; it gets the recorded answer.
 #[test]
 fn a_key_runs_once() {
-    let mut desk = Desk::new();
-    assert_eq!(desk.request(1, "a", 7), Some(Permit::Granted));
-    assert_eq!(desk.request(2, "a", 7), Some(Permit::InProgress));
-    assert!(desk.report(1, "a", KeyOutcome::Ran(answer())));
-    assert_eq!(desk.request(3, "a", 7), Some(Permit::Recorded(answer())));
+    let mut harness = Harness::new();
+    assert_eq!(harness.request(1, "a", 7), Some(Permit::Granted));
+    assert_eq!(harness.request(2, "a", 7), Some(Permit::InProgress));
+    assert!(harness.report(1, "a", KeyOutcome::Ran(answer())));
+    assert_eq!(harness.request(3, "a", 7), Some(Permit::Recorded(answer())));
 }
 
-/// A caller uses one key for two filings by mistake: the second must not be taken for the first,
-/// nor run under its key.
+/// Guards against treating two different requests with one key as the same.
 #[test]
 fn a_key_with_another_body_is_refused() {
-    let mut desk = Desk::new();
-    assert_eq!(desk.request(1, "a", 7), Some(Permit::Granted));
-    assert_eq!(desk.request(2, "a", 8), Some(Permit::BodyMismatch));
-    desk.report(1, "a", KeyOutcome::Ran(answer()));
-    assert_eq!(desk.request(3, "a", 8), Some(Permit::BodyMismatch));
+    let mut harness = Harness::new();
+    assert_eq!(harness.request(1, "a", 7), Some(Permit::Granted));
+    assert_eq!(harness.request(2, "a", 8), Some(Permit::BodyMismatch));
+    harness.report(1, "a", KeyOutcome::Ran(answer()));
+    assert_eq!(harness.request(3, "a", 8), Some(Permit::BodyMismatch));
 }
 
 #[test]
 fn a_key_that_did_not_run_is_free_again() {
-    let mut desk = Desk::new();
-    desk.request(1, "a", 7);
-    assert!(desk.report(1, "a", KeyOutcome::NotRun));
-    assert_eq!(desk.request(2, "a", 7), Some(Permit::Granted));
+    let mut harness = Harness::new();
+    harness.request(1, "a", 7);
+    assert!(harness.report(1, "a", KeyOutcome::NotRun));
+    assert_eq!(harness.request(2, "a", 7), Some(Permit::Granted));
 }
 
-/// The entry dies after it got the permit, and nobody reports: the caller is told after a while
-/// that the filing may have run, not that it is still in progress, and it isn't run again.
+/// Guards against a permit without report that stays in progress forever, or is granted again.
 #[test]
 fn a_key_without_report_falls_in_doubt() {
-    let mut desk = Desk::new();
-    desk.request(1, "a", 7);
-    desk.wait(OUTCOME_TIMEOUT);
-    assert_eq!(desk.request(2, "a", 7), Some(Permit::InDoubt));
-    assert!(desk.report(1, "a", KeyOutcome::Ran(answer())));
-    assert_eq!(desk.request(3, "a", 7), Some(Permit::Recorded(answer())));
+    let mut harness = Harness::new();
+    harness.request(1, "a", 7);
+    harness.wait(OUTCOME_TIMEOUT);
+    assert_eq!(harness.request(2, "a", 7), Some(Permit::InDoubt));
+    assert!(harness.report(1, "a", KeyOutcome::Ran(answer())));
+    assert_eq!(harness.request(3, "a", 7), Some(Permit::Recorded(answer())));
 }
 
-/// The log is down: a caller is refused at once rather than after a wait, and an intent whose fate
-/// is unknown doesn't leave its key closed.
+/// Guards against requests that wait for a log that is down, and a key left closed by an intent
+/// that may not be in the log.
 #[test]
 fn no_permit_while_the_log_is_down() {
-    let mut desk = Desk::new();
-    desk.log_up = false;
-    assert_eq!(desk.request(1, "a", 7), None);
-    let refused = desk.step(KeyTableEvent::LogState { up: false });
-    let told = refused.iter().any(|effect| {
+    let mut harness = Harness::new();
+    harness.log_up = false;
+    assert_eq!(harness.request(1, "a", 7), None);
+    let refused = harness.step(KeyTableEvent::LogState { up: false });
+    let answered = refused.iter().any(|effect| {
         matches!(effect, KeyTableEffect::Answer { permit: Permit::Unavailable, holder: to, .. }
             if *to == holder(1))
     });
-    assert!(told, "{refused:?}");
-    assert_eq!(desk.request(2, "b", 7), Some(Permit::Unavailable));
-    desk.log_up = true;
-    desk.step(KeyTableEvent::LogState { up: true });
-    assert_eq!(desk.request(3, "a", 7), Some(Permit::Granted));
+    assert!(answered, "{refused:?}");
+    assert_eq!(harness.request(2, "b", 7), Some(Permit::Unavailable));
+    harness.log_up = true;
+    harness.step(KeyTableEvent::LogState { up: true });
+    assert_eq!(harness.request(3, "a", 7), Some(Permit::Granted));
 }
 
 #[test]
 fn no_permit_without_authority() {
-    let mut desk = Desk::new();
-    desk.held = Held(None);
-    assert_eq!(desk.request(1, "a", 7), Some(Permit::Unavailable));
-    desk.held = Held(Some(Epoch(2)));
-    assert_eq!(desk.request(2, "a", 7), Some(Permit::Unavailable));
+    let mut harness = Harness::new();
+    harness.held = Held(None);
+    assert_eq!(harness.request(1, "a", 7), Some(Permit::Unavailable));
+    harness.held = Held(Some(Epoch(2)));
+    assert_eq!(harness.request(2, "a", 7), Some(Permit::Unavailable));
 }
 
-/// The owner is replaced: what it had promised stands, whether its successor reads a snapshot or
-/// entry by entry.
+/// Guards against a new owner that loses keys, whether it restores a snapshot or replays entries.
 #[test]
 fn a_successor_knows_every_key() {
-    let mut old = Desk::new();
+    let mut old = Harness::new();
     old.request(1, "ran", 7);
     old.report(1, "ran", KeyOutcome::Ran(answer()));
     old.request(2, "open", 7);
@@ -183,10 +179,10 @@
         by_entries.replay(SHARD, entry);
     }
     let mut by_snapshot = KeyTable::new();
-    by_snapshot.restore(SHARD, old.book.snapshot(old.now, SHARD));
-    for book in [by_entries, by_snapshot] {
-        let mut new = Desk::new();
-        new.book = book;
+    by_snapshot.restore(SHARD, old.table.snapshot(old.now, SHARD));
+    for table in [by_entries, by_snapshot] {
+        let mut new = Harness::new();
+        new.table = table;
         new.step(KeyTableEvent::Owned { shard: SHARD, epoch: Epoch(1) });
         assert_eq!(new.request(11, "ran", 7), Some(Permit::Recorded(answer())));
         assert_eq!(new.request(12, "open", 7), Some(Permit::InProgress));
@@ -196,29 +192,28 @@
     }
 }
 
-/// More keys come than fit: one is refused, none is forgotten before its time. After that time a
-/// key is new again.
+/// Guards against keys dropped before their retention ends, and keys stored beyond it.
 #[test]
-fn keys_are_kept_for_their_time_and_no_more_than_fit() {
-    let mut desk = Desk::new();
+fn key_retention_and_capacity() {
+    let mut harness = Harness::new();
     for i in 0..MAX_KEYS_PER_SHARD as u64 {
-        desk.request(i, &format!("k{i}"), 7);
-        desk.report(i, &format!("k{i}"), KeyOutcome::Ran(answer()));
+        harness.request(i, &format!("k{i}"), 7);
+        harness.report(i, &format!("k{i}"), KeyOutcome::Ran(answer()));
     }
-    assert_eq!(desk.request(1_000_000, "one-more", 7), Some(Permit::Unavailable));
-    desk.wait(KEY_RETENTION - Duration::from_secs(120));
-    assert_eq!(desk.request(1_000_001, "k0", 7), Some(Permit::Recorded(answer())));
-    desk.wait(Duration::from_secs(240));
-    assert_eq!(desk.book.key_count(SHARD), 0);
-    assert_eq!(desk.request(1_000_002, "k0", 7), Some(Permit::Granted));
+    assert_eq!(harness.request(1_000_000, "one-more", 7), Some(Permit::Unavailable));
+    harness.wait(KEY_RETENTION - Duration::from_secs(120));
+    assert_eq!(harness.request(1_000_001, "k0", 7), Some(Permit::Recorded(answer())));
+    harness.wait(Duration::from_secs(240));
+    assert_eq!(harness.table.key_count(SHARD), 0);
+    assert_eq!(harness.request(1_000_002, "k0", 7), Some(Permit::Granted));
 }
 
-/// A report that nothing was sent overtakes its ask on the network: a permit for that ask would be
-/// nobody's, and the caller's next try in doubt for nothing.
+/// A report overtakes its permit request on the network. Guards against a permit without holder,
+/// which would leave the key in doubt.
 #[test]
-fn an_ask_behind_its_report_gets_no_permit() {
-    let mut desk = Desk::new();
-    assert!(desk.report(1, "a", KeyOutcome::NotRun));
-    assert_eq!(desk.request(1, "a", 7), Some(Permit::Unavailable));
-    assert_eq!(desk.request(2, "a", 7), Some(Permit::Granted));
+fn request_behind_its_report_gets_no_permit() {
+    let mut harness = Harness::new();
+    assert!(harness.report(1, "a", KeyOutcome::NotRun));
+    assert_eq!(harness.request(1, "a", 7), Some(Permit::Unavailable));
+    assert_eq!(harness.request(2, "a", 7), Some(Permit::Granted));
 }
--- a/crates/requests/tests/queue_bounds.rs
+++ b/crates/requests/tests/queue_bounds.rs
@@ -1,4 +1,4 @@
-//! One entry with one slot: what waits, and what its caller is told when.
+//! One entry with one slot: queueing, refusals and late answers.
 
 use {
     egretlb_requests::{
@@ -16,17 +16,17 @@
 const MAX_QUEUE_LEN: usize = 5;
 const TARGET: Duration = Duration::from_secs(2);
 
-struct Desk {
+struct Harness {
     entry: Entry,
     now: Time,
 }
 
-impl Desk {
+impl Harness {
     fn new() -> Self {
         let opts = EntryOptions::new(NodeId(1), "dc-0".parse().unwrap(), 3)
             .max_queue_len(MAX_QUEUE_LEN)
             .order(QueueOrder::OldestFirst);
-        let mut desk = Desk { entry: Entry::new(opts), now: Time::from_secs(50) };
+        let mut harness = Harness { entry: Entry::new(opts), now: Time::from_secs(50) };
         let class = ClassSpec {
             name: "check".parse().unwrap(),
             member: "andina".parse().unwrap(),
@@ -40,9 +40,9 @@
             },
         };
         let document = ConfigDocument { classes: vec![class], ..ConfigDocument::default() };
-        desk.step(EntryEvent::Config { document: Arc::new(document) });
-        desk.grant_one_slot();
-        desk
+        harness.step(EntryEvent::Config { document: Arc::new(document) });
+        harness.grant_one_slot();
+        harness
     }
 
     fn grant_one_slot(&mut self) {
@@ -59,8 +59,10 @@
         let shard = shard_of_rack(&vm.rack);
         self.step(EntryEvent::Vms { vms: vec![vm.clone()] });
         let owners = vec![ShardOwner { shard, node: NodeId(9), epoch: Epoch(1) }];
-        let asked = self.step(EntryEvent::Owners { owners });
-        let [EntryEffect::RequestShares { request, .. }] = &asked[..] else { panic!("{asked:?}") };
+        let requested = self.step(EntryEvent::Owners { owners });
+        let [EntryEffect::RequestShares { request, .. }] = &requested[..] else {
+            panic!("{requested:?}")
+        };
         let info = ServerInfo {
             vm: vm.vm.clone(),
             addr: vm.addr,
@@ -122,56 +124,53 @@
     sends.collect()
 }
 
-/// More requests come than may wait: memory stays bounded, and the one too many is told at once.
-/// A caller who hangs up makes room for another.
+/// Guards against an unbounded queue, and against a disconnected caller that keeps its place.
 #[test]
 fn the_queue_is_bounded() {
-    let mut desk = Desk::new();
-    assert_eq!(sent(&desk.arrive(0, "check", None)).len(), 1);
+    let mut harness = Harness::new();
+    assert_eq!(sent(&harness.arrive(0, "check", None)).len(), 1);
     for i in 1..=MAX_QUEUE_LEN as u64 {
-        assert_eq!(refusal(&desk.arrive(i, "check", None), i), None);
+        assert_eq!(refusal(&harness.arrive(i, "check", None), i), None);
     }
-    assert_eq!(refusal(&desk.arrive(90, "check", None), 90), Some(NotRunReason::QueueFull));
-    let out = desk.step(EntryEvent::CallerGone { request: RequestId(3) });
+    assert_eq!(refusal(&harness.arrive(90, "check", None), 90), Some(NotRunReason::QueueFull));
+    let out = harness.step(EntryEvent::CallerGone { request: RequestId(3) });
     assert!(matches!(out[..], [EntryEffect::Forget { request: RequestId(3) }]), "{out:?}");
-    assert_eq!(refusal(&desk.arrive(91, "check", None), 91), None);
+    assert_eq!(refusal(&harness.arrive(91, "check", None), 91), None);
 }
 
-/// A request waits behind a long one. As soon as it can't be answered in time any more its caller
-/// is told so, not at its deadline.
+/// Guards against a request that waits until its deadline although it can't be answered in time.
 #[test]
-fn who_waits_in_vain_is_told_at_once() {
-    let mut desk = Desk::new();
+fn late_request_is_refused_before_its_deadline() {
+    let mut harness = Harness::new();
     let work = Duration::from_millis(100);
     for i in 0..30 {
-        let (_, attempt) = sent(&desk.arrive(i, "check", None))[0];
-        desk.now = desk.now + work;
+        let (_, attempt) = sent(&harness.arrive(i, "check", None))[0];
+        harness.now = harness.now + work;
         let result = AttemptResult::Complete { status: 200, recorded_body: None };
-        desk.step(EntryEvent::AttemptEnded { attempt, result });
+        harness.step(EntryEvent::AttemptEnded { attempt, result });
     }
-    desk.arrive(100, "check", None);
-    let deadline = desk.now + Duration::from_secs(1);
-    assert_eq!(refusal(&desk.arrive(101, "check", Some(Duration::from_secs(1))), 101), None);
-    while desk.now < deadline {
-        desk.now = desk.entry.wake_at().expect("a timer");
-        if let Some(reason) = refusal(&desk.step(EntryEvent::Tick), 101) {
+    harness.arrive(100, "check", None);
+    let deadline = harness.now + Duration::from_secs(1);
+    assert_eq!(refusal(&harness.arrive(101, "check", Some(Duration::from_secs(1))), 101), None);
+    while harness.now < deadline {
+        harness.now = harness.entry.wake_at().expect("a timer");
+        if let Some(reason) = refusal(&harness.step(EntryEvent::Tick), 101) {
             assert_eq!(reason, NotRunReason::TooLate);
-            assert!(desk.now + work <= deadline);
+            assert!(harness.now + work <= deadline);
             return;
         }
     }
-    panic!("never told");
+    panic!("never refused");
 }
 
-/// The server is slow and the caller's deadline passes: the caller is told that it may have run,
-/// and the answer that comes later goes to nobody, but frees the slot.
+/// Guards against a late answer that reaches a caller, or that doesn't free its slot.
 #[test]
 fn a_late_answer_frees_its_slot_only() {
-    let mut desk = Desk::new();
-    let first = sent(&desk.arrive(0, "check", Some(Duration::from_millis(300))));
-    desk.now = desk.now + Duration::from_millis(300);
-    let out = desk.step(EntryEvent::Tick);
-    let told = out.iter().any(|effect| {
+    let mut harness = Harness::new();
+    let first = sent(&harness.arrive(0, "check", Some(Duration::from_millis(300))));
+    harness.now = harness.now + Duration::from_millis(300);
+    let out = harness.step(EntryEvent::Tick);
+    let answered = out.iter().any(|effect| {
         matches!(
             effect,
             EntryEffect::Answer {
@@ -180,17 +179,17 @@
             }
         )
     });
-    assert!(told, "{out:?}");
-    assert!(sent(&desk.arrive(1, "check", None)).is_empty());
+    assert!(answered, "{out:?}");
+    assert!(sent(&harness.arrive(1, "check", None)).is_empty());
     let result = AttemptResult::Complete { status: 200, recorded_body: None };
-    let out = desk.step(EntryEvent::AttemptEnded { attempt: first[0].1, result });
+    let out = harness.step(EntryEvent::AttemptEnded { attempt: first[0].1, result });
     assert!(!out.iter().any(|effect| matches!(effect, EntryEffect::Answer { .. })));
     assert_eq!(sent(&out)[0].0, RequestId(1));
 }
 
 #[test]
 fn an_unknown_class_is_refused() {
-    let mut desk = Desk::new();
-    let out = desk.arrive(0, "nothing", None);
+    let mut harness = Harness::new();
+    let out = harness.arrive(0, "nothing", None);
     assert_eq!(refusal(&out, 0), Some(NotRunReason::UnknownClass));
 }
--- a/crates/requests/tests/retry_budget.rs
+++ b/crates/requests/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Second sendings when many servers fail.
+//! Retries when many servers fail.
 
 mod support;
 
@@ -6,14 +6,13 @@
     egretlb_requests::entry::QueueOrder,
     std::time::Duration,
     support::{
-        load::{BOGOTA, Stream, jobs, record},
+        load::{BOGOTA, Stream, load_requests, record},
         world::{ClassSetup, World},
     },
 };
 
-/// Every server cuts every answer off, or does for a third of them. Retries that answer each
-/// failure would double or quadruple the load on servers that are failing already; callers see an
-/// outage where there was a dip.
+/// Guards against retries that multiply the load when a third or all of the servers truncate their
+/// answers.
 #[test]
 fn a_retry_storm_is_impossible() {
     for failing in [22, 65] {
@@ -24,11 +23,11 @@
             Stream { class: 0, from_ms: 0, to_ms: 10_000, per_second, mean_work_ms: 100.0 };
         let mut world = World::new(BOGOTA.setup(&[class], QueueOrder::default(), 5));
         let start = world.now + Duration::from_secs(2);
-        for (i, job) in jobs(&[stream], BOGOTA.entries, 5).iter().enumerate() {
-            world.request(start + job.at, record(i, job, start));
+        for (i, load_request) in load_requests(&[stream], BOGOTA.entries, 5).iter().enumerate() {
+            world.request(start + load_request.at, record(i, load_request, start));
         }
         for server in &mut world.servers[..failing] {
-            server.truncates = true;
+            server.truncates_answers = true;
         }
         world.run_until(start + Duration::from_secs(25));
         let sends: u32 = world.requests.iter().map(|record| record.sends).sum();
--- a/crates/requests/tests/share_limits.rs
+++ b/crates/requests/tests/share_limits.rs
@@ -1,31 +1,31 @@
-//! No backend server ever has more open than its slots, whoever dies and whatever comes late.
+//! No backend server ever has more requests open than it has slots.
 
 mod support;
 
 use {
     egretlb_requests::Protections,
     std::time::Duration,
-    support::faults::{Around, CALM, Fault, Kind, Step, run_cell_in},
+    support::faults::{CALM, Conditions, Fault, Kind, Step, run_cell_in},
 };
 
 const SEEDS: std::ops::Range<u64> = 100..106;
 
-/// More load than the servers can take, so that every slot granted is used at once.
-const BUSY: Around = Around { gap_ms: 16, ..CALM };
+/// Load above the servers' capacity, so that every granted slot is used at once.
+const BUSY: Conditions = Conditions { gap_ms: 16, ..CALM };
 
-/// The same, with messages that overtake each other by up to a second and a half.
-const LATE: Around = Around { jitter: Duration::from_millis(1_500), ..BUSY };
+/// The same, with messages that overtake each other by up to 1.5 s.
+const LATE: Conditions = Conditions { jitter: Duration::from_millis(1_500), ..BUSY };
 
-/// Exchanges that last longer than the rest of a lease.
-const LONG: Around = Around { gap_ms: 400, work_ms: (9_000, 9_950), ..CALM };
+/// Exchanges that outlast the rest of a lease.
+const LONG: Conditions = Conditions { gap_ms: 400, work_ms: (9_000, 9_950), ..CALM };
 
 const SENT: &[Step] = &[Step::Sent];
 
-/// Times at which slots have just been taken, whatever was asked last.
-const DIES: &[Step] = &[Step::Sent, Step::Finished, Step::Answered];
+/// Steps at which slots have just been taken.
+const AFTER_SEND: &[Step] = &[Step::Sent, Step::Finished, Step::Answered];
 
 fn overloads(
-    around: Around,
+    conditions: Conditions,
     steps: &[Step],
     faults: &[Fault],
     protections: Protections,
@@ -34,7 +34,7 @@
     for step in steps {
         let faults: Vec<_> = faults.iter().map(|fault| (*step, *fault)).collect();
         for seed in SEEDS {
-            let cell = run_cell_in(around, Kind::Idempotent, &faults, protections, seed);
+            let cell = run_cell_in(conditions, Kind::Idempotent, &faults, protections, seed);
             found.extend(cell.violations);
         }
     }
@@ -42,51 +42,52 @@
     found
 }
 
-/// Answers of a grantor come late, after the entry has asked again: what they grant isn't in the
-/// grantor's books any more, and a worker gets more than it has slots for.
+/// Guards against a late grant that the grantor doesn't count any more.
 #[test]
 fn late_grants_are_dropped() {
-    let off = Protections { fence_grants: false, ..Protections::default() };
-    assert_ne!(overloads(LATE, SENT, &[], off), Vec::<String>::new());
+    let unprotected = Protections { fence_grants: false, ..Protections::default() };
+    assert_ne!(overloads(LATE, SENT, &[], unprotected), Vec::<String>::new());
     assert_eq!(overloads(LATE, SENT, &[], Protections::default()), Vec::<String>::new());
 }
 
-/// The grantor dies, and one entry can't be reached by its successor but goes on sending under its
-/// lease: the successor must not give those slots to others meanwhile.
+/// The grantor dies, and one entry that its successor can't reach keeps sending under its lease.
+/// Guards against granting those slots to others.
 #[test]
 fn a_new_grantor_waits() {
     let faults = [Fault::ShareOwnerKilled, Fault::AsksLost];
-    let off = Protections { await_predecessor_expiry: false, ..Protections::default() };
-    assert_ne!(overloads(BUSY, SENT, &faults, off), Vec::<String>::new());
+    let unprotected = Protections { await_predecessor_expiry: false, ..Protections::default() };
+    assert_ne!(overloads(BUSY, SENT, &faults, unprotected), Vec::<String>::new());
     assert_eq!(overloads(BUSY, SENT, &faults, Protections::default()), Vec::<String>::new());
 }
 
-/// An entry dies with long requests under way, which its workers go on with: their slots must not
-/// be given to others before those have ended.
+/// Guards against granting a dead entry's slots to others before its exchanges have ended.
 #[test]
 fn exchanges_outlast_their_lease() {
     let faults = [Fault::EntryKilled];
-    let off = Protections { await_open_exchanges: false, ..Protections::default() };
-    assert_ne!(overloads(LONG, DIES, &faults, off), Vec::<String>::new());
-    assert_eq!(overloads(LONG, DIES, &faults, Protections::default()), Vec::<String>::new());
+    let unprotected = Protections { await_open_exchanges: false, ..Protections::default() };
+    assert_ne!(overloads(LONG, AFTER_SEND, &faults, unprotected), Vec::<String>::new());
+    assert_eq!(overloads(LONG, AFTER_SEND, &faults, Protections::default()), Vec::<String>::new());
 }
 
-/// The clock of an entry that is cut off from its grantor runs slow, so that it takes its lease for
-/// longer than it is. Within the margin no worker gets too much; far beyond it the checker notices.
+/// The clock of an entry that can't reach its grantor runs slow. Guards against overload within the
+/// drift margin; far beyond it the checker must find a violation.
 #[test]
-fn clocks_run_apart() {
+fn clock_drift() {
     let faults = [Fault::AsksLost];
-    let within = Around { slow_clock_permille: 9, ..BUSY };
+    let within = Conditions { slow_clock_permille: 9, ..BUSY };
     assert_eq!(overloads(within, SENT, &faults, Protections::default()), Vec::<String>::new());
-    let beyond = Around { slow_clock_permille: 700, ..BUSY };
+    let beyond = Conditions { slow_clock_permille: 700, ..BUSY };
     assert_ne!(overloads(beyond, SENT, &faults, Protections::default()), Vec::<String>::new());
 }
 
-/// Everything at once: load, late messages, a dead grantor and a dead entry.
+/// Guards against overload under load, late messages, a dead grantor and a dead entry combined.
 #[test]
-fn all_of_it_together() {
+fn combined_faults() {
     let faults = [Fault::ShareOwnerKilled, Fault::EntryKilled];
-    for around in [BUSY, LATE, LONG] {
-        assert_eq!(overloads(around, SENT, &faults, Protections::default()), Vec::<String>::new());
+    for conditions in [BUSY, LATE, LONG] {
+        assert_eq!(
+            overloads(conditions, SENT, &faults, Protections::default()),
+            Vec::<String>::new()
+        );
     }
 }
--- a/crates/requests/tests/share_shortage.rs
+++ b/crates/requests/tests/share_shortage.rs
@@ -1,4 +1,4 @@
-//! When an entry asks for more shares.
+//! When an entry requests more shares.
 
 use {
     egretlb_requests::{
@@ -83,26 +83,25 @@
     })
 }
 
-/// Steps the entry and grants every ask; returns how many there were.
+/// Steps the entry and grants every share request; returns their number.
 fn step(entry: &mut Entry, now: Time, event: EntryEvent) -> usize {
     let mut events = vec![event];
-    let mut asks = 0;
+    let mut request_count = 0;
     while let Some(event) = events.pop() {
         let mut out = Vec::new();
         entry.step(now, event, &mut out);
         for effect in out {
             if let EntryEffect::RequestShares { request, .. } = effect {
-                asks += 1;
+                request_count += 1;
                 events.push(EntryEvent::SharesGranted { grant: grant(&request) });
             }
         }
     }
-    asks
+    request_count
 }
 
-// A boundary check arrives while the one share for such checks is in use, and a share for filings
-// lies idle. If the idle one counts, no more shares are asked for until the next periodic ask: the
-// surveyor waits for seconds and is refused, although the backend server has slots to spare.
+// The only share for one class is in use while one for another class is idle. Guards against
+// counting the idle share, which would delay the next request for shares by seconds.
 #[test]
 fn other_classes_share_idle() {
     let options = EntryOptions::new(NodeId(1), "dc-1".parse().expect("a valid name"), 1);
@@ -120,11 +119,11 @@
     }
     let busy = start + Duration::from_secs(10);
     step(&mut entry, busy, arrival(1));
-    let mut asks = 0;
-    asks += step(&mut entry, busy + Duration::from_millis(20), arrival(2));
+    let mut request_count = 0;
+    request_count += step(&mut entry, busy + Duration::from_millis(20), arrival(2));
     for tick in 1..=5 {
         let now = busy + Duration::from_millis(20 + 100 * tick);
-        asks += step(&mut entry, now, EntryEvent::Tick);
+        request_count += step(&mut entry, now, EntryEvent::Tick);
     }
-    assert!(asks > 0, "nothing was asked for within half a second");
+    assert!(request_count > 0, "no shares were requested within half a second");
 }
--- a/crates/requests/tests/support/check.rs
+++ b/crates/requests/tests/support/check.rs
@@ -1,4 +1,4 @@
-//! What must hold of every history, whatever happened in it.
+//! Invariants of every history.
 
 use {
     super::world::{Record, World},
@@ -7,7 +7,7 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Everything that went wrong, a line each.
+/// Returns one line per violation.
 pub fn violations(world: &World) -> Vec<String> {
     let mut found = Vec::new();
     for (i, record) in world.requests.iter().enumerate() {
@@ -24,13 +24,12 @@
     found
 }
 
-/// Each caller gets exactly one answer, its own, whole; and in time, unless nobody is left to
-/// give it.
+/// Each caller gets exactly one answer, its own, complete and in time, unless its entry died.
 fn check_answers(world: &World, i: usize, record: &Record, found: &mut Vec<String>) {
     if record.answers.len() > 1 {
         found.push(format!("request {i} got {} answers", record.answers.len()));
     }
-    let lost = record.caller_gone || record.cut_off;
+    let lost = record.caller_gone || record.connection_lost;
     if record.answers.is_empty() && !lost {
         found.push(format!("request {i} never got an answer"));
     }
@@ -59,7 +58,7 @@
     }
 }
 
-/// `Egretlb-Ran` tells the truth.
+/// `Egretlb-Ran` is correct.
 fn check_truth(i: usize, record: &Record, found: &mut Vec<String>) {
     let Some((_, verdict)) = record.answers.first() else { return };
     if verdict.ran() == Ran::No && record.runs > 0 {
@@ -70,7 +69,7 @@
     }
 }
 
-/// What may not run twice runs at most once, over all of its caller's tries.
+/// A non-idempotent request runs at most once over all tries.
 fn check_runs(world: &World, found: &mut Vec<String>) {
     let mut runs: BTreeMap<usize, u32> = BTreeMap::new();
     for record in &world.requests {
--- a/crates/requests/tests/support/faults.rs
+++ b/crates/requests/tests/support/faults.rs
@@ -1,9 +1,9 @@
-//! Faults at steps of one request, and the caller who sends it until it knows the outcome.
+//! Faults at steps of one request, and the caller that retries it until the outcome is known.
 
 use {
     super::{
         check::violations,
-        world::{ClassSetup, Ev, Record, Setup, World},
+        world::{ClassSetup, Record, Setup, SimEvent, World},
     },
     egretlb_requests::{
         Protections, RequestId,
@@ -14,29 +14,29 @@
     std::time::Duration,
 };
 
-macro_rules! listed_enum {
+macro_rules! enum_with_all {
     ($(#[$doc:meta])* $name:ident { $($item:ident),* $(,)? }) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Eq, PartialEq)]
         pub enum $name { $($item),* }
 
         impl $name {
-            /// Every one of them, so that no cell can be forgotten.
+            /// All variants.
             pub const ALL: &[$name] = &[$($name::$item),*];
         }
     };
 }
 
-listed_enum!(
-    /// The steps of a request with a key, in order; others skip those about the key.
+enum_with_all!(
+    /// Steps of a request with a key, in order; other requests skip those of the key.
     Step {
         Arrived, PermitAsked, IntentInLog, PermitGiven, Sent, Running, Finished, Answered,
         Reported, OutcomeInLog,
     }
 );
 
-listed_enum!(
-    /// What happens at a step.
+enum_with_all!(
+    /// A fault injected at a step.
     Fault {
         EntryKilled, EntryPaused, AsksLost, OwnersAnswersLost, ServerKilled, ServerLeaving,
         AnswerLost, AnswerTruncated, AnswerLate, LogDown, LogAnswerLost, KeyOwnerKilled,
@@ -44,8 +44,8 @@
     }
 );
 
-listed_enum!(
-    /// What kind of request meets the fault.
+enum_with_all!(
+    /// Kind of the request that meets the fault.
     Kind { Idempotent, Plain, Keyed }
 );
 
@@ -64,38 +64,38 @@
 }
 
 const PAUSE: Duration = Duration::from_secs(12);
-const CUT: Duration = Duration::from_secs(25);
+const PARTITION: Duration = Duration::from_secs(25);
 const LOG_OUTAGE: Duration = Duration::from_secs(15);
-const DETECTION: Duration = Duration::from_millis(500);
-const TRIES: usize = 30;
+const FAILURE_DETECTION: Duration = Duration::from_millis(500);
+const MAX_TRIES: usize = 30;
 const RACK_OWNER: usize = 0;
 const KEY_OWNER: usize = 1;
 const SUCCESSOR: usize = 2;
-const ACT_SUCCEED_RACKS: u32 = 0;
-const ACT_SUCCEED_KEYS: u32 = 1;
-const ACT_HEAL: u32 = 2;
-const ACT_RESTART_SERVER: u32 = 100;
+const ACTION_SUCCEED_RACKS: u32 = 0;
+const ACTION_SUCCEED_KEYS: u32 = 1;
+const ACTION_HEAL: u32 = 2;
+const ACTION_RESTART_SERVER: u32 = 100;
 
-/// Which faults are to happen to which request.
+/// Faults to inject, and the request that meets them.
 #[derive(Debug, Default)]
-pub struct Plan {
+pub struct FaultPlan {
     target: Option<RequestId>,
     intent: usize,
     faults: Vec<(Step, Fault)>,
     server: usize,
     answer: Option<Fault>,
     tries: usize,
-    pub fired: usize,
+    pub injected: usize,
 }
 
-impl Plan {
-    pub fn note_server(&mut self, request: RequestId, server: usize) {
+impl FaultPlan {
+    pub fn record_server(&mut self, request: RequestId, server: usize) {
         if self.target == Some(request) {
             self.server = server;
         }
     }
 
-    /// What becomes of the answer to `request`: `None` for nothing unusual, `Some(None)` if it is
+    /// Returns what happens to the answer to `request`: `None` for nothing, `Some(None)` if it is
     /// lost, else another result or a delay.
     pub fn take_answer(
         &mut self,
@@ -115,14 +115,14 @@
 }
 
 impl World {
-    /// The target request has come to a step.
+    /// Injects the faults that are planned for this step of the target request.
     pub fn step(&mut self, step: Step, request: RequestId) {
         if self.plan.target != Some(request) {
             return;
         }
         while let Some(due) = self.plan.faults.iter().position(|(at, _)| *at == step) {
             let (_, fault) = self.plan.faults.remove(due);
-            self.plan.fired += 1;
+            self.plan.injected += 1;
             self.inject(fault, request);
         }
     }
@@ -134,19 +134,19 @@
             Fault::EntryKilled => self.kill_entry(entry),
             Fault::EntryPaused => self.entries[entry].paused_until = self.now + PAUSE,
             Fault::AsksLost => {
-                self.cut_to.extend((0..3).map(|s| (entry, s)));
-                self.at(self.now + CUT, Ev::Act(ACT_HEAL));
+                self.blocked_to_owner.extend((0..3).map(|s| (entry, s)));
+                self.at(self.now + PARTITION, SimEvent::RunAction(ACTION_HEAL));
             }
             Fault::OwnersAnswersLost => {
-                self.cut_from.extend((0..3).map(|s| (entry, s)));
-                self.at(self.now + CUT, Ev::Act(ACT_HEAL));
+                self.blocked_from_owner.extend((0..3).map(|s| (entry, s)));
+                self.at(self.now + PARTITION, SimEvent::RunAction(ACTION_HEAL));
             }
             Fault::ServerKilled => {
                 self.kill_server(server);
-                let restart = ACT_RESTART_SERVER + server as u32;
-                self.at(self.now + Duration::from_secs(5), Ev::Act(restart));
+                let restart = ACTION_RESTART_SERVER + server as u32;
+                self.at(self.now + Duration::from_secs(5), SimEvent::RunAction(restart));
             }
-            Fault::ServerLeaving => self.server_leaves(server),
+            Fault::ServerLeaving => self.start_draining(server),
             Fault::AnswerLost | Fault::AnswerTruncated | Fault::AnswerLate => {
                 self.plan.answer = Some(fault);
             }
@@ -154,47 +154,47 @@
             Fault::LogAnswerLost => self.log.lose_answers = 1,
             Fault::KeyOwnerKilled => {
                 self.schedulers[KEY_OWNER].alive = false;
-                self.at(self.now + DETECTION, Ev::Act(ACT_SUCCEED_KEYS));
+                self.at(self.now + FAILURE_DETECTION, SimEvent::RunAction(ACTION_SUCCEED_KEYS));
             }
             Fault::KeyOwnerPaused => {
                 self.schedulers[KEY_OWNER].paused_until = self.now + PAUSE;
-                self.at(self.now + DETECTION, Ev::Act(ACT_SUCCEED_KEYS));
+                self.at(self.now + FAILURE_DETECTION, SimEvent::RunAction(ACTION_SUCCEED_KEYS));
             }
             Fault::ShareOwnerKilled => {
                 self.schedulers[RACK_OWNER].alive = false;
-                self.at(self.now + DETECTION, Ev::Act(ACT_SUCCEED_RACKS));
+                self.at(self.now + FAILURE_DETECTION, SimEvent::RunAction(ACTION_SUCCEED_RACKS));
             }
             Fault::CallerGone => {
                 self.requests[request.0 as usize].caller_gone = true;
-                self.tell(entry, EntryEvent::CallerGone { request });
-                self.caller_next(request);
+                self.send_to(entry, EntryEvent::CallerGone { request });
+                self.caller_retry(request);
             }
         }
     }
 
-    /// The server says so itself at once; the platform's list and the rack's owner a while later.
-    fn server_leaves(&mut self, server: usize) {
-        self.servers[server].leaving = true;
+    /// The server starts to decline requests; the rack's owner is informed at once.
+    fn start_draining(&mut self, server: usize) {
+        self.servers[server].draining = true;
         self.vms[server].state = VmState::Leaving;
         let shard = shard_of_rack(&self.vms[server].rack);
-        self.tell_servers(shard);
+        self.send_server_list(shard);
     }
 
-    pub fn act(&mut self, number: u32) {
+    pub fn run_action(&mut self, number: u32) {
         match number {
-            ACT_SUCCEED_RACKS => self.succeed(RACK_OWNER, SUCCESSOR),
-            ACT_SUCCEED_KEYS => self.succeed(KEY_OWNER, SUCCESSOR),
-            ACT_HEAL => {
-                self.cut_to.clear();
-                self.cut_from.clear();
+            ACTION_SUCCEED_RACKS => self.transfer_shards(RACK_OWNER, SUCCESSOR),
+            ACTION_SUCCEED_KEYS => self.transfer_shards(KEY_OWNER, SUCCESSOR),
+            ACTION_HEAL => {
+                self.blocked_to_owner.clear();
+                self.blocked_from_owner.clear();
             }
-            _ => self.servers[(number - ACT_RESTART_SERVER) as usize].alive = true,
+            _ => self.servers[(number - ACTION_RESTART_SERVER) as usize].alive = true,
         }
     }
 
-    /// What the caller of the target does next: asks again, through another entry, as long as it
-    /// was told that it may or doesn't know what became of it.
-    pub fn caller_next(&mut self, id: RequestId) {
+    /// Retries the target request through another entry, if it was refused, or its outcome is
+    /// unknown and it may be sent again.
+    pub fn caller_retry(&mut self, id: RequestId) {
         let record = self.requests[id.0 as usize].clone();
         if self.plan.target.is_none() || record.intent != self.plan.intent {
             return;
@@ -209,7 +209,7 @@
             Some(Verdict::Error { .. }) | None if repeatable => Duration::from_secs(2),
             _ => return,
         };
-        if self.plan.tries >= TRIES || self.now > end() {
+        if self.plan.tries >= MAX_TRIES || self.now > end() {
             return;
         }
         let entry = (record.entry + 1) % self.setup.entries;
@@ -220,65 +220,65 @@
             runs: 0,
             sends: 0,
             caller_gone: false,
-            cut_off: false,
+            connection_lost: false,
             ..record
         };
         self.request(self.now + wait, next);
     }
 }
 
-/// When callers of a cell stop asking.
+/// When callers of a cell stop retrying.
 fn end() -> Time {
     Time::from_secs(160)
 }
 
-/// What one cell of the matrix came to.
+/// Result of one cell of the matrix.
 #[derive(Clone, Debug)]
 pub struct Cell {
     pub kind: Kind,
     pub faults: Vec<(Step, Fault)>,
-    /// The answer to the request that met the fault.
+    /// Answer to the request that met the fault.
     pub first: String,
-    /// The last answer that the caller got.
+    /// Last answer that the caller got.
     pub last: String,
     pub tries: usize,
     pub runs: u32,
-    pub fired: bool,
-    /// Whether each `Egretlb-Ran: no` and `yes` was true.
+    pub injected: bool,
+    /// Whether every `Egretlb-Ran: no` and `yes` was correct.
     pub truthful: bool,
     pub violations: Vec<String>,
 }
 
-/// What goes on around the request that meets the fault.
+/// Conditions under which the fault is injected.
 #[derive(Clone, Copy, Debug)]
-pub struct Around {
-    /// How much longer messages between entries and owners may take.
+pub struct Conditions {
+    /// Maximum extra delay of messages between entries and owners.
     pub jitter: Duration,
-    /// The longest time between two other requests, in milliseconds.
+    /// Maximum time between two other requests, in milliseconds.
     pub gap_ms: u64,
-    /// What the other requests take, in milliseconds.
+    /// Range of the other requests' work, in milliseconds.
     pub work_ms: (u64, u64),
     /// How much slower the first entry's clock runs than all others, in thousandths.
     pub slow_clock_permille: i64,
 }
 
-/// Light load, a network that behaves.
-pub const CALM: Around =
-    Around { jitter: Duration::ZERO, gap_ms: 60, work_ms: (60, 240), slow_clock_permille: 0 };
+/// Light load and no extra delays.
+pub const CALM: Conditions =
+    Conditions { jitter: Duration::ZERO, gap_ms: 60, work_ms: (60, 240), slow_clock_permille: 0 };
 
-/// Runs one request of `kind` that meets `faults`, among some others.
+/// Runs one request of `kind` that meets `faults`, among other requests.
 pub fn run_cell(kind: Kind, faults: &[(Step, Fault)], protections: Protections, seed: u64) -> Cell {
     run_cell_in(CALM, kind, faults, protections, seed)
 }
 
 pub fn run_cell_in(
-    around: Around,
+    conditions: Conditions,
     kind: Kind,
     faults: &[(Step, Fault)],
     protections: Protections,
     seed: u64,
 ) -> Cell {
-    let mut world = start_cell(around, kind, faults, protections, seed);
+    let mut world = start_cell(conditions, kind, faults, protections, seed);
     world.run_until(end() + Duration::from_secs(40));
     let violations = violations(&world);
     let tries = || world.requests.iter().filter(|record| record.intent == 1_000_000);
@@ -286,28 +286,31 @@
     Cell {
         kind,
         faults: faults.to_vec(),
-        first: tries().next().map(told).unwrap_or_default(),
-        last: tries().rfind(|record| !told(record).is_empty()).map(told).unwrap_or_default(),
+        first: tries().next().map(describe_answer).unwrap_or_default(),
+        last: tries()
+            .rfind(|record| !describe_answer(record).is_empty())
+            .map(describe_answer)
+            .unwrap_or_default(),
         tries: tries().count(),
         runs: tries().map(|record| record.runs).sum(),
-        fired: world.plan.fired > 0,
+        injected: world.plan.injected > 0,
         truthful,
         violations,
     }
 }
 
-/// The world of a cell before anything happens.
+/// The world of a cell before any event.
 pub fn start_cell(
-    around: Around,
+    conditions: Conditions,
     kind: Kind,
     faults: &[(Step, Fault)],
     protections: Protections,
     seed: u64,
 ) -> World {
     let mut world = World::new(small_setup(protections, seed));
-    world.jitter = around.jitter;
-    world.entries[0].clock_permille = -around.slow_clock_permille;
-    background(&mut world, around);
+    world.jitter = conditions.jitter;
+    world.entries[0].clock_permille = -conditions.slow_clock_permille;
+    background(&mut world, conditions);
     let start = Time::from_secs(102);
     let target = world.request(start, record(&mut world_rng(seed), kind, 1_000_000, start, 0));
     world.plan.target = Some(target);
@@ -316,11 +319,11 @@
     world
 }
 
-/// What a caller was told, in a word or two.
-fn told(record: &Record) -> String {
+/// Short description of a caller's answer.
+fn describe_answer(record: &Record) -> String {
     match record.answers.first().map(|(_, verdict)| verdict) {
         None if record.caller_gone => "caller gone".into(),
-        None if record.cut_off => "connection cut".into(),
+        None if record.connection_lost => "connection cut".into(),
         None => "nothing".into(),
         Some(Verdict::Forward { .. }) => "answer".into(),
         Some(Verdict::Recorded(_)) => "recorded answer".into(),
@@ -345,7 +348,7 @@
         servers: 4,
         slots: 2,
         connections: 4,
-        per_rack: 2,
+        servers_per_rack: 2,
         data_centres: 2,
         classes: vec![class("check", "andina", true), class("filing", "kelani", false)],
         order: QueueOrder::default(),
@@ -380,25 +383,25 @@
         runs: 0,
         sends: 0,
         caller_gone: false,
-        cut_off: false,
+        connection_lost: false,
     }
 }
 
-/// Other callers' requests of each kind, for a while before and after the fault.
-fn background(world: &mut World, around: Around) {
+/// Schedules other callers' requests of each kind before and after the fault.
+fn background(world: &mut World, conditions: Conditions) {
     let mut rng = world_rng(world.setup.seed ^ 1);
     let mut at = Time::from_secs(101);
     for intent in 0.. {
-        at = at + Duration::from_millis(rng.random_range(1..around.gap_ms));
+        at = at + Duration::from_millis(rng.random_range(1..conditions.gap_ms));
         if at > Time::from_secs(130) {
             return;
         }
         let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
         let entry = rng.random_range(0..world.setup.entries);
         let mut other = record(&mut rng, kind, intent, at, entry);
-        let (least, most) = around.work_ms;
-        other.work = Duration::from_millis(rng.random_range(least..most));
-        // Long work is for callers who wait for it.
+        let (min_ms, max_ms) = conditions.work_ms;
+        other.work = Duration::from_millis(rng.random_range(min_ms..max_ms));
+        // Long requests have no deadline.
         if other.work > Duration::from_secs(1) {
             other.deadline = None;
         }
--- a/crates/requests/tests/support/load.rs
+++ b/crates/requests/tests/support/load.rs
@@ -1,4 +1,4 @@
-//! Loads: who sends how much when, the same for egretlb and the baseline.
+//! Loads that are the same for egretlb and the baseline.
 
 use {
     super::{
@@ -20,16 +20,16 @@
 
 /// One request of a load.
 #[derive(Clone, Copy, Debug)]
-pub struct Job {
+pub struct LoadRequest {
     pub class: usize,
-    /// After the start of the load.
+    /// Time after the start of the load.
     pub at: Duration,
-    /// What it takes at a server of ordinary speed.
+    /// Work at a server of normal speed.
     pub work: Duration,
     pub entry: usize,
 }
 
-impl Job {
+impl LoadRequest {
     pub fn sample(&self) -> Sample {
         Sample {
             class: self.class,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Requests of one class at one rate for a while.
+/// Requests of one class at a constant rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Stream {
     pub class: usize,
@@ -52,11 +52,11 @@
     pub mean_work_ms: f64,
 }
 
-/// Draws the arrivals of all streams: Poisson, each at an entry drawn by the platform's balancer,
-/// with work of an Erlang distribution of four stages, whose p99 is two and a half times its mean.
-pub fn jobs(streams: &[Stream], entries: usize, seed: u64) -> Vec<Job> {
+/// Generates the arrivals of all streams: Poisson, each at a random entry, with Erlang-4
+/// distributed work, whose p99 is two and a half times its mean.
+pub fn load_requests(streams: &[Stream], entries: usize, seed: u64) -> Vec<LoadRequest> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut jobs = Vec::new();
+    let mut load_requests = Vec::new();
     for stream in streams {
         let mut at = stream.from_ms as f64 / 1_000.0;
         loop {
@@ -68,31 +68,31 @@
             let work = Duration::from_secs_f64(stages / 4.0 * stream.mean_work_ms / 1_000.0);
             let entry = rng.random_range(0..entries);
             let at = Duration::from_secs_f64(at);
-            jobs.push(Job { class: stream.class, at, work, entry });
+            load_requests.push(LoadRequest { class: stream.class, at, work, entry });
         }
     }
-    jobs.sort_by_key(|job| job.at);
-    jobs
+    load_requests.sort_by_key(|load_request| load_request.at);
+    load_requests
 }
 
 fn exponential(rng: &mut SmallRng) -> f64 {
     -(1.0 - rng.random::<f64>()).ln()
 }
 
-/// A site of the co-operative.
+/// Size of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
     pub servers: usize,
-    pub per_rack: usize,
+    pub servers_per_rack: usize,
     pub entries: usize,
 }
 
 pub const SLOTS: u16 = 8;
-pub const BOGOTA: Site = Site { servers: 65, per_rack: 8, entries: 9 };
-pub const SRI_LANKA: Site = Site { servers: 50, per_rack: 6, entries: 8 };
+pub const BOGOTA: Site = Site { servers: 65, servers_per_rack: 8, entries: 9 };
+pub const SRI_LANKA: Site = Site { servers: 50, servers_per_rack: 6, entries: 8 };
 
 impl Site {
-    /// Requests a second that the servers can work off.
+    /// Requests per second that the servers can process.
     pub fn capacity(&self, mean_work_ms: f64) -> f64 {
         self.servers as f64 * f64::from(SLOTS) / mean_work_ms * 1_000.0
     }
@@ -104,7 +104,7 @@
             servers: self.servers,
             slots: SLOTS,
             connections: 64,
-            per_rack: self.per_rack,
+            servers_per_rack: self.servers_per_rack,
             data_centres: 4,
             classes: classes.to_vec(),
             order,
@@ -114,18 +114,19 @@
     }
 }
 
-/// What both ways did with one load.
+/// Results of egretlb and the baseline for one load.
 pub struct Runs {
-    pub ours: Vec<Sample>,
-    pub plain: Vec<Sample>,
+    pub egretlb: Vec<Sample>,
+    pub baseline: Vec<Sample>,
     pub targets: Vec<Duration>,
     pub peak: usize,
     pub messages: u64,
-    /// Bytes a second and entry for asking for shares and granting them.
+    /// Bytes per second and entry for share requests and grants.
     pub share_bytes: f64,
 }
 
-/// Runs the load through entries and through the baseline. `slow` holds factors of slow servers.
+/// Runs the load through entries and through the baseline. `slow` holds the slowdown of slow
+/// servers.
 pub fn run(
     site: Site,
     classes: &[ClassSetup],
@@ -137,8 +138,8 @@
     run_on(site, classes, streams, slow, order, seed, usize::MAX)
 }
 
-/// The same on servers that thrash with more than `thrashes_above` requests at once; the baseline
-/// doesn't know that.
+/// The same on servers that thrash above `thrashes_above` concurrent requests; those of the
+/// baseline don't.
 pub fn run_on(
     site: Site,
     classes: &[ClassSetup],
@@ -148,7 +149,7 @@
     seed: u64,
     thrashes_above: usize,
 ) -> Runs {
-    let jobs = jobs(streams, site.entries, seed);
+    let load_requests = load_requests(streams, site.entries, seed);
     let targets: Vec<Duration> = classes.iter().map(|class| class.target).collect();
     let mut factors = vec![1.0; site.servers];
     for (server, factor) in slow {
@@ -162,55 +163,59 @@
         server.thrashes_above = thrashes_above;
     }
     let start = world.now + WARM_UP;
-    for (i, job) in jobs.iter().enumerate() {
-        world.request(start + job.at, record(i, job, start));
+    for (i, load_request) in load_requests.iter().enumerate() {
+        world.request(start + load_request.at, record(i, load_request, start));
     }
-    let last = jobs.last().map_or(Duration::ZERO, |job| job.at);
+    let last = load_requests.last().map_or(Duration::ZERO, |load_request| load_request.at);
     world.run_until(start + last + Duration::from_secs(15));
-    let ours = jobs.iter().zip(&world.requests).map(|(job, record)| seen(job, record)).collect();
-    let plain = baseline::run(&jobs, &targets, usize::from(SLOTS), &factors);
+    let egretlb = load_requests
+        .iter()
+        .zip(&world.requests)
+        .map(|(load_request, record)| sample_of(load_request, record))
+        .collect();
+    let baseline = baseline::run(&load_requests, &targets, usize::from(SLOTS), &factors);
     let peak = world.servers.iter().map(|server| server.peak).max().unwrap_or(0);
     let seconds = (last + Duration::from_secs(17)).as_secs_f64() * site.entries as f64;
     let share_bytes = world.share_bytes as f64 / seconds;
-    Runs { ours, plain, targets, peak, messages: world.messages, share_bytes }
+    Runs { egretlb, baseline, targets, peak, messages: world.messages, share_bytes }
 }
 
-pub fn record(i: usize, job: &Job, start: Time) -> Record {
+pub fn record(i: usize, load_request: &LoadRequest, start: Time) -> Record {
     Record {
-        class: job.class,
-        arrived: start + job.at,
-        work: job.work,
+        class: load_request.class,
+        arrived: start + load_request.at,
+        work: load_request.work,
         deadline: None,
         key: None,
         intent: i,
-        entry: job.entry,
+        entry: load_request.entry,
         incarnation: 0,
         answers: Vec::new(),
         runs: 0,
         sends: 0,
         caller_gone: false,
-        cut_off: false,
+        connection_lost: false,
     }
 }
 
-fn seen(job: &Job, record: &Record) -> Sample {
+fn sample_of(load_request: &LoadRequest, record: &Record) -> Sample {
     let (at, verdict) = record.answers.first().expect("every request gets an answer");
     Sample {
         took: at.since(record.arrived),
         answered: matches!(verdict, Verdict::Forward { .. }),
         sends: record.sends,
-        ..job.sample()
+        ..load_request.sample()
     }
 }
 
 impl Runs {
-    /// The outcome of one class's requests that arrived in a stretch of time.
-    pub fn ours(&self, class: usize, arrived_ms: Range<u64>) -> Outcome {
-        select(&self.ours, class, arrived_ms, self.targets[class])
+    /// Outcome of one class's requests that arrived in a time range.
+    pub fn egretlb(&self, class: usize, arrived_ms: Range<u64>) -> Outcome {
+        select(&self.egretlb, class, arrived_ms, self.targets[class])
     }
 
-    pub fn plain(&self, class: usize, arrived_ms: Range<u64>) -> Outcome {
-        select(&self.plain, class, arrived_ms, self.targets[class])
+    pub fn baseline(&self, class: usize, arrived_ms: Range<u64>) -> Outcome {
+        select(&self.baseline, class, arrived_ms, self.targets[class])
     }
 }
 
--- a/crates/requests/tests/support/matrix.rs
+++ b/crates/requests/tests/support/matrix.rs
@@ -1,4 +1,4 @@
-//! The fault matrix: all cells, run on some threads, and their table.
+//! The fault matrix: all cells, run in parallel, and their table.
 
 use {
     super::faults::{Cell, Fault, Kind, Step, run_cell},
@@ -74,10 +74,10 @@
     text
 }
 
-/// The seed of the committed page.
+/// Seed of the committed page.
 pub const SEED: u64 = 11;
 
-/// The page of the cells for the docs.
+/// The docs page of the cells.
 pub fn page(cells: &[Cell]) -> String {
     let broken = cells.iter().filter(|cell| !cell.violations.is_empty()).count();
     format!(
--- a/crates/requests/tests/support/mod.rs
+++ b/crates/requests/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A small world in virtual time in which the reducers exchange messages: entries, the owners of
-//! racks and keys, a log, and backend servers that are a queue and some slots.
+//! Simulation in virtual time: entries, the owners of racks and keys, a log, and backend servers
+//! with slots and a queue.
 //!
-//! Everything random comes from one seed, so a run repeats exactly.
+//! All randomness comes from one seed, so runs are deterministic.
 
 #![allow(dead_code, missing_docs)]
 
--- a/crates/requests/tests/support/owners.rs
+++ b/crates/requests/tests/support/owners.rs
@@ -1,5 +1,5 @@
-//! Schedulers as far as the request path needs them: the owners of rack shards and key shards,
-//! their authority, and the log that keeps their journals.
+//! Simulated schedulers: the owners of rack and key shards, their authority, and the log of their
+//! journals.
 
 use {
     egretlb_requests::{
@@ -16,7 +16,7 @@
 /// How long authority lasts after a read of the control stream was sent.
 pub const AUTHORITY: Duration = Duration::from_secs(3);
 
-/// What a process may do, by its own reading of the control stream.
+/// Shards that a scheduler owns according to the control stream.
 #[derive(Clone, Debug, Default)]
 pub struct Held {
     pub shards: BTreeMap<ShardId, Epoch>,
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct Scheduler {
     pub node: NodeId,
-    pub book: ShareTable,
+    pub shares: ShareTable,
     pub keys: KeyTable,
     pub held: Held,
     pub alive: bool,
@@ -46,7 +46,7 @@
     pub fn new(node: NodeId, protections: Protections) -> Self {
         Scheduler {
             node,
-            book: ShareTable::with_protections(protections),
+            shares: ShareTable::with_protections(protections),
             keys: KeyTable::with_protections(protections),
             held: Held::default(),
             alive: true,
@@ -55,7 +55,7 @@
     }
 }
 
-/// An append on its way.
+/// An append that isn't confirmed yet.
 #[derive(Clone, Debug)]
 pub struct Append {
     pub scheduler: usize,
@@ -65,12 +65,12 @@
     pub ticket: Ticket,
 }
 
-/// The platform's log: what was appended, in order, once for each writer and ticket.
+/// The platform's log; an append is stored once per scheduler and ticket.
 #[derive(Debug, Default)]
 pub struct Log {
     pub down_until: Time,
     pub lose_answers: u32,
-    seen: BTreeSet<(usize, Ticket)>,
+    appended: BTreeSet<(usize, Ticket)>,
     entries: BTreeMap<ShardId, Vec<(Epoch, KeyJournalEntry)>>,
     snapshots: BTreeMap<ShardId, (Epoch, KeySnapshot)>,
 }
@@ -80,23 +80,23 @@
         now >= self.down_until
     }
 
-    /// Appends; a second append of the same record changes nothing.
+    /// Appends an entry; a repeated append has no effect.
     pub fn append(&mut self, append: &Append) {
         let fenced = self.snapshots.get(&append.shard).is_some_and(|(e, _)| *e > append.epoch);
-        if !fenced && self.seen.insert((append.scheduler, append.ticket)) {
+        if !fenced && self.appended.insert((append.scheduler, append.ticket)) {
             let entries = self.entries.entry(append.shard).or_default();
             entries.push((append.epoch, append.entry.clone()));
         }
     }
 
-    /// What a successor folds before it owns the shard.
+    /// Returns what a new owner restores and replays.
     pub fn read(&self, shard: ShardId) -> (Option<KeySnapshot>, Vec<KeyJournalEntry>) {
         let snapshot = self.snapshots.get(&shard).map(|(_, snapshot)| snapshot.clone());
         let entries = self.entries.get(&shard).into_iter().flatten();
         (snapshot, entries.map(|(_, entry)| entry.clone()).collect())
     }
 
-    /// The successor's first record: what came before it is void.
+    /// Stores a new owner's snapshot, which replaces all earlier entries.
     pub fn snapshot(&mut self, shard: ShardId, epoch: Epoch, snapshot: KeySnapshot) {
         self.snapshots.insert(shard, (epoch, snapshot));
         self.entries.remove(&shard);
--- a/crates/requests/tests/support/servers.rs
+++ b/crates/requests/tests/support/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers: some slots, and a queue for what is sent beyond them.
+//! Simulated backend servers: slots, and a queue for requests beyond them.
 
 use {
     egretlb_requests::{AttemptId, RequestId},
@@ -12,7 +12,7 @@
     pub request: RequestId,
     pub attempt: AttemptId,
     pub entry: usize,
-    /// Which incarnation of the entry waits for the answer.
+    /// Incarnation of the entry that waits for the answer.
     pub incarnation: u32,
     pub work: Duration,
 }
@@ -22,21 +22,21 @@
     pub vm: VmId,
     pub slots: usize,
     pub alive: bool,
-    pub leaving: bool,
-    /// Every answer is cut off.
-    pub truncates: bool,
-    /// How many times longer than elsewhere everything takes.
+    pub draining: bool,
+    /// Whether every answer is truncated.
+    pub truncates_answers: bool,
+    /// Slowdown compared with a normal server.
     pub slow: f64,
-    /// With more at once than this, everything takes longer: by the square of the excess.
+    /// Above this concurrency all work slows down by the square of the excess.
     pub thrashes_above: usize,
     pub running: Vec<Run>,
     pub queue: VecDeque<Run>,
-    /// Requests that it began to work on.
+    /// Number of requests started.
     pub started: u64,
-    /// The most that was ever there at once.
+    /// Maximum number of requests running and queued at once.
     pub peak: usize,
-    /// Grows with each restart: an end of an earlier life is void.
-    pub life: u32,
+    /// Increases with each kill; runs of an earlier generation are ignored.
+    pub generation: u32,
 }
 
 impl Server {
@@ -45,19 +45,19 @@
             vm,
             slots,
             alive: true,
-            leaving: false,
-            truncates: false,
+            draining: false,
+            truncates_answers: false,
             slow: 1.0,
             thrashes_above: usize::MAX,
             running: Vec::new(),
             queue: VecDeque::new(),
             started: 0,
             peak: 0,
-            life: 0,
+            generation: 0,
         }
     }
 
-    /// Takes a request; returns it if it runs at once.
+    /// Accepts a request; returns it if it starts at once.
     pub fn receive(&mut self, run: Run) -> Option<Run> {
         self.peak = self.peak.max(self.running.len() + self.queue.len() + 1);
         if self.running.len() < self.slots {
@@ -68,7 +68,7 @@
         None
     }
 
-    /// Ends a run; returns the next one if one waited.
+    /// Ends a run; returns the queued one that starts next.
     pub fn finish(&mut self, run: &Run) -> Option<Run> {
         self.running.retain(|other| other != run);
         let next = self.queue.pop_front()?;
@@ -81,10 +81,10 @@
         work.mul_f64(self.slow * excess.max(1.0).powi(2))
     }
 
-    /// The process dies with all it holds; returns what was there.
+    /// Kills the process; returns the runs that are lost.
     pub fn kill(&mut self) -> Vec<Run> {
         self.alive = false;
-        self.life += 1;
+        self.generation += 1;
         let mut lost = std::mem::take(&mut self.running);
         lost.extend(std::mem::take(&mut self.queue));
         lost
--- a/crates/requests/tests/support/stats.rs
+++ b/crates/requests/tests/support/stats.rs
@@ -1,32 +1,32 @@
-//! What callers saw, in figures.
+//! Statistics of callers' latencies and refusals.
 
 use std::time::Duration;
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
     pub class: usize,
     pub arrived_ms: u64,
-    /// When it was answered or refused, after its arrival.
+    /// Time from arrival to the answer or refusal.
     pub took: Duration,
     pub answered: bool,
     pub sends: u32,
 }
 
-/// The outcome for the callers of some requests.
+/// Statistics of a set of requests.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub requests: usize,
     pub p50: Duration,
     pub p99: Duration,
     pub p999: Duration,
-    /// Answered within the target, of all.
+    /// Fraction of all requests that were answered within the target.
     pub within: f64,
-    /// Answered within the target.
+    /// Number of requests that were answered within the target.
     pub good: usize,
     pub refused: f64,
     pub refusal_p99: Duration,
-    /// Sendings beyond the first, against first sendings.
+    /// Attempts beyond the first, as a fraction of first attempts.
     pub extra: f64,
 }
 
--- a/crates/requests/tests/support/world/mod.rs
+++ b/crates/requests/tests/support/world/mod.rs
@@ -1,8 +1,8 @@
-//! The world: time, messages, and the parts that exchange them.
+//! The simulated world: time, messages and the processes that exchange them.
 
 use {
     super::{
-        faults::{Plan, Step},
+        faults::{FaultPlan, Step},
         owners::{AUTHORITY, Append, Held, Log, Scheduler},
         servers::{Run, Server},
     },
@@ -27,11 +27,11 @@
 };
 
 const TICK: Duration = Duration::from_millis(100);
-const LOG_HALF: Duration = Duration::from_millis(10);
-const LOG_AGAIN: Duration = Duration::from_millis(200);
-const CONTROL_READ: Duration = Duration::from_secs(1);
+const LOG_DELAY: Duration = Duration::from_millis(10);
+const LOG_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+const MAX_CONTROL_READ_DELAY: Duration = Duration::from_secs(1);
 
-/// One class of the world's configuration.
+/// One class of the configuration.
 #[derive(Clone, Debug)]
 pub struct ClassSetup {
     pub name: &'static str,
@@ -40,7 +40,7 @@
     pub idempotent: bool,
 }
 
-/// The sizes of a world.
+/// Parameters of a world.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub entries: usize,
@@ -48,7 +48,7 @@
     pub servers: usize,
     pub slots: u16,
     pub connections: u16,
-    pub per_rack: usize,
+    pub servers_per_rack: usize,
     pub data_centres: usize,
     pub classes: Vec<ClassSetup>,
     pub order: QueueOrder,
@@ -56,7 +56,7 @@
     pub seed: u64,
 }
 
-/// One request as the checker sees it.
+/// History of one request for the checker.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub class: usize,
@@ -64,7 +64,7 @@
     pub work: Duration,
     pub deadline: Option<Duration>,
     pub key: Option<RequestKey>,
-    /// Which request of a caller this is a try of.
+    /// Id of the caller's request that this is a try of.
     pub intent: usize,
     pub entry: usize,
     pub incarnation: u32,
@@ -72,8 +72,8 @@
     pub runs: u32,
     pub sends: u32,
     pub caller_gone: bool,
-    /// The caller's connection broke, since the entry died.
-    pub cut_off: bool,
+    /// Whether the caller's connection broke because the entry died.
+    pub connection_lost: bool,
 }
 
 pub struct EntrySim {
@@ -82,7 +82,7 @@
     pub alive: bool,
     pub incarnation: u32,
     pub paused_until: Time,
-    /// Exchanges whose end the runtime still owes.
+    /// Open exchanges whose end hasn't been reported to the entry.
     pub open: HashMap<AttemptId, Run>,
     woken_at: Option<Time>,
     pub drained: bool,
@@ -91,26 +91,26 @@
 }
 
 #[derive(Debug)]
-pub enum Ev {
+pub enum SimEvent {
     Arrive(RequestId),
     ToEntry(usize, u32, Box<EntryEvent>),
     Tick(usize, u32),
     Wake(usize, u32),
     AttemptTimeout(usize, u32, AttemptId),
-    Recv(usize, Run),
-    Back(Run, AttemptResult),
-    Ran(usize, u32, Run),
+    ServerReceives(usize, Run),
+    ResultArrives(Run, AttemptResult),
+    RunFinished(usize, u32, Run),
     ToShares(usize, usize, ShareTableEvent),
     ToKeys(usize, usize, KeyTableEvent),
-    SchedTick(usize),
+    SchedulerTick(usize),
     LogApply(Append),
     LogAck(Append),
-    Own(usize, ShardId, Epoch),
+    TakeOwnership(usize, ShardId, Epoch),
     Restart(usize),
-    Act(u32),
+    RunAction(u32),
 }
 
-struct Due(Time, u64, Ev);
+struct Due(Time, u64, SimEvent);
 
 impl PartialEq for Due {
     fn eq(&self, other: &Self) -> bool {
@@ -129,25 +129,25 @@
     }
 }
 
-/// When every clock showed the same.
-const CLOCKS_SET: u64 = 100_000_000;
+/// When all clocks showed the same time, in microseconds.
+const CLOCK_SYNC_MICROS: u64 = 100_000_000;
 
 impl EntrySim {
-    /// What the entry's own clock shows.
+    /// Time on the entry's own clock.
     pub fn clock(&self, now: Time) -> Time {
         scaled(now, 1_000 + self.clock_permille, 1_000)
     }
 
-    /// When the entry's clock shows `at`, rounded up.
+    /// World time when the entry's clock shows `at`, rounded up.
     pub fn world_time(&self, at: Time) -> Time {
         let time = scaled(at, 1_000, 1_000 + self.clock_permille);
         if self.clock_permille == 0 { time } else { time + Duration::from_micros(1) }
     }
 }
 
-fn scaled(time: Time, times: i64, over: i64) -> Time {
-    let since = time.as_micros() as i64 - CLOCKS_SET as i64;
-    Time::from_micros((CLOCKS_SET as i64 + since * times / over) as u64)
+fn scaled(time: Time, numerator: i64, denominator: i64) -> Time {
+    let since = time.as_micros() as i64 - CLOCK_SYNC_MICROS as i64;
+    Time::from_micros((CLOCK_SYNC_MICROS as i64 + since * numerator / denominator) as u64)
 }
 
 pub struct World {
@@ -165,18 +165,18 @@
     pub owners: BTreeMap<ShardId, (usize, Epoch)>,
     pub config: Arc<ConfigDocument>,
     pub requests: Vec<Record>,
-    /// Messages from an entry to a scheduler that get lost, and those the other way.
-    pub cut_to: BTreeSet<(usize, usize)>,
-    pub cut_from: BTreeSet<(usize, usize)>,
-    pub plan: Plan,
-    /// Whose sending each attempt of each entry's incarnation was.
+    /// Pairs of entry and scheduler whose messages are lost, for each direction.
+    pub blocked_to_owner: BTreeSet<(usize, usize)>,
+    pub blocked_from_owner: BTreeSet<(usize, usize)>,
+    pub plan: FaultPlan,
+    /// Request of each attempt, by entry and incarnation.
     pub sent: HashMap<(usize, u32, AttemptId), RequestId>,
-    /// Those whose answer was cut off.
+    /// Attempts whose answer was truncated.
     pub truncated: BTreeSet<(usize, u32, AttemptId)>,
-    /// How much longer messages between entries and owners may take.
+    /// Maximum extra delay of messages between entries and owners.
     pub jitter: Duration,
     pub messages: u64,
-    /// What the asks for shares and their answers take, encoded.
+    /// Encoded size of all share requests and grants, in bytes.
     pub share_bytes: u64,
 }
 
@@ -196,9 +196,9 @@
             owners: BTreeMap::new(),
             config: Arc::new(document(&setup.classes)),
             requests: Vec::new(),
-            cut_to: BTreeSet::new(),
-            cut_from: BTreeSet::new(),
-            plan: Plan::default(),
+            blocked_to_owner: BTreeSet::new(),
+            blocked_from_owner: BTreeSet::new(),
+            plan: FaultPlan::default(),
             sent: HashMap::new(),
             truncated: BTreeSet::new(),
             jitter: Duration::ZERO,
@@ -213,7 +213,7 @@
     fn build(&mut self) {
         for i in 0..self.setup.servers {
             let vm: VmId = format!("vm-{i}").parse().unwrap();
-            let rack = format!("rack-{}", i / self.setup.per_rack);
+            let rack = format!("rack-{}", i / self.setup.servers_per_rack);
             let dc = format!("dc-{}", i % self.setup.data_centres);
             self.vms.push(VmRecord {
                 vm: vm.clone(),
@@ -231,20 +231,20 @@
         for i in 0..self.setup.schedulers {
             let node = NodeId(1_000 + i as u64);
             self.schedulers.push(Scheduler::new(node, self.setup.protections));
-            self.at(self.now, Ev::SchedTick(i));
+            self.at(self.now, SimEvent::SchedulerTick(i));
         }
         let racks: BTreeSet<ShardId> = self.rack_shards();
         for shard in (0..SHARD_COUNT).map(ShardId) {
-            // Racks are owned by the first scheduler, keys by the second, so that each can fail
+            // The first scheduler owns the racks and the second the keys, so that each can fail
             // alone.
             let owner = usize::from(!racks.contains(&shard)).min(self.setup.schedulers - 1);
             self.owners.insert(shard, (owner, Epoch(1)));
-            self.at(self.now, Ev::Own(owner, shard, Epoch(1)));
+            self.at(self.now, SimEvent::TakeOwnership(owner, shard, Epoch(1)));
         }
         for i in 0..self.setup.entries {
             let entry = self.new_entry(i, 0);
             self.entries.push(entry);
-            self.introduce(i);
+            self.send_initial_state(i);
         }
     }
 
@@ -272,14 +272,14 @@
         }
     }
 
-    /// Tells a new entry what its runtime reads first.
-    fn introduce(&mut self, i: usize) {
-        self.tell(i, EntryEvent::Config { document: self.config.clone() });
-        self.tell(i, EntryEvent::Vms { vms: self.vms.clone() });
+    /// Sends a new entry its configuration, VMs and owners.
+    fn send_initial_state(&mut self, i: usize) {
+        self.send_to(i, EntryEvent::Config { document: self.config.clone() });
+        self.send_to(i, EntryEvent::Vms { vms: self.vms.clone() });
         let owners = self.owner_list();
-        self.tell(i, EntryEvent::Owners { owners });
+        self.send_to(i, EntryEvent::Owners { owners });
         let incarnation = self.entries[i].incarnation;
-        self.at(self.now + TICK, Ev::Tick(i, incarnation));
+        self.at(self.now + TICK, SimEvent::Tick(i, incarnation));
     }
 
     fn owner_list(&self) -> Vec<ShardOwner> {
@@ -291,38 +291,38 @@
         owners.collect()
     }
 
-    /// Hands an event to an entry now.
-    pub fn tell(&mut self, i: usize, event: EntryEvent) {
+    /// Delivers an event to an entry now.
+    pub fn send_to(&mut self, i: usize, event: EntryEvent) {
         let incarnation = self.entries[i].incarnation;
-        self.at(self.now, Ev::ToEntry(i, incarnation, Box::new(event)));
+        self.at(self.now, SimEvent::ToEntry(i, incarnation, Box::new(event)));
     }
 
-    pub fn tell_all(&mut self, event: impl Fn() -> EntryEvent) {
+    pub fn send_to_all(&mut self, event: impl Fn() -> EntryEvent) {
         for i in 0..self.entries.len() {
-            self.tell(i, event());
+            self.send_to(i, event());
         }
     }
 
-    pub fn at(&mut self, at: Time, ev: Ev) {
+    pub fn at(&mut self, at: Time, ev: SimEvent) {
         self.seq += 1;
         self.queue.push(Reverse(Due(at, self.seq, ev)));
     }
 
-    fn hop(&mut self) -> Duration {
+    fn network_delay(&mut self) -> Duration {
         Duration::from_micros(self.rng.random_range(400..1_200))
     }
 
-    /// The way of a message between an entry and an owner; later ones may overtake it.
-    fn control_hop(&mut self) -> Duration {
+    /// Delay of a message between an entry and an owner; messages may overtake each other.
+    fn control_delay(&mut self) -> Duration {
         let jitter = self.jitter.as_micros() as u64;
-        self.hop() + Duration::from_micros(self.rng.random_range(0..=jitter))
+        self.network_delay() + Duration::from_micros(self.rng.random_range(0..=jitter))
     }
 
-    /// Lets a caller send a request at `at`.
+    /// Schedules a caller's request at `at`.
     pub fn request(&mut self, at: Time, record: Record) -> RequestId {
         let id = RequestId(self.requests.len() as u64);
         self.requests.push(record);
-        self.at(at, Ev::Arrive(id));
+        self.at(at, SimEvent::Arrive(id));
         id
     }
 
@@ -338,45 +338,47 @@
         self.now = end;
     }
 
-    fn handle(&mut self, ev: Ev) {
+    fn handle(&mut self, ev: SimEvent) {
         match ev {
-            Ev::Arrive(id) => self.arrive(id),
-            Ev::ToEntry(i, incarnation, event) => self.entry_event(i, incarnation, event),
-            Ev::Tick(i, incarnation) => {
-                if self.lives(i, incarnation) {
+            SimEvent::Arrive(id) => self.arrive(id),
+            SimEvent::ToEntry(i, incarnation, event) => self.entry_event(i, incarnation, event),
+            SimEvent::Tick(i, incarnation) => {
+                if self.is_running(i, incarnation) {
                     self.entry_event(i, incarnation, Box::new(EntryEvent::Tick));
-                    self.at(self.now + TICK, Ev::Tick(i, incarnation));
+                    self.at(self.now + TICK, SimEvent::Tick(i, incarnation));
                 }
             }
-            Ev::Wake(i, incarnation) => {
-                if self.lives(i, incarnation) {
+            SimEvent::Wake(i, incarnation) => {
+                if self.is_running(i, incarnation) {
                     self.entries[i].woken_at = None;
                     self.entry_event(i, incarnation, Box::new(EntryEvent::Tick));
                 }
             }
-            Ev::AttemptTimeout(i, incarnation, attempt) => {
-                if self.lives(i, incarnation) && self.entries[i].open.contains_key(&attempt) {
+            SimEvent::AttemptTimeout(i, incarnation, attempt) => {
+                if self.is_running(i, incarnation) && self.entries[i].open.contains_key(&attempt) {
                     self.end_attempt(i, attempt, AttemptResult::Failed);
                 }
             }
-            Ev::Recv(server, run) => self.server_receives(server, run),
-            Ev::Back(run, result) => self.back_at_entry(&run, result),
-            Ev::Ran(server, life, run) => self.server_ran(server, life, run),
-            Ev::ToShares(s, from, event) => self.share_event(s, from, event),
-            Ev::ToKeys(s, from, event) => self.key_event(s, from, event),
-            Ev::SchedTick(s) => self.scheduler_tick(s),
-            Ev::LogApply(append) => self.log_apply(append),
-            Ev::LogAck(append) => {
+            SimEvent::ServerReceives(server, run) => self.server_receives(server, run),
+            SimEvent::ResultArrives(run, result) => self.result_arrives(&run, result),
+            SimEvent::RunFinished(server, generation, run) => {
+                self.server_ran(server, generation, run)
+            }
+            SimEvent::ToShares(s, from, event) => self.share_event(s, from, event),
+            SimEvent::ToKeys(s, from, event) => self.key_event(s, from, event),
+            SimEvent::SchedulerTick(s) => self.scheduler_tick(s),
+            SimEvent::LogApply(append) => self.log_apply(append),
+            SimEvent::LogAck(append) => {
                 let ticket = append.ticket;
                 self.key_event(append.scheduler, usize::MAX, KeyTableEvent::Journaled { ticket });
             }
-            Ev::Own(s, shard, epoch) => self.own(s, shard, epoch),
-            Ev::Restart(i) => self.restart_entry(i),
-            Ev::Act(number) => self.act(number),
+            SimEvent::TakeOwnership(s, shard, epoch) => self.take_ownership(s, shard, epoch),
+            SimEvent::Restart(i) => self.restart_entry(i),
+            SimEvent::RunAction(number) => self.run_action(number),
         }
     }
 
-    pub fn lives(&self, i: usize, incarnation: u32) -> bool {
+    pub fn is_running(&self, i: usize, incarnation: u32) -> bool {
         self.entries[i].alive && self.entries[i].incarnation == incarnation
     }
 
@@ -385,8 +387,8 @@
         let i = record.entry;
         record.incarnation = self.entries[i].incarnation;
         if !self.entries[i].alive {
-            record.cut_off = true;
-            self.caller_next(id);
+            record.connection_lost = true;
+            self.caller_retry(id);
             return;
         }
         let arrival = Arrival {
@@ -397,17 +399,17 @@
             body: BodyHash(7),
             body_size: 100,
         };
-        self.tell(i, EntryEvent::Arrived(arrival));
+        self.send_to(i, EntryEvent::Arrived(arrival));
         self.step(Step::Arrived, id);
     }
 
     fn entry_event(&mut self, i: usize, incarnation: u32, event: Box<EntryEvent>) {
-        if !self.lives(i, incarnation) {
+        if !self.is_running(i, incarnation) {
             return;
         }
         let paused_until = self.entries[i].paused_until;
         if self.now < paused_until {
-            self.at(paused_until, Ev::ToEntry(i, incarnation, event));
+            self.at(paused_until, SimEvent::ToEntry(i, incarnation, event));
             return;
         }
         let mut out = Vec::new();
@@ -416,7 +418,7 @@
         for effect in out {
             self.entry_effect(i, effect);
         }
-        if !self.lives(i, incarnation) {
+        if !self.is_running(i, incarnation) {
             return;
         }
         let wake = self.entries[i].reducer.wake_at().map(|at| self.entries[i].world_time(at));
@@ -424,12 +426,12 @@
             && self.entries[i].woken_at.is_none_or(|woken| at < woken)
         {
             self.entries[i].woken_at = Some(at);
-            self.at(at.max(self.now), Ev::Wake(i, incarnation));
+            self.at(at.max(self.now), SimEvent::Wake(i, incarnation));
         }
     }
 }
 
-/// Configuration of the classes.
+/// Configuration with the given classes.
 fn document(classes: &[ClassSetup]) -> ConfigDocument {
     let specs = classes.iter().map(|class| ClassSpec {
         name: class.name.parse().unwrap(),
--- a/crates/requests/tests/support/world/performing.rs
+++ b/crates/requests/tests/support/world/performing.rs
@@ -1,4 +1,4 @@
-//! What the runtimes do: performing effects, exchanging messages.
+//! Simulated runtimes: perform effects and exchange messages.
 
 use super::*;
 
@@ -21,47 +21,52 @@
             EntryEffect::Answer { request, verdict } => {
                 self.requests[request.0 as usize].answers.push((self.now, verdict));
                 self.step(Step::Answered, request);
-                self.caller_next(request);
+                self.caller_retry(request);
             }
             EntryEffect::RequestPermit { node, request } => {
                 let id = request.holder.request;
                 self.step(Step::PermitAsked, id);
                 self.send_scheduler(i, node, |s, from| {
-                    Ev::ToKeys(s, from, KeyTableEvent::Request { request })
+                    SimEvent::ToKeys(s, from, KeyTableEvent::Request { request })
                 });
             }
             EntryEffect::ReportOutcome { node, report } => {
                 let request = report.holder.request;
                 self.step(Step::Reported, request);
                 let event = KeyTableEvent::Report { report };
-                self.send_scheduler(i, node, |s, from| Ev::ToKeys(s, from, event));
+                self.send_scheduler(i, node, |s, from| SimEvent::ToKeys(s, from, event));
             }
             EntryEffect::RequestShares { node, request } => {
                 self.share_bytes += encoded(&request);
                 let event = ShareTableEvent::Request { request };
-                self.send_scheduler(i, node, |s, from| Ev::ToShares(s, from, event));
+                self.send_scheduler(i, node, |s, from| SimEvent::ToShares(s, from, event));
             }
             EntryEffect::Drained => self.entries[i].drained = true,
             EntryEffect::Forget { .. } | EntryEffect::ReportLoad { .. } => {}
         }
     }
 
-    fn send_scheduler(&mut self, i: usize, node: NodeId, ev: impl FnOnce(usize, usize) -> Ev) {
+    fn send_scheduler(
+        &mut self,
+        i: usize,
+        node: NodeId,
+        ev: impl FnOnce(usize, usize) -> SimEvent,
+    ) {
         let found = self.schedulers.iter().position(|scheduler| scheduler.node == node);
         let Some(s) = found else { return };
-        let delay = self.control_hop();
+        let delay = self.control_delay();
         self.messages += 1;
-        if !self.cut_to.contains(&(i, s)) {
+        if !self.blocked_to_owner.contains(&(i, s)) {
             self.at(self.now + delay, ev(s, i));
         }
     }
 
     fn send_entry(&mut self, s: usize, node: NodeId, event: EntryEvent) {
         let Some(i) = self.entries.iter().position(|entry| entry.node == node) else { return };
-        let delay = self.control_hop();
-        if !self.cut_from.contains(&(i, s)) {
+        let delay = self.control_delay();
+        if !self.blocked_from_owner.contains(&(i, s)) {
             let incarnation = self.entries[i].incarnation;
-            self.at(self.now + delay, Ev::ToEntry(i, incarnation, Box::new(event)));
+            self.at(self.now + delay, SimEvent::ToEntry(i, incarnation, Box::new(event)));
         }
     }
 
@@ -75,7 +80,7 @@
         send_by: Time,
     ) {
         let server = self.by_vm[vm];
-        self.plan.note_server(request, server);
+        self.plan.record_server(request, server);
         self.step(Step::Sent, request);
         let incarnation = self.entries[i].incarnation;
         if !self.entries[i].alive {
@@ -86,50 +91,49 @@
         self.sent.insert((i, incarnation, attempt), request);
         let run = Run { request, attempt, entry: i, incarnation, work: record.work };
         self.entries[i].open.insert(attempt, run);
-        // A process paused between the decision and the first byte looks at the time again.
+        // A process paused before the first byte checks the time again.
         let starts = self.now.max(self.entries[i].paused_until);
         let send_by = self.entries[i].world_time(send_by);
         if starts > send_by && self.setup.protections.expire_shares {
             self.end_attempt(i, attempt, AttemptResult::NotSent);
             return;
         }
-        let delay = self.hop();
-        self.at(starts + delay, Ev::Recv(server, run));
-        self.at(starts + timeout, Ev::AttemptTimeout(i, incarnation, attempt));
+        let delay = self.network_delay();
+        self.at(starts + delay, SimEvent::ServerReceives(server, run));
+        self.at(starts + timeout, SimEvent::AttemptTimeout(i, incarnation, attempt));
     }
 
-    /// The runtime tells the end of an attempt, once.
+    /// Reports the end of an attempt, unless it was reported before.
     pub fn end_attempt(&mut self, i: usize, attempt: AttemptId, result: AttemptResult) {
         let incarnation = self.entries[i].incarnation;
         if self.entries[i].open.remove(&attempt).is_some() {
             let event = EntryEvent::AttemptEnded { attempt, result };
-            self.at(self.now, Ev::ToEntry(i, incarnation, Box::new(event)));
+            self.at(self.now, SimEvent::ToEntry(i, incarnation, Box::new(event)));
         }
     }
 
-    /// The end of an exchange reaches the entry after the way back; the runtime drops it if it has
-    /// told another end before.
-    fn back(&mut self, run: &Run, result: AttemptResult, delay: Duration) {
-        self.at(self.now + delay, Ev::Back(*run, result));
+    /// Schedules the arrival of an exchange's result at the entry.
+    fn return_result(&mut self, run: &Run, result: AttemptResult, delay: Duration) {
+        self.at(self.now + delay, SimEvent::ResultArrives(*run, result));
     }
 
-    pub(super) fn back_at_entry(&mut self, run: &Run, result: AttemptResult) {
+    pub(super) fn result_arrives(&mut self, run: &Run, result: AttemptResult) {
         if result == AttemptResult::Truncated {
             self.truncated.insert((run.entry, run.incarnation, run.attempt));
         }
-        if self.lives(run.entry, run.incarnation) {
+        if self.is_running(run.entry, run.incarnation) {
             self.end_attempt(run.entry, run.attempt, result);
         }
     }
 
     pub(super) fn server_receives(&mut self, server: usize, run: Run) {
-        let delay = self.hop();
+        let delay = self.network_delay();
         if !self.servers[server].alive {
-            self.back(&run, AttemptResult::NotSent, delay);
+            self.return_result(&run, AttemptResult::NotSent, delay);
             return;
         }
-        if self.servers[server].leaving {
-            self.back(&run, AttemptResult::Declined { draining: true }, delay);
+        if self.servers[server].draining {
+            self.return_result(&run, AttemptResult::Declined { draining: true }, delay);
             return;
         }
         if let Some(run) = self.servers[server].receive(run) {
@@ -142,14 +146,14 @@
         self.servers[server].started += 1;
         self.step(Step::Running, run.request);
         if self.servers[server].alive {
-            let life = self.servers[server].life;
+            let generation = self.servers[server].generation;
             let time = self.servers[server].time_for(run.work);
-            self.at(self.now + time, Ev::Ran(server, life, run));
+            self.at(self.now + time, SimEvent::RunFinished(server, generation, run));
         }
     }
 
-    pub(super) fn server_ran(&mut self, server: usize, life: u32, run: Run) {
-        if self.servers[server].life != life {
+    pub(super) fn server_ran(&mut self, server: usize, generation: u32, run: Run) {
+        if self.servers[server].generation != generation {
             return;
         }
         if let Some(next) = self.servers[server].finish(&run) {
@@ -158,21 +162,27 @@
         self.step(Step::Finished, run.request);
         let intent = self.requests[run.request.0 as usize].intent as u64;
         let body = Some(intent.to_le_bytes().to_vec());
-        let whole = AttemptResult::Complete { status: 200, recorded_body: body };
-        let delay = self.hop();
-        let whole = if self.servers[server].truncates { AttemptResult::Truncated } else { whole };
+        let complete = AttemptResult::Complete { status: 200, recorded_body: body };
+        let delay = self.network_delay();
+        let complete = if self.servers[server].truncates_answers {
+            AttemptResult::Truncated
+        } else {
+            complete
+        };
         match self.plan.take_answer(run.request) {
             Some(None) => {}
-            Some(Some((result, late))) => self.back(&run, result.unwrap_or(whole), delay + late),
-            None => self.back(&run, whole, delay),
+            Some(Some((result, late))) => {
+                self.return_result(&run, result.unwrap_or(complete), delay + late)
+            }
+            None => self.return_result(&run, complete, delay),
         }
     }
 
     pub fn kill_server(&mut self, server: usize) {
         let lost = self.servers[server].kill();
         for run in lost {
-            let delay = self.hop();
-            self.back(&run, AttemptResult::Failed, delay);
+            let delay = self.network_delay();
+            self.return_result(&run, AttemptResult::Failed, delay);
         }
     }
 
@@ -182,12 +192,12 @@
         }
         let paused_until = self.schedulers[s].paused_until;
         if self.now < paused_until {
-            self.at(paused_until, Ev::ToShares(s, from, event));
+            self.at(paused_until, SimEvent::ToShares(s, from, event));
             return;
         }
         let mut out = Vec::new();
-        let Scheduler { book, held, .. } = &mut self.schedulers[s];
-        book.step(self.now, event, held, &mut out);
+        let Scheduler { shares, held, .. } = &mut self.schedulers[s];
+        shares.step(self.now, event, held, &mut out);
         for effect in out {
             match effect {
                 ShareTableEffect::Grant { entry, grant } => {
@@ -207,7 +217,7 @@
         }
         let paused_until = self.schedulers[s].paused_until;
         if self.now < paused_until {
-            self.at(paused_until, Ev::ToKeys(s, from, event));
+            self.at(paused_until, SimEvent::ToKeys(s, from, event));
             return;
         }
         let mut out = Vec::new();
@@ -224,7 +234,7 @@
                 let epoch = self.schedulers[s].held.shards.get(&shard).copied();
                 let epoch = epoch.unwrap_or_default();
                 let append = Append { scheduler: s, shard, epoch, entry, ticket };
-                self.at(self.now + LOG_HALF, Ev::LogApply(append));
+                self.at(self.now + LOG_DELAY, SimEvent::LogApply(append));
             }
             KeyTableEffect::Answer { holder, permit, .. } => {
                 if permit == Permit::Granted {
@@ -246,12 +256,12 @@
             return;
         }
         if self.now < self.schedulers[s].paused_until {
-            self.at(self.schedulers[s].paused_until, Ev::LogApply(append));
+            self.at(self.schedulers[s].paused_until, SimEvent::LogApply(append));
             return;
         }
         if !self.log.is_up(self.now) {
             self.key_event(s, usize::MAX, KeyTableEvent::LogState { up: false });
-            self.at(self.now + LOG_AGAIN, Ev::LogApply(append));
+            self.at(self.now + LOG_RETRY_INTERVAL, SimEvent::LogApply(append));
             return;
         }
         self.key_event(s, usize::MAX, KeyTableEvent::LogState { up: true });
@@ -263,9 +273,9 @@
         self.step(step, holder.request);
         if self.log.lose_answers > 0 {
             self.log.lose_answers -= 1;
-            self.at(self.now + LOG_AGAIN, Ev::LogApply(append));
+            self.at(self.now + LOG_RETRY_INTERVAL, SimEvent::LogApply(append));
         } else {
-            self.at(self.now + LOG_HALF, Ev::LogAck(append));
+            self.at(self.now + LOG_DELAY, SimEvent::LogAck(append));
         }
     }
 
@@ -273,12 +283,12 @@
         if !self.schedulers[s].alive {
             return;
         }
-        self.at(self.now + TICK, Ev::SchedTick(s));
+        self.at(self.now + TICK, SimEvent::SchedulerTick(s));
         if self.now < self.schedulers[s].paused_until {
             return;
         }
-        // The control stream is in the log: no read, no authority. A deposed owner reads that it
-        // is deposed.
+        // The control stream is in the log: authority needs a read, and a deposed owner learns of
+        // it by reading.
         let owners = &self.owners;
         let deposed: Vec<ShardId> = self.schedulers[s]
             .held
@@ -299,13 +309,13 @@
         self.key_event(s, usize::MAX, KeyTableEvent::Tick);
     }
 
-    /// The scheduler begins to act for a shard, after the wait for its predecessor.
-    pub(super) fn own(&mut self, s: usize, shard: ShardId, epoch: Epoch) {
+    /// Makes the scheduler the owner of a shard, after its predecessor's authority has ended.
+    pub(super) fn take_ownership(&mut self, s: usize, shard: ShardId, epoch: Epoch) {
         if !self.schedulers[s].alive || self.owners.get(&shard) != Some(&(s, epoch)) {
             return;
         }
         if !self.log.is_up(self.now) {
-            self.at(self.now + LOG_AGAIN, Ev::Own(s, shard, epoch));
+            self.at(self.now + LOG_RETRY_INTERVAL, SimEvent::TakeOwnership(s, shard, epoch));
             return;
         }
         let (snapshot, entries) = self.log.read(shard);
@@ -322,11 +332,11 @@
         let had_owner = epoch > Epoch(1);
         self.share_event(s, usize::MAX, ShareTableEvent::Owned { shard, epoch, had_owner });
         self.key_event(s, usize::MAX, KeyTableEvent::Owned { shard, epoch });
-        self.tell_servers(shard);
+        self.send_server_list(shard);
     }
 
-    /// Tells the owner of a rack shard which servers there are.
-    pub fn tell_servers(&mut self, shard: ShardId) {
+    /// Sends the owner of a rack shard its server list.
+    pub fn send_server_list(&mut self, shard: ShardId) {
         let classes = self.config.classes.iter().map(|class| class.name.clone());
         let classes: Vec<ClassName> = classes.collect();
         let specs: Vec<ServerSpec> = self
@@ -351,9 +361,9 @@
         }
     }
 
-    /// Moves all shards of a scheduler to another one, as the control stream does it: claimed at
-    /// once, read by all within a second, acted on after the predecessor's authority has ended.
-    pub fn succeed(&mut self, s: usize, successor: usize) {
+    /// Transfers all shards of a scheduler to another one: claimed at once, read by entries within
+    /// a second, and effective after the predecessor's authority has ended.
+    pub fn transfer_shards(&mut self, s: usize, successor: usize) {
         let moved = self.owners.iter_mut().filter(|(_, owner)| owner.0 == s);
         let mut claimed = Vec::new();
         for (shard, owner) in moved {
@@ -362,14 +372,14 @@
         }
         let acts = self.now + AUTHORITY + AUTHORITY / 50;
         for (shard, epoch) in claimed {
-            self.at(acts, Ev::Own(successor, shard, epoch));
+            self.at(acts, SimEvent::TakeOwnership(successor, shard, epoch));
         }
         let owners = self.owner_list();
         for i in 0..self.entries.len() {
-            let read = self.now + CONTROL_READ.mul_f64(self.rng.random_range(0.1..1.0));
+            let read = self.now + MAX_CONTROL_READ_DELAY.mul_f64(self.rng.random_range(0.1..1.0));
             let incarnation = self.entries[i].incarnation;
             let event = EntryEvent::Owners { owners: owners.clone() };
-            self.at(read, Ev::ToEntry(i, incarnation, Box::new(event)));
+            self.at(read, SimEvent::ToEntry(i, incarnation, Box::new(event)));
         }
     }
 
@@ -389,16 +399,16 @@
             .map(|r| RequestId(r as u64))
             .collect();
         for id in cut {
-            self.requests[id.0 as usize].cut_off = true;
-            self.caller_next(id);
+            self.requests[id.0 as usize].connection_lost = true;
+            self.caller_retry(id);
         }
-        self.at(self.now + Duration::from_secs(1), Ev::Restart(i));
+        self.at(self.now + Duration::from_secs(1), SimEvent::Restart(i));
     }
 
-    /// The platform replaces the VM: a new incarnation that knows nothing.
+    /// Replaces the entry by a new incarnation without state.
     pub(super) fn restart_entry(&mut self, i: usize) {
         let incarnation = self.entries[i].incarnation + 1;
         self.entries[i] = self.new_entry(i, incarnation);
-        self.introduce(i);
+        self.send_initial_state(i);
     }
 }
