--- a/crates/requests/src/entry/mod.rs
+++ b/crates/requests/src/entry/mod.rs
@@ -5,7 +5,7 @@
 //! the entry holds a share; the complete answer is forwarded. Each request gets exactly one final
 //! answer.
 
-mod arrive;
+mod admission;
 mod budget;
 mod class;
 mod dispatch;
@@ -14,15 +14,15 @@
 mod fairness;
 mod grantors;
 mod health;
-mod keyed;
 mod latency;
 mod limit;
 mod meter;
 mod options;
 mod outcome;
+mod permits;
 mod request;
 mod servers;
-mod sharing;
+mod share_requests;
 
 pub use self::{
     dump::{ClassDump, EntryDump, ServerDump},
@@ -35,7 +35,7 @@
         class::{Classes, Service},
         fairness::Fairness,
         grantors::Grantors,
-        keyed::Reports,
+        permits::Reports,
         request::{Attempt, Phase, Request, Timer},
         servers::Servers,
     },
@@ -158,8 +158,8 @@
                 Timer::PermitTimeout(request) => self.permit_timed_out(now, request, out),
                 Timer::AttemptTimeout(attempt) => self.attempt_timed_out(now, attempt, out),
                 Timer::SharesExpire(shard) => self.expire_shares(now, shard),
-                Timer::Server(server) => self.servers.expire(server, now),
-                Timer::Report(request) => self.resend_report(now, request, out),
+                Timer::ServerExpiry(server) => self.servers.expire(server, now),
+                Timer::ResendReport(request) => self.resend_report(now, request, out),
             }
         }
     }
@@ -179,7 +179,7 @@
     fn finish_drain(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
         let Some(since) = self.shutdown_started_at else { return };
         let reported =
-            self.reports.is_empty() || now.since(since) >= keyed::SHUTDOWN_REPORT_TIMEOUT;
+            self.reports.is_empty() || now.since(since) >= permits::SHUTDOWN_REPORT_TIMEOUT;
         if self.drained || !self.requests.is_empty() || !self.attempts.is_empty() || !reported {
             return;
         }
--- a/crates/requests/src/entry/outcome.rs
+++ b/crates/requests/src/entry/outcome.rs
@@ -90,7 +90,7 @@
         self.fairness.ended(attempt.organisation, attempt.expected, took);
         if let AttemptResult::Declined { draining: true } = result {
             let until = self.servers.set_declared_draining(attempt.server, now);
-            self.timers.insert((until, Timer::Server(attempt.server)));
+            self.timers.insert((until, Timer::ServerExpiry(attempt.server)));
         }
         let record_result = |health: &mut Health| match result {
             AttemptResult::Declined { draining: true } => {}
@@ -98,7 +98,7 @@
             _ => health.record_failure(),
         };
         if let Some(until) = self.servers.closed(attempt.server, now, record_result) {
-            self.timers.insert((until, Timer::Server(attempt.server)));
+            self.timers.insert((until, Timer::ServerExpiry(attempt.server)));
         }
     }
 
--- a/crates/requests/src/entry/keyed.rs
+++ b/crates/requests/src/entry/permits.rs
@@ -174,7 +174,7 @@
 
     pub(super) fn resend_report(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
         let Some(pending) = self.reports.pending.get_mut(&id) else { return };
-        self.timers.insert((now + pending.retry_interval, Timer::Report(id)));
+        self.timers.insert((now + pending.retry_interval, Timer::ResendReport(id)));
         pending.retry_interval = (pending.retry_interval * 2).min(MAX_REPORT_INTERVAL);
         if let Some((node, _)) = self.owners.get(&pending.report.shard) {
             let report = pending.report.clone();
--- a/crates/requests/src/entry/request.rs
+++ b/crates/requests/src/entry/request.rs
@@ -90,7 +90,7 @@
     /// The shares of a grantor expire.
     SharesExpire(ShardId),
     /// An ejection or a server's own draining notice expires.
-    Server(ServerIx),
+    ServerExpiry(ServerIx),
     /// A report is to be resent.
-    Report(RequestId),
+    ResendReport(RequestId),
 }
--- a/crates/requests/src/ids.rs
+++ b/crates/requests/src/ids.rs
@@ -5,7 +5,7 @@
     std::fmt,
 };
 
-macro_rules! number_type {
+macro_rules! id_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -22,16 +22,16 @@
     };
 }
 
-number_type!(
+id_type!(
     /// A caller's request. Assigned by the runtime, unique within an entry process.
     RequestId
 );
-number_type!(
+id_type!(
     /// One attempt to send a request to a backend server. Assigned by [`crate::Entry`] and never
     /// reused, so that a late answer isn't matched to another attempt.
     AttemptId
 );
-number_type!(
+id_type!(
     /// Hash of a request's method, path and body, computed by the runtime. An idempotency key
     /// identifies one request only if the hashes are equal.
     BodyHash
--- a/crates/requests/src/shares/table.rs
+++ b/crates/requests/src/shares/table.rs
@@ -304,7 +304,7 @@
             .collect()
     }
 
-    /// Recalls shares from entries whose fair share has changed because of others' requests.
+    /// Asks for new requests from entries whose fair share has changed because of others.
     fn recall(
         &mut self,
         now: Time,
