--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -4,7 +4,7 @@
     super::Cx,
     crate::error::CliError,
     compact_str::CompactString,
-    egretlb_explain::{Finding, Happening, Walk},
+    egretlb_explain::{ExplanationBuilder, Finding, TimelineEvent},
     std::{
         fs::File,
         io::{self, BufRead, BufReader},
@@ -17,19 +17,19 @@
     workflow: &CompactString,
     files: &[PathBuf],
 ) -> Result<(), CliError> {
-    let mut walk = Walk::new(workflow);
+    let mut builder = ExplanationBuilder::new(workflow);
     if files.is_empty() {
-        read(&mut walk, Path::new("standard input"), io::stdin().lock())?;
+        read(&mut builder, Path::new("standard input"), io::stdin().lock())?;
     }
     for path in files {
         let file = File::open(path).map_err(|error| unreadable(path, error))?;
-        read(&mut walk, path, BufReader::new(file))?;
+        read(&mut builder, path, BufReader::new(file))?;
     }
-    let explanation = walk.finish();
+    let explanation = builder.finish();
     if cx.args.json {
         cx.print_json(&explanation)?;
     } else {
-        for Happening { at, node, event, pairs, own } in &explanation.happenings {
+        for TimelineEvent { at, node, event, pairs, own } in &explanation.happenings {
             let mark = if *own { ' ' } else { '~' };
             cx.print(format!("{mark} {at} {node} {event}"))?;
             for (key, value) in pairs.iter().filter(|(key, _)| key != "level" && key != "workflow")
@@ -55,13 +55,17 @@
 }
 
 /// Takes in all lines. Logs may hold bytes that aren't text; such lines are read as far as they are.
-fn read(walk: &mut Walk, path: &Path, mut from: impl BufRead) -> Result<(), CliError> {
+fn read(
+    builder: &mut ExplanationBuilder,
+    path: &Path,
+    mut from: impl BufRead,
+) -> Result<(), CliError> {
     let mut buf = Vec::new();
     loop {
         buf.clear();
         if from.read_until(b'\n', &mut buf).map_err(|error| unreadable(path, error))? == 0 {
             return Ok(());
         }
-        walk.take(String::from_utf8_lossy(&buf).trim_end());
+        builder.add_line(String::from_utf8_lossy(&buf).trim_end());
     }
 }
--- a/crates/egretlbd/src/main.rs
+++ b/crates/egretlbd/src/main.rs
@@ -102,7 +102,7 @@
     let listeners = Listeners {
         clients: listen(settings.listen.clients).await?,
         ready: listen(settings.listen.ready).await?,
-        peers: listen(settings.peers()).await?,
+        peers: listen(settings.peer_addr()).await?,
     };
     let limits = Limits {
         lease: Limits::default().lease.min(settings.max_lease()),
@@ -113,7 +113,7 @@
         name: settings.node_name.clone(),
         data_centre: settings.data_centre.clone(),
         incarnation: SmallRng::from_os_rng().random(),
-        cpu_millicores: settings.power(),
+        cpu_millicores: settings.cpu_millicores(),
         limits,
     };
     let platform = Platform {
--- a/crates/explain/src/walk.rs
+++ b/crates/explain/src/explanation.rs
@@ -38,7 +38,7 @@
 
 /// Something that happened, in the order of time.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct Happening {
+pub struct TimelineEvent {
     /// When.
     pub at: CompactString,
     /// The VM that wrote the line.
@@ -51,7 +51,7 @@
     pub own: bool,
 }
 
-impl Happening {
+impl TimelineEvent {
     /// The value of a pair.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.pairs.iter().find(|(known, _)| known == key).map(|(_, value)| value.as_str())
@@ -105,24 +105,24 @@
     /// The workflow, or the task of it that was asked for.
     pub workflow: CompactString,
     /// What happened to it and around it.
-    pub happenings: Vec<Happening>,
+    pub happenings: Vec<TimelineEvent>,
     /// What follows from that.
     pub findings: Vec<Finding>,
 }
 
 /// Collects lines, in any order.
 #[derive(Clone, Debug)]
-pub struct Walk {
+pub struct ExplanationBuilder {
     subject: Subject,
     own: Vec<LogLine>,
     context: Vec<LogLine>,
     passed_over: usize,
 }
 
-impl Walk {
+impl ExplanationBuilder {
     /// Asks for the workflow of this id, or for one of its tasks, as `WORKFLOW.OCCURRENCE.STEP.INDEX`.
-    pub fn new(id: impl AsRef<str>) -> Walk {
-        Walk {
+    pub fn new(id: impl AsRef<str>) -> ExplanationBuilder {
+        ExplanationBuilder {
             subject: Subject::new(id.as_ref()),
             own: Vec::new(),
             context: Vec::new(),
@@ -131,7 +131,7 @@
     }
 
     /// Takes a line in. Lines of other programs are passed over.
-    pub fn take(&mut self, text: &str) {
+    pub fn add_line(&mut self, text: &str) {
         let Some(line) = LogLine::parse(text) else { return };
         if self.subject.is_named(&line) {
             self.own.push(line);
@@ -146,7 +146,7 @@
 
     /// Puts everything in order and draws the conclusions.
     pub fn finish(self) -> Explanation {
-        let Walk { subject, own, context, passed_over } = self;
+        let ExplanationBuilder { subject, own, context, passed_over } = self;
         let workflow = subject.task.unwrap_or(subject.workflow);
         let first = own.iter().map(|line| line.at.clone()).min().unwrap_or_default();
         let last = own.iter().map(|line| line.at.clone()).max().unwrap_or_default();
@@ -162,10 +162,10 @@
         let happening = |own: bool| {
             move |line: LogLine| {
                 let LogLine { at, node, event, pairs } = line;
-                Happening { at, node, event, pairs, own }
+                TimelineEvent { at, node, event, pairs, own }
             }
         };
-        let mut happenings: Vec<Happening> = own.into_iter().map(happening(true)).collect();
+        let mut happenings: Vec<TimelineEvent> = own.into_iter().map(happening(true)).collect();
         happenings.extend(context.into_iter().filter(near).map(happening(false)));
         happenings.sort_by(|left, right| left.at.cmp(&right.at));
         let findings = Finding::all(&happenings, passed_over);
--- a/crates/explain/src/findings.rs
+++ b/crates/explain/src/findings.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        Happening,
+        TimelineEvent,
         downtime::{HeldWork, StepWait, Suspension, TaskDown, TaskGap, TaskRestart},
         waits,
     },
@@ -276,15 +276,15 @@
 }
 
 struct Reader<'a> {
-    happenings: &'a [Happening],
-    accepted: Option<&'a Happening>,
+    happenings: &'a [TimelineEvent],
+    accepted: Option<&'a TimelineEvent>,
 }
 
 impl Finding {
     /// All that follows from what happened; `passed_over` lines weren't kept.
-    pub(crate) fn all(happenings: &[Happening], passed_over: usize) -> Vec<Finding> {
+    pub(crate) fn all(happenings: &[TimelineEvent], passed_over: usize) -> Vec<Finding> {
         let submitted = |stored: &'static str| {
-            move |happening: &&Happening| {
+            move |happening: &&TimelineEvent| {
                 happening.event == "submitted" && happening.get("stored") == Some(stored)
             }
         };
@@ -306,7 +306,7 @@
 }
 
 impl<'a> Reader<'a> {
-    fn of(&self, event: &'a str) -> impl Iterator<Item = &'a Happening> + use<'a> {
+    fn of(&self, event: &'a str) -> impl Iterator<Item = &'a TimelineEvent> + use<'a> {
         self.happenings.iter().filter(move |happening| happening.event == event)
     }
 
@@ -326,7 +326,7 @@
         if unknown > 0 {
             found.push(Finding::AnsweredUnknown { times: unknown });
         }
-        if let Some(Happening { at, node, .. }) = self.accepted {
+        if let Some(TimelineEvent { at, node, .. }) = self.accepted {
             let refused_before = refused + unknown;
             let (at, node) = (at.clone(), node.clone());
             found.push(Finding::Accepted { at, node, refused_before });
@@ -338,14 +338,14 @@
         let accepted = self.accepted?;
         let started = self.of("workflow_started").next()?;
         let waited_ms = between_ms(&accepted.at, &started.at)?;
-        let meanwhile = |h: &&Happening| h.at >= accepted.at && h.at <= started.at;
+        let meanwhile = |h: &&TimelineEvent| h.at >= accepted.at && h.at <= started.at;
         let leaders = self.of("elected").filter(meanwhile).count();
         let long = Duration::from_millis(waited_ms) >= LONG_WAIT;
         long.then_some(Finding::StartedLate { waited_ms, leaders })
     }
 
     fn leaders(&self) -> Vec<Finding> {
-        let changed = |elected: &Happening| {
+        let changed = |elected: &TimelineEvent| {
             let epoch = elected.get("epoch");
             let surveyed = self.of("survey_complete").find(|h| h.get("epoch") == epoch);
             Finding::LeaderChanged {
--- a/crates/explain/src/waits.rs
+++ b/crates/explain/src/waits.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        Finding, Happening,
+        Finding, TimelineEvent,
         downtime::{HeldWork, StepWait, Suspension, TaskDown, TaskGap, TaskRestart},
         findings::between_ms,
     },
@@ -22,7 +22,7 @@
 const MOST_FINDINGS: usize = 20;
 
 /// All findings on what wasn't running, from happenings in the order of time.
-pub(crate) fn all(happenings: &[Happening]) -> Vec<Finding> {
+pub(crate) fn all(happenings: &[TimelineEvent]) -> Vec<Finding> {
     let mut found = held_work(happenings);
     found.extend(suspensions(happenings));
     found.extend(waits(happenings));
@@ -32,7 +32,7 @@
 }
 
 /// What new leaders held back, from `inherited_work_held` and `inherited_work_released`.
-fn held_work(happenings: &[Happening]) -> Vec<Finding> {
+fn held_work(happenings: &[TimelineEvent]) -> Vec<Finding> {
     let mut found = Vec::new();
     for held in happenings.iter().filter(|happening| happening.event == "inherited_work_held") {
         let epoch = held.get("epoch");
@@ -57,20 +57,20 @@
 }
 
 /// When another leader was elected after a line.
-fn next_leader(happenings: &[Happening], line: &Happening) -> Option<CompactString> {
-    let later = |known: &&Happening| known.event == "elected" && known.at > line.at;
+fn next_leader(happenings: &[TimelineEvent], line: &TimelineEvent) -> Option<CompactString> {
+    let later = |known: &&TimelineEvent| known.event == "elected" && known.at > line.at;
     happenings.iter().find(later).map(|elected| elected.at.clone())
 }
 
 /// Whether another leader had been elected before a line: it is of one that woke up from a pause.
-fn is_outdated(happenings: &[Happening], line: &Happening) -> bool {
-    let higher = |known: &Happening| number(known, "epoch") > number(line, "epoch");
+fn is_outdated(happenings: &[TimelineEvent], line: &TimelineEvent) -> bool {
+    let higher = |known: &TimelineEvent| number(known, "epoch") > number(line, "epoch");
     let elected = happenings.iter().filter(|known| known.event == "elected");
     elected.take_while(|known| known.at <= line.at).any(higher)
 }
 
 /// When leaders gave no orders, from `orders_suspended` and `orders_resumed`.
-fn suspensions(happenings: &[Happening]) -> Vec<Finding> {
+fn suspensions(happenings: &[TimelineEvent]) -> Vec<Finding> {
     let mut found = Vec::new();
     for line in happenings.iter().filter(|happening| happening.event == "orders_suspended") {
         if is_outdated(happenings, line) {
@@ -88,7 +88,7 @@
 }
 
 /// Whether there were waits without a line, from `waits_untold`.
-fn untold(happenings: &[Happening]) -> Option<Finding> {
+fn untold(happenings: &[TimelineEvent]) -> Option<Finding> {
     let lines = happenings.iter().filter(|happening| happening.event == "waits_untold");
     let steps = lines.filter_map(|line| number(line, "steps")).max()?;
     Some(Finding::WaitsUntold { steps })
@@ -96,7 +96,7 @@
 
 /// What steps waited for, from `tasks_waiting`. Lines of one wait and reason come again every few seconds and
 /// count as one.
-fn waits(happenings: &[Happening]) -> Vec<Finding> {
+fn waits(happenings: &[TimelineEvent]) -> Vec<Finding> {
     let mut waits: Vec<StepWait> = Vec::new();
     for line in happenings.iter().filter(|happening| happening.event == "tasks_waiting") {
         let wait = read_wait(line);
@@ -113,7 +113,7 @@
     longest(waits, |wait| wait.waited_ms).into_iter().map(Finding::StepWaited).collect()
 }
 
-fn read_wait(line: &Happening) -> StepWait {
+fn read_wait(line: &TimelineEvent) -> StepWait {
     let text = |key| CompactString::new(line.get(key).unwrap_or_default());
     let waited_ms = number(line, "waited_ms").unwrap_or(0);
     StepWait {
@@ -135,11 +135,11 @@
     /// Where its last start was, unless its end is told.
     at: Option<&'a str>,
     /// The line on the end of its last run, unless it was started since.
-    ended: Option<&'a Happening>,
+    ended: Option<&'a TimelineEvent>,
 }
 
 /// When lasting tasks didn't run, from `lasting_task_started` and `lasting_task_ended`.
-fn gaps(happenings: &[Happening]) -> Vec<Finding> {
+fn gaps(happenings: &[TimelineEvent]) -> Vec<Finding> {
     let mut tasks: BTreeMap<&str, Running<'_>> = BTreeMap::new();
     let mut gaps: Vec<Finding> = Vec::new();
     for line in happenings {
@@ -172,7 +172,7 @@
 
 /// Takes the end of a run in. Two leaders may tell the same one, and the first counts. Of another run it is a
 /// later end: its start has no line.
-fn take_end<'a>(running: &mut Running<'a>, line: &'a Happening) {
+fn take_end<'a>(running: &mut Running<'a>, line: &'a TimelineEvent) {
     running.at = None;
     match running.ended {
         Some(known) if known.get("run") == line.get("run") => {}
@@ -181,11 +181,11 @@
 }
 
 /// Since when a task is down whose end a line tells: a worker's silence begins before its runs are given up.
-fn down_since(ended: &Happening) -> CompactString {
+fn down_since(ended: &TimelineEvent) -> CompactString {
     earlier(&ended.at, number(ended, "down_ms").unwrap_or(0))
 }
 
-fn started<'a>(task: &str, running: &mut Running<'a>, line: &'a Happening) -> Option<Finding> {
+fn started<'a>(task: &str, running: &mut Running<'a>, line: &'a TimelineEvent) -> Option<Finding> {
     let ended = running.ended.take();
     let worker = line.get("worker").unwrap_or_default();
     let before = running.at.replace(worker);
@@ -208,7 +208,7 @@
 }
 
 /// How a run ended, in words.
-fn how_ended(line: &Happening) -> CompactString {
+fn how_ended(line: &TimelineEvent) -> CompactString {
     let worker = line.get("worker").unwrap_or_default();
     let end = match line.get("end").unwrap_or_default() {
         "lost" => format_compact!("lost with {worker}"),
@@ -240,7 +240,7 @@
     CompactString::new(id.split_once('.').map_or(id, |(_, rest)| rest))
 }
 
-fn number(line: &Happening, key: &str) -> Option<u64> {
+fn number(line: &TimelineEvent, key: &str) -> Option<u64> {
     line.get(key)?.parse().ok()
 }
 
--- a/crates/explain/tests/three_walks.rs
+++ b/crates/explain/tests/failed_requests.rs
@@ -1,23 +1,25 @@
 //! Three kinds of failed requests, from the id to the cause, by lines as the daemons write them.
 
-use egretlb_explain::{Finding, Walk};
+use egretlb_explain::{ExplanationBuilder, Finding};
 
 const ID: &str = "97aa5350f2a720be";
 
 /// Lines with the time in seconds, the VM, and the rest.
-fn walk(lines: &[(f64, &str, &str)]) -> Vec<Finding> {
-    let mut walk = Walk::new(ID);
+fn explain(lines: &[(f64, &str, &str)]) -> Vec<Finding> {
+    let mut builder = ExplanationBuilder::new(ID);
     // Logs of several VMs come one after the other, so lines aren't in the order of time.
     for (at, node, rest) in lines.iter().rev() {
-        walk.take(&format!("ts=2026-10-11T16:07:{at:06.3}Z level=info node={node} event={rest}"));
+        builder.add_line(&format!(
+            "ts=2026-10-11T16:07:{at:06.3}Z level=info node={node} event={rest}"
+        ));
     }
-    walk.finish().findings
+    builder.finish().findings
 }
 
 /// A surveyor complains that a check came late. Its leader had been killed just after it was accepted.
 #[test]
 fn owner_killed() {
-    let findings = walk(&[
+    let findings = explain(&[
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
         (2.600, "entry-2", "elected epoch=4 workers=66 workflows=80 unaccounted=66"),
         (2.640, "entry-2", "survey_complete epoch=4"),
@@ -37,7 +39,7 @@
 /// asked again, and the batch ran once.
 #[test]
 fn answer_lost() {
-    let findings = walk(&[
+    let findings = explain(&[
         (1.000, "entry-1", "append_given_up records=3 stored=Unknown"),
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Unknown"),
         (1.400, "entry-3", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
@@ -51,7 +53,7 @@
 /// A workflow failed. A grey worker failed its tasks, and those of others, until the attempts were used up.
 #[test]
 fn grey_workers() {
-    let findings = walk(&[
+    let findings = explain(&[
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
         (1.010, "entry-2", "workflow_started workflow=97aa5350f2a720be worker=w-1"),
         (1.300, "entry-2", "task_failed task=97aa5350f2a720be.0.0.4 run=1 worker=w-1 attempts=1"),
@@ -70,7 +72,7 @@
 /// A workflow isn't done since one of its tasks is lost with each worker that starts it.
 #[test]
 fn lost_with_workers() {
-    let findings = walk(&[
+    let findings = explain(&[
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
         (1.010, "entry-2", "workflow_started workflow=97aa5350f2a720be worker=w-1"),
         (4.300, "entry-2", "run_lost task=97aa5350f2a720be.0.0.4 run=1 worker=w-1 loss=replaced"),
@@ -85,7 +87,7 @@
 /// A workflow failed although none of its runs did: one of its tasks crashed the workers that started it.
 #[test]
 fn given_up() {
-    let findings = walk(&[
+    let findings = explain(&[
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
         (1.010, "entry-2", "workflow_started workflow=97aa5350f2a720be worker=w-1"),
         (7.700, "entry-2", "task_given_up task=97aa5350f2a720be.0.0.4 crashes=2"),
@@ -97,7 +99,7 @@
 
 #[test]
 fn refused_only() {
-    let findings = walk(&[
+    let findings = explain(&[
         (1.000, "entry-1", "append_given_up records=3 stored=No"),
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=No"),
         (2.100, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=No"),
@@ -108,14 +110,14 @@
 #[test]
 fn never_seen() {
     let findings =
-        walk(&[(1.0, "entry-1", "submitted workflow=00000000000000a1 route=r stored=Yes")]);
+        explain(&[(1.0, "entry-1", "submitted workflow=00000000000000a1 route=r stored=Yes")]);
     assert_eq!(findings, [Finding::NotSeen]);
 }
 
 /// Lines were dropped while it ran: what isn't there may have happened.
 #[test]
 fn lines_missing() {
-    let findings = walk(&[
+    let findings = explain(&[
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
         (1.500, "entry-1", "log_lines_dropped lines=12"),
         (2.000, "entry-2", "workflow_ended workflow=97aa5350f2a720be outcome=Completed"),
--- a/crates/explain/tests/why_down.rs
+++ b/crates/explain/tests/task_downtime.rs
@@ -1,16 +1,18 @@
 //! Why a lasting task wasn't running, from its id to the cause, by lines as the daemons write them.
 
-use egretlb_explain::{Finding, Walk};
+use egretlb_explain::{ExplanationBuilder, Finding};
 
 const ID: &str = "97aa5350f2a720be";
 
 /// Lines with the time in seconds, the VM, and the rest.
-fn walk(id: &str, lines: &[(f64, &str, &str)]) -> Vec<Finding> {
-    let mut walk = Walk::new(id);
+fn explain(id: &str, lines: &[(f64, &str, &str)]) -> Vec<Finding> {
+    let mut builder = ExplanationBuilder::new(id);
     for (at, node, rest) in lines.iter().rev() {
-        walk.take(&format!("ts=2026-10-11T16:07:{at:06.3}Z level=info node={node} event={rest}"));
+        builder.add_line(&format!(
+            "ts=2026-10-11T16:07:{at:06.3}Z level=info node={node} event={rest}"
+        ));
     }
-    walk.finish().findings
+    builder.finish().findings
 }
 
 fn texts(findings: &[Finding]) -> String {
@@ -21,7 +23,7 @@
 /// its room to short ones.
 #[test]
 fn preempted() {
-    let findings = walk(
+    let findings = explain(
         ID,
         &[
             (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
@@ -66,7 +68,7 @@
 /// it start saw it end; the new leader says what it held back for which worker.
 #[test]
 fn leader_and_worker_lost() {
-    let findings = walk(
+    let findings = explain(
         ID,
         &[
             (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
@@ -109,7 +111,7 @@
 /// It still isn't running, and the log goes on: what came after its last line matters, too.
 #[test]
 fn still_down() {
-    let findings = walk(
+    let findings = explain(
         ID,
         &[
             (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
@@ -173,7 +175,7 @@
             "tasks_waiting step=97aa5350f2a720be.0.1 tasks=1 indices=3 waited_ms=3000 reason=\"no worker has room\"",
         ),
     ];
-    let texts = texts(&walk("97aa5350f2a720be.0.0.3", &lines));
+    let texts = texts(&explain("97aa5350f2a720be.0.0.3", &lines));
     assert!(texts.contains("task 0.0.3 hasn't run since"), "{texts}");
     assert!(!texts.contains("task 0.0.4"), "{texts}");
     assert!(texts.contains("step 0.0 waited") && !texts.contains("step 0.1"), "{texts}");
@@ -182,7 +184,7 @@
 /// Waits of which lines were left out: what isn't told may still have been so.
 #[test]
 fn left_out() {
-    let findings = walk(
+    let findings = explain(
         ID,
         &[
             (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
@@ -196,7 +198,7 @@
 /// Hundreds of steps waited, and not each had a line.
 #[test]
 fn waits_untold() {
-    let findings = walk(
+    let findings = explain(
         ID,
         &[
             (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
@@ -212,7 +214,7 @@
 /// The line on a start in between was left out: the later end of another run is the one that counts.
 #[test]
 fn start_untold() {
-    let findings = walk(
+    let findings = explain(
         ID,
         &[
             (
@@ -241,7 +243,7 @@
 /// anywhere, whatever room there is.
 #[test]
 fn orders_suspended() {
-    let findings = walk(
+    let findings = explain(
         ID,
         &[
             (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
@@ -268,7 +270,7 @@
 /// The new leader was deposed itself while it held back what it had inherited.
 #[test]
 fn held_until_deposed() {
-    let findings = walk(
+    let findings = explain(
         ID,
         &[
             (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
@@ -294,7 +296,7 @@
 /// nothing.
 #[test]
 fn woke_deposed() {
-    let findings = walk(
+    let findings = explain(
         ID,
         &[
             (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
@@ -323,7 +325,7 @@
              reason=\"no worker has room\" workers=\"\" service_workers=48 fit_workers=33",
         ),
     ];
-    let texts = texts(&walk(ID, &lines));
+    let texts = texts(&explain(ID, &lines));
     assert!(
         texts.contains(
             "step 0.0 waited since 2026-10-11T16:07:02.000Z, for 7000 ms at least, 2 of its tasks (0,1): no \
