--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -45,7 +45,7 @@
         epoch: Epoch,
     },
     /// Nothing of this node's journal before `from` is needed for the shards that it owns.
-    JournalLive {
+    JournalLowWaterMark {
         /// The oldest record needed.
         from: Offset,
     },
@@ -84,14 +84,14 @@
 
 /// How a proposal ended for the operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum ProposalOutcome {
     /// It is in force under this version.
-    Won {
+    Accepted {
         /// The version.
         version: ConfigVersion,
     },
     /// Another change came first, and this one is void.
-    Lost {
+    Superseded {
         /// The version that is accepted instead.
         version: ConfigVersion,
         /// Its document, to be compared with.
@@ -105,22 +105,22 @@
     /// It was never in the log, which is out of reach; propose it again later.
     Unavailable,
     /// The log may hold it: look at the version in force before proposing again.
-    InDoubt,
+    Unconfirmed,
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for ProposalOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Verdict::Won { version } => write!(f, "accepted as version {version}"),
-            Verdict::Lost { version, .. } => write!(
+            ProposalOutcome::Accepted { version } => write!(f, "accepted as version {version}"),
+            ProposalOutcome::Superseded { version, .. } => write!(
                 f,
                 "version {version} was accepted first; compare with it and propose on it again"
             ),
-            Verdict::Invalid { faults } => write!(f, "the document has faults: {faults}"),
-            Verdict::Unavailable => {
+            ProposalOutcome::Invalid { faults } => write!(f, "the document has faults: {faults}"),
+            ProposalOutcome::Unavailable => {
                 write!(f, "the log can't be reached and nothing was proposed; propose it again")
             }
-            Verdict::InDoubt => write!(
+            ProposalOutcome::Unconfirmed => write!(
                 f,
                 "the log's answer was lost; see `egretlb config show` before proposing again"
             ),
@@ -211,7 +211,7 @@
         /// The proposal.
         id: ProposalId,
         /// How it ended.
-        verdict: Verdict,
+        outcome: ProposalOutcome,
     },
     /// Send a heartbeat; nothing comes back.
     Heartbeat {
--- a/crates/control/src/fold.rs
+++ b/crates/control/src/fold.rs
@@ -17,9 +17,9 @@
     /// Who wrote the records.
     pub authors: Vec<NodeId>,
     /// Whether the stream's end was reached.
-    pub end: bool,
+    pub reached_end: bool,
     /// Whether the stream's end was reached without a state: all snapshots have expired.
-    pub lost: bool,
+    pub state_lost: bool,
     /// Whether the reader had to begin again, since its offset had expired.
     pub restarted: bool,
     /// Records that couldn't be read.
@@ -95,8 +95,8 @@
                     self.fold_record(&record, validator, &mut folded);
                 }
                 // A page of expired or compacted records may be empty and still move on.
-                folded.end = end && next <= self.next;
-                folded.lost = folded.end && self.state.is_none();
+                folded.reached_end = end && next <= self.next;
+                folded.state_lost = folded.reached_end && self.state.is_none();
             }
         }
         folded
--- a/crates/control/src/gossip.rs
+++ b/crates/control/src/gossip.rs
@@ -37,13 +37,13 @@
 /// A process not heard of for this long is probed no more often than others are.
 const PROBE_UNTIL: Duration = Duration::from_secs(10);
 
-/// The unit of [`Heard::age`], in milliseconds.
+/// The unit of [`LastContact::age`], in milliseconds.
 const AGE_UNIT_MS: u64 = 100;
 
 /// A process in a heartbeat: the low 32 bits of its id. Two processes of one tag would at worst
 /// hide each other's silence until one is restarted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct LastContact {
     /// The low 32 bits of the process's id.
     pub tag: [u8; 4],
     /// How long ago it was heard, in units of 100 ms.
@@ -57,13 +57,13 @@
     pub from: NodeId,
     /// Whether the sender reads the log: one that doesn't can't act for its shards, and must not
     /// keep others from claiming them.
-    pub in_touch: bool,
+    pub has_fresh_read: bool,
     /// The version of the configuration in force at the sender.
     pub config: ConfigVersion,
     /// Whether this answers a heartbeat whose sender had lost sight of this process.
     pub answer: bool,
     /// The schedulers that the sender has heard of lately.
-    pub heard: Vec<Heard>,
+    pub last_contacts: Vec<LastContact>,
 }
 
 fn tag(node: NodeId) -> [u8; 4] {
@@ -125,7 +125,7 @@
     }
 
     /// How long nothing was heard of the process; `None` if it doesn't take part.
-    pub(crate) fn silence(&self, now: Time, node: NodeId) -> Option<Duration> {
+    pub(crate) fn time_since_contact(&self, now: Time, node: NodeId) -> Option<Duration> {
         self.sights.get(&node).map(|sight| now.since(sight.last()))
     }
 
@@ -146,10 +146,10 @@
     /// answer at once.
     pub(crate) fn receive(&mut self, now: Time, heartbeat: &Heartbeat) -> bool {
         self.received = Some(now);
-        if heartbeat.in_touch {
+        if heartbeat.has_fresh_read {
             self.hear(heartbeat.from, now);
         }
-        for heard in &heartbeat.heard {
+        for heard in &heartbeat.last_contacts {
             let age = Duration::from_millis(u64::from(heard.age) * AGE_UNIT_MS);
             let node = self.sights.keys().find(|node| tag(**node) == heard.tag).copied();
             if let Some(node) = node {
@@ -157,8 +157,8 @@
             }
         }
         let limit = PROBE_AFTER.as_millis() as u64 / AGE_UNIT_MS;
-        let sees_me = |h: &Heard| h.tag == tag(self.me.node) && u64::from(h.age) < limit;
-        let lost = !heartbeat.heard.iter().any(sees_me);
+        let sees_me = |h: &LastContact| h.tag == tag(self.me.node) && u64::from(h.age) < limit;
+        let lost = !heartbeat.last_contacts.iter().any(sees_me);
         // An answer is never answered: a peer that doesn't know this process yet would go on.
         lost && !heartbeat.answer && self.me.role == Role::Scheduler
     }
@@ -178,15 +178,16 @@
         self.next_at = now + every.mul_f64(self.rng.random_range(0.9..1.1));
         let others: Vec<&NodeInfo> = members.filter(|info| info.node != self.me.node).collect();
         self.probe_next = !self.probe_next;
-        let silence = |info: &NodeInfo| self.silence(now, info.node).unwrap_or_default();
+        let idle_time =
+            |info: &NodeInfo| self.time_since_contact(now, info.node).unwrap_or_default();
         let lost = others
             .iter()
             .copied()
             .filter(|info| info.role == Role::Scheduler)
-            .filter(|info| (PROBE_AFTER..PROBE_UNTIL).contains(&silence(info)))
+            .filter(|info| (PROBE_AFTER..PROBE_UNTIL).contains(&idle_time(info)))
             // The one with most time to lose first; one that is suspected already comes last.
-            .max_by_key(|info| (silence(info) < PROBE_ONLY_UNTIL, silence(info)));
-        let probe = |info: &NodeInfo| self.probe_next || silence(info) < PROBE_ONLY_UNTIL;
+            .max_by_key(|info| (idle_time(info) < PROBE_ONLY_UNTIL, idle_time(info)));
+        let probe = |info: &NodeInfo| self.probe_next || idle_time(info) < PROBE_ONLY_UNTIL;
         match lost.filter(|info| probe(info)) {
             Some(info) => Some(info),
             None => self.choose(&others),
@@ -207,18 +208,18 @@
     pub(crate) fn heartbeat<'a>(
         &self,
         now: Time,
-        in_touch: bool,
+        has_fresh_read: bool,
         config: ConfigVersion,
         schedulers: impl Iterator<Item = &'a NodeInfo>,
     ) -> Heartbeat {
-        let heard = schedulers
+        let last_contacts = schedulers
             .filter_map(|info| Some((info.node, now.since(self.heard_at(info.node)?))))
             .filter_map(|(node, silence)| {
                 let age = u8::try_from((silence.as_millis() as u64).div_ceil(AGE_UNIT_MS)).ok()?;
-                Some(Heard { tag: tag(node), age })
+                Some(LastContact { tag: tag(node), age })
             })
             .collect();
-        Heartbeat { from: self.me.node, in_touch, config, answer: false, heard }
+        Heartbeat { from: self.me.node, has_fresh_read, config, answer: false, last_contacts }
     }
 
     fn hear(&mut self, node: NodeId, at: Time) {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
 //! Membership, shard ownership and configuration, folded from the control stream.
 //!
 //! Every process reads one stream and folds it by the same pure function ([`ControlState`]), so
-//! that all reach the same verdict on every race: who is a node, who owns a shard, which
+//! that all reach the same outcome on every race: who is a node, who owns a shard, which
 //! configuration is in force. [`Control`] is the reducer of one process around that fold: it
 //! joins, claims shards of lost owners, waits until their authority has certainly lapsed, and
 //! says at the last moment before an unsafe step whether this process still may
@@ -20,9 +20,9 @@
 mod state;
 
 pub use crate::{
-    event::{Alarm, ControlEffect, ControlEvent, Predecessor, Verdict},
+    event::{Alarm, ControlEffect, ControlEvent, Predecessor, ProposalOutcome},
     fold::{ControlFold, Folded},
-    gossip::{Heard, Heartbeat},
+    gossip::{Heartbeat, LastContact},
     options::{ControlOptions, Protections},
     record::{ConfigVersion, ControlRecord, NodeInfo, ProposalId, Role, ShardEpoch, ShardEpochs},
     reducer::{Control, InForce},
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -10,25 +10,25 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Protections {
     /// A successor waits until its predecessor's authority must have lapsed.
-    pub wait_out: bool,
+    pub await_lease_expiry: bool,
     /// Authority counts from when the read was sent, not from when its answer came.
-    pub count_from_sending: bool,
+    pub lease_from_send: bool,
     /// A successor acts only after its own snapshot is durable.
-    pub snapshot_first: bool,
+    pub snapshot_before_settle: bool,
     /// A proposal is void unless it names the current version as its base.
     pub base_check: bool,
     /// A version is put in force only if it is higher than the one in force.
-    pub only_forward: bool,
+    pub monotonic_versions: bool,
 }
 
 impl Default for Protections {
     fn default() -> Self {
         Protections {
-            wait_out: true,
-            count_from_sending: true,
-            snapshot_first: true,
+            await_lease_expiry: true,
+            lease_from_send: true,
+            snapshot_before_settle: true,
             base_check: true,
-            only_forward: true,
+            monotonic_versions: true,
         }
     }
 }
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -95,7 +95,7 @@
 /// each names the state that it applies to, and is void on any other.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ControlRecord {
-    /// A process takes part, or answers a [`ControlRecord::Doubt`] by joining again.
+    /// A process takes part, or answers a [`ControlRecord::LivenessCheck`] by joining again.
     Join(NodeInfo),
     /// A process has gone, by its own word or after a long silence.
     Leave {
@@ -124,7 +124,7 @@
         shards: ShardEpochs,
     },
     /// A process that hears few others asks through the log whether these are still there.
-    Doubt {
+    LivenessCheck {
         /// The process that asks.
         by: NodeId,
         /// The processes that it doesn't hear.
@@ -149,7 +149,7 @@
         state: Vec<u8>,
     },
     /// A successor of `owner` needs nothing of its journal before `from`.
-    Mark {
+    LowWaterMark {
         /// The owner of the journal.
         owner: NodeId,
         /// The oldest record of it that is needed.
@@ -177,8 +177,8 @@
             ControlRecord::Claim { owner, .. }
             | ControlRecord::Settled { owner, .. }
             | ControlRecord::Release { owner, .. } => Some(*owner),
-            ControlRecord::Doubt { by, .. } => Some(*by),
-            ControlRecord::Mark { owner, .. } => Some(*owner),
+            ControlRecord::LivenessCheck { by, .. } => Some(*by),
+            ControlRecord::LowWaterMark { owner, .. } => Some(*owner),
             ControlRecord::Leave { .. }
             | ControlRecord::Propose { .. }
             | ControlRecord::Snapshot { .. } => None,
--- a/crates/control/src/reducer/act.rs
+++ b/crates/control/src/reducer/act.rs
@@ -30,15 +30,15 @@
             self.suspicion.update(now, self.options.info.node, &self.gossip, state);
         }
         self.send_heartbeat(now, out);
-        let in_touch = self.reads.is_in_touch(now);
-        self.watch(now, in_touch, out);
-        if in_touch {
+        let has_fresh_read = self.reads.has_fresh_read(now);
+        self.watch(now, has_fresh_read, out);
+        if has_fresh_read {
             self.take_part(now, out);
         } else {
             self.fetch_config(now, out);
         }
-        self.give_up_shards(now, in_touch, out);
-        self.decide_proposals(now, in_touch, out);
+        self.give_up_shards(now, has_fresh_read, out);
+        self.decide_proposals(now, has_fresh_read, out);
         if self.running != Running::Left && self.reads.due(now) {
             out.push(ControlEffect::Read { from: self.fold.next() });
         }
@@ -51,12 +51,13 @@
         out.push(ControlEffect::Heartbeat { to, heartbeat });
     }
 
-    fn watch(&mut self, now: Time, in_touch: bool, out: &mut Vec<ControlEffect>) {
+    fn watch(&mut self, now: Time, has_fresh_read: bool, out: &mut Vec<ControlEffect>) {
         let long = self.reads.out_of_touch_for(now) >= LEASE;
-        self.alarms.set(Alarm::LogOutOfReach, !in_touch && long, out);
-        let few = in_touch && self.suspicion.few_heard();
+        self.alarms.set(Alarm::LogOutOfReach, !has_fresh_read && long, out);
+        let few = has_fresh_read && self.suspicion.few_heard();
         self.alarms.set(Alarm::FewPeersHeard, few, out);
-        let unserved = in_touch && self.succession.any_unserved_for(now, UNSERVED_ALARM_AFTER);
+        let unserved =
+            has_fresh_read && self.succession.any_unserved_for(now, UNSERVED_ALARM_AFTER);
         self.alarms.set(Alarm::ShardsWithoutOwner, unserved, out);
     }
 
@@ -101,8 +102,8 @@
         let Some(state) = self.fold.state() else { return };
         let of = self.suspicion.to_doubt(now, self.me(), &self.gossip, state);
         if !of.is_empty() {
-            let record = ControlRecord::Doubt { by: self.me(), of };
-            self.append(now, Purpose::Doubt, &record, out);
+            let record = ControlRecord::LivenessCheck { by: self.me(), of };
+            self.append(now, Purpose::LivenessCheck, &record, out);
         }
     }
 
@@ -143,7 +144,12 @@
             self.append(now, Purpose::Prune, &ControlRecord::Leave { node }, out);
         }
         if let Some(from) = mark {
-            self.append(now, Purpose::Mark, &ControlRecord::Mark { owner: me, from }, out);
+            self.append(
+                now,
+                Purpose::LowWaterMark,
+                &ControlRecord::LowWaterMark { owner: me, from },
+                out,
+            );
         }
         if self.upkeep.wants_snapshot(now, me, &self.fold, self.suspicion.live())
             && let Some(record) = self.fold.snapshot()
@@ -154,10 +160,10 @@
 
     /// Appends the releases, and on shutdown the leave. Tried without a fresh read too: a process
     /// that ends while the log is slow should still save its successors the wait.
-    fn give_up_shards(&mut self, now: Time, in_touch: bool, out: &mut Vec<ControlEffect>) {
+    fn give_up_shards(&mut self, now: Time, has_fresh_read: bool, out: &mut Vec<ControlEffect>) {
         let shards = self.holdings.to_release();
         if !shards.is_empty() {
-            self.append_release(now, in_touch, shards, out);
+            self.append_release(now, has_fresh_read, shards, out);
             return;
         }
         let Some(state) = self.fold.state() else { return };
@@ -171,7 +177,7 @@
         } else if state.member(self.me()).is_some() {
             let record = ControlRecord::Leave { node: self.me() };
             self.append(now, Purpose::Leave, &record, out);
-        } else if !self.appends.in_doubt(Purpose::Claim) || in_touch {
+        } else if !self.appends.in_doubt(Purpose::Claim) || has_fresh_read {
             self.running = Running::Left;
             out.push(ControlEffect::ShutdownDone);
         }
@@ -180,21 +186,21 @@
     fn append_release(
         &mut self,
         now: Time,
-        in_touch: bool,
+        has_fresh_read: bool,
         shards: ShardEpochs,
         out: &mut Vec<ControlEffect>,
     ) {
         let record = ControlRecord::Release { owner: self.me(), shards };
-        let read_sent = if in_touch { self.reads.fresh() } else { Some(now) };
+        let read_sent = if has_fresh_read { self.reads.fresh() } else { Some(now) };
         if self.appends.is_open(now, Purpose::Release, read_sent) {
             self.appends.append(now, Purpose::Release, &record, out);
         }
     }
 
-    fn decide_proposals(&mut self, now: Time, in_touch: bool, out: &mut Vec<ControlEffect>) {
+    fn decide_proposals(&mut self, now: Time, has_fresh_read: bool, out: &mut Vec<ControlEffect>) {
         let config = self.fold.state().map(ControlState::config);
         self.proposals.decide(now, config, &mut self.appends, out);
-        if in_touch {
+        if has_fresh_read {
             self.proposals.append(now, self.reads.fresh(), &mut self.appends, out);
         }
     }
--- a/crates/control/src/reducer/gate.rs
+++ b/crates/control/src/reducer/gate.rs
@@ -30,11 +30,11 @@
     Claim,
     Settle,
     Release,
-    Doubt,
+    LivenessCheck,
     Snapshot,
     Leave,
     Prune,
-    Mark,
+    LowWaterMark,
     Propose(ProposalId),
 }
 
--- a/crates/control/src/reducer/in_force.rs
+++ b/crates/control/src/reducer/in_force.rs
@@ -61,7 +61,7 @@
         out: &mut Vec<ControlEffect>,
     ) {
         let newer = version > self.in_force.version;
-        let other = !self.protections.only_forward && version != self.in_force.version;
+        let other = !self.protections.monotonic_versions && version != self.in_force.version;
         if !newer && !other {
             return;
         }
--- a/crates/control/src/reducer/mod.rs
+++ b/crates/control/src/reducer/mod.rs
@@ -15,7 +15,7 @@
 
 use {
     crate::{
-        event::{Alarm, ControlEffect, ControlEvent, Verdict},
+        event::{Alarm, ControlEffect, ControlEvent, ProposalOutcome},
         fold::{ControlFold, Folded},
         gossip::{Gossip, Heartbeat},
         options::ControlOptions,
@@ -103,7 +103,7 @@
             ControlEvent::HeartbeatReceived(heartbeat) => self.heartbeat(now, &heartbeat, out),
             ControlEvent::VmGone { addr } => self.vm_gone(now, &addr),
             ControlEvent::RecoveryDone { shard, epoch } => self.recovered(shard, epoch, out),
-            ControlEvent::JournalLive { from } => self.upkeep.journal_live(from),
+            ControlEvent::JournalLowWaterMark { from } => self.upkeep.journal_live(from),
             ControlEvent::Propose { id, base, by, document } => {
                 self.propose(now, id, base, by, document, out);
             }
@@ -142,8 +142,8 @@
     }
 
     /// Whether a read of the control stream has reached its end lately.
-    pub fn is_in_touch(&self, now: Time) -> bool {
-        self.reads.is_in_touch(now)
+    pub fn has_fresh_read(&self, now: Time) -> bool {
+        self.reads.has_fresh_read(now)
     }
 
     /// Until when this process may act for the shard, unless it reads the log again before; `None`
@@ -171,8 +171,8 @@
     }
 
     /// How long the process was last heard of, by gossip; `None` if it doesn't take part.
-    pub fn silence(&self, now: Time, node: NodeId) -> Option<Duration> {
-        self.gossip.silence(now, node)
+    pub fn time_since_contact(&self, now: Time, node: NodeId) -> Option<Duration> {
+        self.gossip.time_since_contact(now, node)
     }
 
     fn me(&self) -> NodeId {
@@ -195,14 +195,14 @@
         if folded.restarted {
             self.succession.clear();
         }
-        if folded.lost {
+        if folded.state_lost {
             self.alarms.set(Alarm::StateLost, true, out);
         }
         let moved = self.fold.next() != before;
         if moved {
             self.follow(now, &folded, out);
         }
-        if folded.end && self.fold.state().is_some() {
+        if folded.reached_end && self.fold.state().is_some() {
             self.reached_end(now, sent, out);
         } else if moved {
             self.reads.hurry();
@@ -211,7 +211,7 @@
 
     fn reached_end(&mut self, now: Time, sent: Time, out: &mut Vec<ControlEffect>) {
         self.alarms.set(Alarm::StateLost, false, out);
-        let counted = if self.options.protections.count_from_sending { sent } else { now };
+        let counted = if self.options.protections.lease_from_send { sent } else { now };
         if self.reads.reached_end(now, counted) {
             // Nobody could be heard of as in touch while this process, or the log, was away.
             // Without this pause all would claim everything when the log comes back.
@@ -222,7 +222,7 @@
 
     /// Follows what was folded.
     fn follow(&mut self, now: Time, folded: &Folded, out: &mut Vec<ControlEffect>) {
-        let was_in_touch = self.reads.is_in_touch(now);
+        let was_in_touch = self.reads.has_fresh_read(now);
         if let Some(state) = self.fold.state() {
             self.gossip.follow(now, state);
             self.succession.follow(now, state, out);
@@ -254,7 +254,7 @@
     fn follow_doubts(&mut self, now: Time, folded: &Folded) {
         let me = self.me();
         for change in &folded.changes {
-            let Change::Doubted { of, .. } = change else { continue };
+            let Change::LivenessCheck { of, .. } = change else { continue };
             for node in of {
                 self.suspicion.doubted(now, *node);
             }
@@ -281,10 +281,10 @@
     }
 
     fn own_heartbeat(&self, now: Time) -> Heartbeat {
-        let in_touch = self.reads.is_in_touch(now);
+        let has_fresh_read = self.reads.has_fresh_read(now);
         let version = self.config.in_force().version;
         let schedulers = self.fold.state().into_iter().flat_map(ControlState::schedulers);
-        self.gossip.heartbeat(now, in_touch, version, schedulers)
+        self.gossip.heartbeat(now, has_fresh_read, version, schedulers)
     }
 
     fn vm_gone(&mut self, now: Time, addr: &str) {
@@ -304,7 +304,10 @@
     ) {
         // A document with faults never reaches the log.
         if let Err(faults) = (self.validator)(&document) {
-            out.push(ControlEffect::ProposalDecided { id, verdict: Verdict::Invalid { faults } });
+            out.push(ControlEffect::ProposalDecided {
+                id,
+                outcome: ProposalOutcome::Invalid { faults },
+            });
             return;
         }
         let record = ControlRecord::Propose { id, base, by, document };
@@ -342,7 +345,7 @@
     /// Counted from the sending of the last read that reached the end: what was in the log then
     /// shows this process as settled owner, and no successor acts before this has lapsed.
     fn epoch_if_held(&self, now: Time, shard: ShardId) -> Option<Epoch> {
-        if !self.reads.is_in_touch(now) {
+        if !self.reads.has_fresh_read(now) {
             return None;
         }
         self.holdings.epoch(shard)
--- a/crates/control/src/reducer/proposals.rs
+++ b/crates/control/src/reducer/proposals.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        event::{ControlEffect, Verdict},
+        event::{ControlEffect, ProposalOutcome},
         record::{ConfigVersion, ControlRecord, ProposalId},
         reducer::gate::{Appends, Purpose},
         state::{ConfigState, Decision},
@@ -39,7 +39,7 @@
         out: &mut Vec<ControlEffect>,
     ) {
         if self.waiting.len() >= WAITING_MAX {
-            out.push(ControlEffect::ProposalDecided { id, verdict: Verdict::Unavailable });
+            out.push(ControlEffect::ProposalDecided { id, outcome: ProposalOutcome::Unavailable });
             return;
         }
         self.waiting.entry(id).or_insert(Waiting { record, base, since: now });
@@ -54,12 +54,12 @@
         out: &mut Vec<ControlEffect>,
     ) {
         self.waiting.retain(|id, waiting| {
-            let verdict = config
-                .and_then(|config| verdict(*id, waiting, config, appends))
+            let outcome = config
+                .and_then(|config| outcome(*id, waiting, config, appends))
                 .or_else(|| overdue(now, *id, waiting, appends));
-            let Some(verdict) = verdict else { return true };
+            let Some(outcome) = outcome else { return true };
             appends.forget(Purpose::Propose(*id));
-            out.push(ControlEffect::ProposalDecided { id: *id, verdict });
+            out.push(ControlEffect::ProposalDecided { id: *id, outcome });
             false
         });
     }
@@ -81,18 +81,21 @@
     }
 }
 
-fn verdict(
+fn outcome(
     id: ProposalId,
     waiting: &Waiting,
     config: &ConfigState,
     appends: &Appends,
-) -> Option<Verdict> {
+) -> Option<ProposalOutcome> {
     let current = config.current();
-    let lost = || Verdict::Lost { version: current.version, document: current.text.clone() };
+    let lost =
+        || ProposalOutcome::Superseded { version: current.version, document: current.text.clone() };
     match config.decision(id) {
-        Some(Decision::Accepted(version)) => Some(Verdict::Won { version: *version }),
+        Some(Decision::Accepted(version)) => Some(ProposalOutcome::Accepted { version: *version }),
         Some(Decision::Outdated(_)) => Some(lost()),
-        Some(Decision::Invalid(faults)) => Some(Verdict::Invalid { faults: faults.clone() }),
+        Some(Decision::Invalid(faults)) => {
+            Some(ProposalOutcome::Invalid { faults: faults.clone() })
+        }
         // Its base is already superseded here, and no copy of it can be in the log unseen.
         None if waiting.base < current.version && !appends.in_doubt(Purpose::Propose(id)) => {
             Some(lost())
@@ -101,10 +104,15 @@
     }
 }
 
-fn overdue(now: Time, id: ProposalId, waiting: &Waiting, appends: &Appends) -> Option<Verdict> {
+fn overdue(
+    now: Time,
+    id: ProposalId,
+    waiting: &Waiting,
+    appends: &Appends,
+) -> Option<ProposalOutcome> {
     if now < waiting.since + GIVE_UP_AFTER {
         return None;
     }
     let in_doubt = appends.in_doubt(Purpose::Propose(id));
-    Some(if in_doubt { Verdict::InDoubt } else { Verdict::Unavailable })
+    Some(if in_doubt { ProposalOutcome::Unconfirmed } else { ProposalOutcome::Unavailable })
 }
--- a/crates/control/src/reducer/reads.rs
+++ b/crates/control/src/reducer/reads.rs
@@ -68,9 +68,9 @@
 
     /// A read that was sent at `counted` reached the end. `true` if this process was out of touch.
     pub(crate) fn reached_end(&mut self, now: Time, counted: Time) -> bool {
-        let was_in_touch = self.is_in_touch(now);
+        let was_in_touch = self.has_fresh_read(now);
         self.fresh = self.fresh.max(Some(counted));
-        let returned = !was_in_touch && self.is_in_touch(now);
+        let returned = !was_in_touch && self.has_fresh_read(now);
         if returned {
             self.in_touch_since = Some(now);
         }
@@ -83,13 +83,13 @@
     }
 
     /// Whether a read that reached the end was sent less than [`LEASE`] ago.
-    pub(crate) fn is_in_touch(&self, now: Time) -> bool {
+    pub(crate) fn has_fresh_read(&self, now: Time) -> bool {
         self.fresh.is_some_and(|sent| now < sent + LEASE)
     }
 
     /// How long this process has been in touch without a break; zero if it isn't.
     pub(crate) fn in_touch_for(&self, now: Time) -> Duration {
-        if !self.is_in_touch(now) {
+        if !self.has_fresh_read(now) {
             return Duration::ZERO;
         }
         self.in_touch_since.map_or(Duration::ZERO, |since| now.since(since))
--- a/crates/control/src/reducer/succession.rs
+++ b/crates/control/src/reducer/succession.rs
@@ -116,7 +116,7 @@
             return;
         }
         if self.takeovers.get(&shard).is_none_or(|takeover| takeover.epoch != epoch) {
-            let must_wait = of.must_wait() && self.protections.wait_out;
+            let must_wait = of.must_wait() && self.protections.await_lease_expiry;
             let until = if must_wait { now + WAIT_OUT } else { now };
             self.takeovers.insert(shard, Takeover { epoch, stage: Stage::Waiting { until } });
         }
@@ -155,8 +155,11 @@
             if now < until {
                 continue;
             }
-            takeover.stage =
-                if self.protections.snapshot_first { Stage::Recovering } else { Stage::Recovered };
+            takeover.stage = if self.protections.snapshot_before_settle {
+                Stage::Recovering
+            } else {
+                Stage::Recovered
+            };
             let from = state.shard(*shard).last_settled();
             out.push(ControlEffect::Recover {
                 shard: *shard,
--- a/crates/control/src/reducer/suspicion.rs
+++ b/crates/control/src/reducer/suspicion.rs
@@ -90,7 +90,9 @@
     pub(crate) fn update(&mut self, now: Time, me: NodeId, gossip: &Gossip, state: &ControlState) {
         self.signs.retain(|node, _| state.member(*node).is_some());
         for (node, signs) in &mut self.signs {
-            let silent = gossip.silence(now, *node).is_none_or(|silence| silence >= SUSPECT_AFTER);
+            let silent = gossip
+                .time_since_contact(now, *node)
+                .is_none_or(|silence| silence >= SUSPECT_AFTER);
             signs.doubted = signs.doubted.filter(|_| silent);
             let heard_since = |at: &Time| gossip.heard_at(*node).is_none_or(|heard| heard <= *at);
             signs.gone = signs.gone.filter(heard_since);
@@ -173,14 +175,16 @@
         gossip: &Gossip,
         limit: Duration,
     ) -> bool {
-        let silent = gossip.silence(now, info.node).is_some_and(|silence| silence >= limit);
+        let silent =
+            gossip.time_since_contact(now, info.node).is_some_and(|silence| silence >= limit);
         let seen = self.signs.get(&info.node).and_then(|signs| signs.seen_in_log);
         let seen_lately = seen.is_some_and(|at| now < at + limit);
         silent && !seen_lately && (info.role == Role::Entry || !self.is_live(info.node))
     }
 
     fn is_silent(&self, now: Time, node: NodeId, gossip: &Gossip) -> bool {
-        let silent = gossip.silence(now, node).is_none_or(|silence| silence >= SUSPECT_AFTER);
+        let silent =
+            gossip.time_since_contact(now, node).is_none_or(|silence| silence >= SUSPECT_AFTER);
         silent || self.signs.get(&node).is_some_and(|signs| signs.gone.is_some())
     }
 
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -30,7 +30,7 @@
     /// A shard's owner gave it up.
     Released(NodeId, ShardEpoch),
     /// Some processes are asked to show that they are there.
-    Doubted {
+    LivenessCheck {
         /// Who asks.
         by: NodeId,
         /// Who is asked.
@@ -82,8 +82,8 @@
             ControlRecord::Release { owner, shards } => self.each(shards, |state, epoch| {
                 state.release(*owner, epoch.epoch).then_some(Change::Released(*owner, epoch))
             }),
-            ControlRecord::Doubt { by, of } => {
-                SmallVec::from_iter([Change::Doubted { by: *by, of: of.clone() }])
+            ControlRecord::LivenessCheck { by, of } => {
+                SmallVec::from_iter([Change::LivenessCheck { by: *by, of: of.clone() }])
             }
             ControlRecord::Propose { id, base, by, document } => {
                 let accepted = Accepted {
@@ -93,7 +93,7 @@
                 };
                 self.config.propose(*id, *base, accepted, validator)
             }
-            ControlRecord::Mark { owner, from } => {
+            ControlRecord::LowWaterMark { owner, from } => {
                 self.mark(*owner, *from);
                 Changes::new()
             }
--- a/crates/control/tests/gossip_spread.rs
+++ b/crates/control/tests/gossip_spread.rs
@@ -39,7 +39,7 @@
     for of in &world.nodes[..schedulers] {
         let now = of.clock.read(world.now);
         for other in &world.nodes[..schedulers] {
-            let silence = of.control.as_ref().unwrap().silence(now, other.info.node);
+            let silence = of.control.as_ref().unwrap().time_since_contact(now, other.info.node);
             silences.extend(silence.map(|silence| silence.as_millis()));
         }
     }
--- a/crates/control/tests/protections.rs
+++ b/crates/control/tests/protections.rs
@@ -41,7 +41,7 @@
         world.inject(0, Fault::CutFromPeers);
         world.run_until(30 * SEC);
     };
-    let violations = without(switched_off(|p| p.wait_out = false), script);
+    let violations = without(switched_off(|p| p.await_lease_expiry = false), script);
     assert_noticed(&violations, "two owners at once");
 }
 
@@ -53,7 +53,7 @@
         world.inject(0, Fault::LateAnswers);
         world.run_until(30 * SEC);
     };
-    let violations = without(switched_off(|p| p.count_from_sending = false), script);
+    let violations = without(switched_off(|p| p.lease_from_send = false), script);
     assert_noticed(&violations, "two owners at once");
 }
 
@@ -71,7 +71,7 @@
         world.kill(1);
         world.run_until(world.now + 30 * SEC);
     };
-    let violations = without(switched_off(|p| p.snapshot_first = false), script);
+    let violations = without(switched_off(|p| p.snapshot_before_settle = false), script);
     assert_noticed(&violations, "acknowledged entry lost");
 }
 
@@ -119,6 +119,6 @@
         assert_eq!(adopted, newest, "no configuration from the peers during the outage");
         world.run_until(world.now + 20 * SEC);
     };
-    let violations = without(switched_off(|p| p.only_forward = false), script);
+    let violations = without(switched_off(|p| p.monotonic_versions = false), script);
     assert_noticed(&violations, "configuration went back");
 }
--- a/crates/control/tests/stream_fold.rs
+++ b/crates/control/tests/stream_fold.rs
@@ -101,7 +101,7 @@
 }
 
 /// Two operators change one version, one repeats its proposal, and one proposes a document with
-/// faults. One version is accepted, and each proposal has one verdict for good.
+/// faults. One version is accepted, and each proposal has one outcome for good.
 #[test]
 fn proposals_race() {
     let records = [
@@ -135,13 +135,13 @@
         fold.fold(ReadOutcome::Gone { oldest: Offset(oldest) }, &validate);
         assert!(fold.state().is_none());
         let folded = fold.fold(page(&records, oldest), &validate);
-        assert!(folded.end && !folded.lost);
+        assert!(folded.reached_end && !folded.state_lost);
         assert_eq!(fold.state(), Some(&whole), "from offset {oldest}");
     }
     let mut fold = ControlFold::new();
     fold.fold(ReadOutcome::Gone { oldest: Offset(5) }, &validate);
     let folded = fold.fold(page(&records, 5), &validate);
-    assert!(folded.lost, "the record at offset 4 is in neither part");
+    assert!(folded.state_lost, "the record at offset 4 is in neither part");
 }
 
 /// Answers to overlapping reads bring the same records twice; they are folded once.
@@ -164,5 +164,5 @@
     let records = vec![Record { offset: Offset(0), bytes }];
     let outcome = ReadOutcome::Page { records, next: Offset(1), end: true };
     let folded = ControlFold::new().fold(outcome, &validate);
-    assert_eq!((folded.unreadable, folded.end), (1, true));
+    assert_eq!((folded.unreadable, folded.reached_end), (1, true));
 }
--- a/crates/control/tests/support/checker.rs
+++ b/crates/control/tests/support/checker.rs
@@ -1,7 +1,7 @@
 //! What must hold, checked while it happens.
 
 use {
-    egretlb_control::{ConfigVersion, ControlState, ProposalId, Verdict},
+    egretlb_control::{ConfigVersion, ControlState, ProposalId, ProposalOutcome},
     egretlb_types::{Epoch, Offset, ShardId},
     std::collections::{BTreeMap, BTreeSet},
 };
@@ -10,7 +10,7 @@
 pub struct Checker {
     pub violations: BTreeSet<String>,
     pub acked: BTreeMap<ShardId, Vec<u64>>,
-    pub decided: BTreeMap<ProposalId, Verdict>,
+    pub decided: BTreeMap<ProposalId, ProposalOutcome>,
     in_force: BTreeMap<(usize, u32), ConfigVersion>,
     texts: BTreeMap<ConfigVersion, String>,
     bases: BTreeMap<ProposalId, ConfigVersion>,
@@ -59,14 +59,14 @@
         self.bases.insert(id, base);
     }
 
-    pub fn decided(&mut self, id: ProposalId, verdict: Verdict) {
-        if let Verdict::Won { .. } = verdict
+    pub fn decided(&mut self, id: ProposalId, outcome: ProposalOutcome) {
+        if let ProposalOutcome::Accepted { .. } = outcome
             && let Some(other) = self.won_on.insert(self.bases[&id], id)
             && other != id
         {
             self.fail("two operators both won on one base: one change is lost unseen".into());
         }
-        self.decided.insert(id, verdict);
+        self.decided.insert(id, outcome);
     }
 
     pub fn state(&mut self, next: Offset, state: &ControlState) {
--- a/crates/control/tests/support/world/mod.rs
+++ b/crates/control/tests/support/world/mod.rs
@@ -14,7 +14,7 @@
     },
     egretlb_control::{
         Control, ControlEffect, ControlEvent, ControlOptions, ControlRecord, NodeInfo, Predecessor,
-        ProposalId, Protections, Role, Verdict,
+        ProposalId, ProposalOutcome, Protections, Role,
     },
     egretlb_log::{
         AppendOutcome, EntryKind, JournalBatch, JournalReader, JournalWriter, NotAppendedReason,
@@ -301,6 +301,6 @@
     }
 
     pub fn won(&self, id: ProposalId) -> bool {
-        matches!(self.checker.decided.get(&id), Some(Verdict::Won { .. }))
+        matches!(self.checker.decided.get(&id), Some(ProposalOutcome::Accepted { .. }))
     }
 }
--- a/crates/control/tests/support/world/platform.rs
+++ b/crates/control/tests/support/world/platform.rs
@@ -127,7 +127,7 @@
                 let incarnation = self.nodes[node].incarnation;
                 self.checker.in_force(node, incarnation, version, &text);
             }
-            ControlEffect::ProposalDecided { id, verdict } => self.checker.decided(id, verdict),
+            ControlEffect::ProposalDecided { id, outcome } => self.checker.decided(id, outcome),
             ControlEffect::Heartbeat { to, heartbeat } => {
                 self.heartbeats += 1;
                 self.heartbeat_bytes += heartbeat.encoded_len() as u64;
--- a/crates/control/tests/support/world/shards.rs
+++ b/crates/control/tests/support/world/shards.rs
@@ -102,7 +102,7 @@
             of.journal.push(change_entry(shard, epoch, id), ticket).unwrap();
         }
         if let Some(from) = self.nodes[node].journal.live_from() {
-            self.step(node, ControlEvent::JournalLive { from });
+            self.step(node, ControlEvent::JournalLowWaterMark { from });
         }
         for shard in self.nodes[node].journal.snapshots_due(now) {
             let of = &mut self.nodes[node];
--- a/crates/lab/src/models/cluster.rs
+++ b/crates/lab/src/models/cluster.rs
@@ -260,9 +260,9 @@
         ControlRecord::Claim { .. } => "claim",
         ControlRecord::Settled { .. } => "settled",
         ControlRecord::Release { .. } => "release",
-        ControlRecord::Doubt { .. } => "doubt",
+        ControlRecord::LivenessCheck { .. } => "doubt",
         ControlRecord::Propose { .. } => "propose",
         ControlRecord::Snapshot { .. } => "snapshot",
-        ControlRecord::Mark { .. } => "mark",
+        ControlRecord::LowWaterMark { .. } => "mark",
     }
 }
--- a/crates/net/src/runtime/entry.rs
+++ b/crates/net/src/runtime/entry.rs
@@ -156,7 +156,7 @@
                     // Told all the same: without it the reducer would hold the share for good.
                     let result = AttemptResult::NotSent;
                     // A send fails only while the process ends.
-                    let _ = self.io.tx.send(EntryNodeEvent::Answered { attempt, result });
+                    let _ = self.io.tx.send(EntryNodeEvent::AttemptEnded { attempt, result });
                     return;
                 };
                 if again {
@@ -169,7 +169,7 @@
                     if let Some(answer) = answer {
                         requests.keep(request, attempt, answer);
                     }
-                    EntryNodeEvent::Answered { attempt, result }
+                    EntryNodeEvent::AttemptEnded { attempt, result }
                 });
             }
             // The library can't break off a call; its thread ends by the time-out, and until then
--- a/crates/net/src/runtime/scheduler.rs
+++ b/crates/net/src/runtime/scheduler.rs
@@ -120,11 +120,11 @@
                 let append = self.io.appender(stream, bytes);
                 self.io.run(move || SchedulerEvent::JournalAppended { seq, outcome: append() });
             }
-            SchedulerEffect::ReadJournal { run, node, from } => {
+            SchedulerEffect::ReadJournal { read_id, node, from } => {
                 let log = Arc::clone(&self.io.log);
                 self.io.run(move || {
                     let outcome = log.read(&StreamName::journal(node), from);
-                    SchedulerEvent::JournalRead { run, outcome }
+                    SchedulerEvent::JournalRead { read_id, outcome }
                 });
             }
             SchedulerEffect::CallWorker { addr, ticket, call, guard } => {
--- a/crates/node/src/entry/event.rs
+++ b/crates/node/src/entry/event.rs
@@ -54,7 +54,7 @@
         request: RequestId,
     },
     /// A sending to a backend server ended; told once for each [`RequestEffect::Send`].
-    Answered {
+    AttemptEnded {
         /// Which.
         attempt: AttemptId,
         /// How.
--- a/crates/node/src/entry/mod.rs
+++ b/crates/node/src/entry/mod.rs
@@ -69,7 +69,7 @@
             EntryNodeEvent::CallerGone { request } => {
                 self.requests(now, EntryEvent::CallerGone { request }, &mut out);
             }
-            EntryNodeEvent::Answered { attempt, result } => {
+            EntryNodeEvent::AttemptEnded { attempt, result } => {
                 self.requests(now, EntryEvent::AttemptEnded { attempt, result }, &mut out);
             }
         }
@@ -210,7 +210,7 @@
         };
         let event = match message {
             PeerMessage::Permit { request, permit } => EntryEvent::PermitAnswer { request, permit },
-            PeerMessage::OutcomeKept { request } => EntryEvent::ReportConfirmed { request },
+            PeerMessage::OutcomeRecorded { request } => EntryEvent::ReportConfirmed { request },
             PeerMessage::Shares(grant) => EntryEvent::SharesGranted { grant },
             PeerMessage::RecallShares { shard } => EntryEvent::SharesRecalled { shard },
             // For a scheduler that had this address before.
@@ -223,7 +223,7 @@
         self.core.undelivered(message, delivery, &mut out.node);
         // Only an ask that certainly never left may be refused at once: for any other the owner
         // may have given the permit, and the entry has to report that nothing ran.
-        if let (PeerMessage::AskPermit(ask), Delivery::NeverSent) = (message, delivery) {
+        if let (PeerMessage::PermitRequest(ask), Delivery::NeverSent) = (message, delivery) {
             let request = ask.holder.request;
             let permit = Permit::Unavailable;
             self.requests(now, EntryEvent::PermitAnswer { request, permit }, out);
@@ -267,13 +267,13 @@
                 out.requests.push(RequestEffect::Forget { request });
             }
             EntryEffect::RequestPermit { node, request } => {
-                out.node.send(control, node, PeerMessage::AskPermit(request));
+                out.node.send(control, node, PeerMessage::PermitRequest(request));
             }
             EntryEffect::ReportOutcome { node, report } => {
                 out.node.send(control, node, PeerMessage::Outcome(report));
             }
             EntryEffect::RequestShares { node, request } => {
-                out.node.send(control, node, PeerMessage::AskShares(request));
+                out.node.send(control, node, PeerMessage::ShareRequest(request));
             }
             EntryEffect::ReportLoad { class, load } => {
                 let shard = shard_of_class(&class);
@@ -294,7 +294,7 @@
             "role": "entry",
             "data_centre": control.info().data_centre,
             "config_version": version_of(control.in_force().version),
-            "in_touch_with_log": control.is_in_touch(now),
+            "in_touch_with_log": control.has_fresh_read(now),
             "alarms": alarms,
             "requests": self.entry.dump(),
         })
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -24,6 +24,7 @@
     },
     peer::PeerMessage,
     scheduler::{
-        JournalRun, Scheduler, SchedulerEffect, SchedulerEvent, SchedulerOptions, WorkerCallGuard,
+        JournalReadId, Scheduler, SchedulerEffect, SchedulerEvent, SchedulerOptions,
+        WorkerCallGuard,
     },
 };
--- a/crates/node/src/node/core.rs
+++ b/crates/node/src/node/core.rs
@@ -14,7 +14,7 @@
     egretlb_config::{check_document, parse_config, render_compact},
     egretlb_control::{
         ConfigVersion, Control, ControlEffect, ControlEvent, ControlOptions, NodeInfo, ProposalId,
-        Role, Verdict,
+        ProposalOutcome, Role,
     },
     egretlb_types::{ConfigDocument, NodeId, ShardId, Time, shard_of_job},
     smallvec::SmallVec,
@@ -103,39 +103,39 @@
                 out.send(&self.control, to.node, PeerMessage::Heartbeat(heartbeat));
             }
             ControlEffect::FetchConfig { from: Some(peer) } => {
-                out.send(&self.control, peer.node, PeerMessage::AskConfig);
+                out.send(&self.control, peer.node, PeerMessage::ConfigRequest);
             }
             ControlEffect::FetchConfig { from: None } => {
                 for addr in &self.seeds {
-                    let message = Box::new(PeerMessage::AskConfig);
+                    let message = Box::new(PeerMessage::ConfigRequest);
                     out.effects.push(NodeEffect::Send { addr: addr.clone(), message });
                 }
             }
             ControlEffect::Alarm { alarm, raised } => {
                 out.effects.push(NodeEffect::Notice(Notice::Control { alarm, raised }));
             }
-            ControlEffect::ProposalDecided { id, verdict } => self.decided(id, verdict, out),
+            ControlEffect::ProposalDecided { id, outcome } => self.decided(id, outcome, out),
             other => return Some(other),
         }
         None
     }
 
-    fn decided(&mut self, id: ProposalId, verdict: Verdict, out: &mut Outbox) {
+    fn decided(&mut self, id: ProposalId, outcome: ProposalOutcome, out: &mut Outbox) {
         let Some(proposal) = self.proposals.remove(&id) else { return };
         let unavailable = ProposeAnswer::Unavailable { retry_after: call_again() };
-        let answer = match verdict {
-            Verdict::Won { version } => match version_of(version) {
+        let answer = match outcome {
+            ProposalOutcome::Accepted { version } => match version_of(version) {
                 Some(version) => ProposeAnswer::Accepted { version },
                 None => unavailable,
             },
-            Verdict::Lost { version, document } => ProposeAnswer::Lost {
+            ProposalOutcome::Superseded { version, document } => ProposeAnswer::Lost {
                 version: version_of(version),
                 document: Box::new(parse_config(&document).unwrap_or_default()),
             },
-            Verdict::Invalid { faults } => {
+            ProposalOutcome::Invalid { faults } => {
                 ProposeAnswer::Invalid { faults: faults.lines().map(String::from).collect() }
             }
-            Verdict::Unavailable | Verdict::InDoubt => unavailable,
+            ProposalOutcome::Unavailable | ProposalOutcome::Unconfirmed => unavailable,
         };
         let reply = OperatorReply::Propose(answer);
         out.effects.push(NodeEffect::Reply { call: proposal.call, reply });
@@ -222,7 +222,7 @@
             PeerMessage::Config { version, document } => {
                 ControlEvent::PeerConfig { version, document }
             }
-            PeerMessage::AskConfig => {
+            PeerMessage::ConfigRequest => {
                 self.tell_config(from, out);
                 return PeerTaken::Done(Vec::new());
             }
@@ -300,7 +300,8 @@
         let in_force = self.control.in_force().version;
         let version =
             if me { Some(in_force) } else { self.heard_versions.get(&info.node).copied() };
-        let silence = if me { Some(Duration::ZERO) } else { self.control.silence(now, info.node) };
+        let silence =
+            if me { Some(Duration::ZERO) } else { self.control.time_since_contact(now, info.node) };
         NodeStatus {
             node: info.node,
             name: format_compact!("{}", info.http_addr),
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -25,7 +25,7 @@
     /// Who was heard when.
     Heartbeat(Heartbeat),
     /// Asks for the configuration in force.
-    AskConfig,
+    ConfigRequest,
     /// The configuration in force at the sender.
     Config {
         /// Its version.
@@ -34,7 +34,7 @@
         document: String,
     },
     /// An entry asks a key's owner for a permit.
-    AskPermit(PermitRequest),
+    PermitRequest(PermitRequest),
     /// The answer.
     Permit {
         /// The entry's request.
@@ -45,12 +45,12 @@
     /// An entry reports what became of a permitted request.
     Outcome(OutcomeReport),
     /// The report is in the log.
-    OutcomeKept {
+    OutcomeRecorded {
         /// The entry's request.
         request: RequestId,
     },
     /// An entry asks a rack's owner for shares of its backend servers.
-    AskShares(ShareRequest),
+    ShareRequest(ShareRequest),
     /// The answer.
     Shares(ShareGrant),
     /// Others go short: ask again soon.
--- a/crates/node/src/scheduler/dump.rs
+++ b/crates/node/src/scheduler/dump.rs
@@ -14,7 +14,7 @@
         let (owned, taking_over) = control.shard_counts();
         let alarms: Vec<String> = control.alarms().map(|alarm| alarm.to_string()).collect();
         let vms: Vec<Value> = self
-            .books
+            .tables
             .racks()
             .summary()
             .iter()
@@ -30,13 +30,13 @@
                 })
             })
             .collect();
-        let keys: usize = (0..SHARD_COUNT).map(|n| self.books.keys().key_count(ShardId(n))).sum();
+        let keys: usize = (0..SHARD_COUNT).map(|n| self.tables.keys().key_count(ShardId(n))).sum();
         json!({
             "node": control.info().node.to_string(),
             "role": "scheduler",
             "data_centre": control.info().data_centre,
             "config_version": version_of(control.in_force().version),
-            "in_touch_with_log": control.is_in_touch(now),
+            "in_touch_with_log": control.has_fresh_read(now),
             "alarms": alarms,
             "shards": { "owned": owned, "taking_over": taking_over,
                         "reading_back": self.recovery.under_way() },
--- a/crates/node/src/scheduler/event.rs
+++ b/crates/node/src/scheduler/event.rs
@@ -1,7 +1,7 @@
 //! What happens to a scheduler, and what it wants done.
 
 use {
-    super::recovery::JournalRun,
+    super::recovery::JournalReadId,
     crate::node::{NodeEffect, NodeEvent},
     compact_str::CompactString,
     egretlb_control::NodeInfo,
@@ -37,7 +37,7 @@
     /// The answer to [`SchedulerEffect::ReadJournal`].
     JournalRead {
         /// Which reading it belongs to.
-        run: JournalRun,
+        read_id: JournalReadId,
         /// What the log answered.
         outcome: ReadOutcome,
     },
@@ -76,7 +76,7 @@
     /// Read another node's journal.
     ReadJournal {
         /// Comes back with the answer.
-        run: JournalRun,
+        read_id: JournalReadId,
         /// Whose journal.
         node: NodeId,
         /// Where from.
--- a/crates/node/src/scheduler/journal.rs
+++ b/crates/node/src/scheduler/journal.rs
@@ -1,7 +1,7 @@
 //! This node's journal: the entries of all its books, and who waits for each.
 
 use {
-    super::{Out, SchedulerEffect, books::ShardSnapshot},
+    super::{Out, SchedulerEffect, tables::ShardSnapshot},
     crate::node::Notice,
     egretlb_log::{
         AppendOutcome, EntryKind, JournalEntry, JournalWriter, PushError, WriterOptions,
@@ -12,16 +12,16 @@
 
 /// Which book an entry is of, with the book's own ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum BookTicket {
+pub(super) enum TableTicket {
     Jobs(Ticket),
     Keys(Ticket),
 }
 
 /// An encoded entry of a book.
 #[derive(Debug)]
-pub(super) struct BookEntry {
+pub(super) struct TableEntry {
     pub(super) shard: ShardId,
-    pub(super) ticket: BookTicket,
+    pub(super) ticket: TableTicket,
     pub(super) body: Vec<u8>,
 }
 
@@ -33,7 +33,7 @@
     /// A snapshot that keeps a shard alive past the log's retention.
     Refresh,
     /// A book's change.
-    Book(BookTicket),
+    Table(TableTicket),
 }
 
 pub(super) struct Journal {
@@ -112,11 +112,11 @@
     }
 
     /// Writes a book's entry; one of a shard that was lost meanwhile is of no use.
-    pub(super) fn push(&mut self, entry: BookEntry, out: &mut Out) {
-        let BookEntry { shard, ticket, body } = entry;
+    pub(super) fn push(&mut self, entry: TableEntry, out: &mut Out) {
+        let TableEntry { shard, ticket, body } = entry;
         let Some(epoch) = self.owned.get(&shard).copied() else { return };
         let entry = JournalEntry { shard, epoch, kind: EntryKind::Change, body };
-        self.add(entry, Origin::Book(ticket), out);
+        self.add(entry, Origin::Table(ticket), out);
     }
 
     fn add(&mut self, entry: JournalEntry, origin: Origin, out: &mut Out) {
--- a/crates/node/src/scheduler/mod.rs
+++ b/crates/node/src/scheduler/mod.rs
@@ -1,18 +1,18 @@
 //! The scheduler's reducer.
 
-mod books;
 mod dump;
 mod event;
 mod journal;
 mod recovery;
+mod tables;
 
 pub use self::{
     event::{SchedulerEffect, SchedulerEvent, SchedulerOptions, WorkerCallGuard},
-    recovery::JournalRun,
+    recovery::JournalReadId,
 };
 
 use {
-    self::{books::Books, journal::Journal, recovery::Recovery},
+    self::{journal::Journal, recovery::Recovery, tables::SchedulerTables},
     crate::{
         node::{
             NodeCore, NodeEffect, NodeEvent, Notice, OperatorReply, OperatorRequest, Outbox,
@@ -28,7 +28,7 @@
 /// All the decisions of one scheduler process.
 pub struct Scheduler {
     core: NodeCore,
-    books: Books,
+    tables: SchedulerTables,
     journal: Journal,
     recovery: Recovery,
 }
@@ -52,7 +52,7 @@
         let node = options.info.node;
         Scheduler {
             journal: Journal::new(node, options.seed),
-            books: Books::new(node, options.seed),
+            tables: SchedulerTables::new(node, options.seed),
             recovery: Recovery::default(),
             core: NodeCore::new(options.info, options.seed, options.seeds),
         }
@@ -69,11 +69,11 @@
                     self.journaled(now, origin, &mut out);
                 }
             }
-            SchedulerEvent::JournalRead { run, outcome } => {
-                self.recovery.read(now, run, outcome, &mut out);
+            SchedulerEvent::JournalRead { read_id, outcome } => {
+                self.recovery.read(now, read_id, outcome, &mut out);
             }
             SchedulerEvent::WorkerAnswered { ticket, result } => {
-                self.books.worker_answered(now, ticket, result, self.core.control(), &mut out);
+                self.tables.worker_answered(now, ticket, result, self.core.control(), &mut out);
             }
         }
         self.settle(now, &mut out);
@@ -98,7 +98,7 @@
 
     /// What each VM of this node's racks holds.
     pub fn vms(&self) -> Vec<VmSummary> {
-        self.books.racks().summary()
+        self.tables.racks().summary()
     }
 
     /// Bytes of journal entries that the log hasn't acknowledged.
@@ -116,7 +116,7 @@
             NodeEvent::Tick => self.tick(now, out),
             NodeEvent::ControlRead { sent, outcome } => {
                 self.step_control(now, ControlEvent::ReadDone { sent, outcome }, out);
-                self.books.nodes(now, self.core.control(), out);
+                self.tables.nodes(now, self.core.control(), out);
             }
             NodeEvent::ControlAppended { ticket, outcome } => {
                 self.step_control(now, ControlEvent::AppendDone { ticket, outcome }, out);
@@ -125,7 +125,7 @@
             NodeEvent::Undelivered { message, delivery } => {
                 self.core.undelivered(&message, delivery, &mut out.node);
             }
-            NodeEvent::Vms(vms) => self.books.vms(now, vms, self.core.control(), out),
+            NodeEvent::Vms(vms) => self.tables.vms(now, vms, self.core.control(), out),
             NodeEvent::Operator { call, request: OperatorRequest::State } => {
                 let reply = OperatorReply::State(self.dump(now));
                 out.node.effects.push(NodeEffect::Reply { call, reply });
@@ -145,7 +145,7 @@
     /// What keeps the process from serving, if anything does.
     fn missing(&self, now: Time) -> Option<&'static str> {
         let control = self.core.control();
-        if !control.is_in_touch(now) {
+        if !control.has_fresh_read(now) {
             return Some("the control stream hasn't been read lately; check the log service");
         }
         None
@@ -154,14 +154,14 @@
     fn tick(&mut self, now: Time, out: &mut Out) {
         let effects = self.core.tick(now, &mut out.node);
         self.perform(now, effects, out);
-        self.books.log_state(now, self.journal.is_up(), self.core.control(), out);
-        self.books.tick(now, self.core.control(), out);
+        self.tables.log_state(now, self.journal.is_up(), self.core.control(), out);
+        self.tables.tick(now, self.core.control(), out);
         self.recovery.tick(now, out);
         if let Some(from) = self.journal.live_from() {
-            self.step_control(now, ControlEvent::JournalLive { from }, out);
+            self.step_control(now, ControlEvent::JournalLowWaterMark { from }, out);
         }
         for shard in self.journal.snapshots_due(now) {
-            let snapshot = self.books.snapshot(now, shard);
+            let snapshot = self.tables.snapshot(now, shard);
             self.journal.refresh(shard, &snapshot, out);
         }
     }
@@ -184,17 +184,17 @@
                 }
                 ControlEffect::ShardOwned { shard, epoch } => {
                     self.journal.own(shard, epoch);
-                    let past = self.recovery.past_of(shard);
-                    self.books.own(now, shard, epoch, past, self.core.control(), out);
+                    let past = self.recovery.take_history(shard);
+                    self.tables.own(now, shard, epoch, past, self.core.control(), out);
                     out.notice(Notice::ShardOwned { shard, epoch });
                 }
                 ControlEffect::ShardLost { shard, .. } => {
                     self.journal.lose(shard);
-                    self.books.lose(now, shard, self.core.control(), out);
+                    self.tables.lose(now, shard, self.core.control(), out);
                     out.notice(Notice::ShardLost { shard });
                 }
                 ControlEffect::ConfigInForce { version, document, .. } => {
-                    self.books.configure(now, &document, self.core.control(), out);
+                    self.tables.configure(now, &document, self.core.control(), out);
                     out.notice(Notice::ConfigInForce(version));
                 }
                 ControlEffect::ShutdownDone => out.node.effects.push(NodeEffect::Exit),
@@ -208,7 +208,7 @@
         match self.core.peer(now, from, message, &mut out.node) {
             PeerTaken::Done(effects) => self.perform(now, effects, out),
             PeerTaken::NotMine(message) => {
-                self.books.peer(now, from, message, self.core.control(), out);
+                self.tables.peer(now, from, message, self.core.control(), out);
             }
         }
     }
@@ -219,8 +219,8 @@
                 self.step_control(now, ControlEvent::RecoveryDone { shard, epoch }, out);
             }
             journal::Origin::Refresh => {}
-            journal::Origin::Book(ticket) => {
-                self.books.journaled(now, ticket, self.core.control(), out);
+            journal::Origin::Table(ticket) => {
+                self.tables.journaled(now, ticket, self.core.control(), out);
             }
         }
     }
@@ -238,7 +238,7 @@
                 break;
             }
         }
-        for entry in self.books.take_entries() {
+        for entry in self.tables.take_entries() {
             self.journal.push(entry, out);
         }
         self.journal.poll(now, out);
@@ -255,11 +255,11 @@
         if let Some(lost) = lost {
             out.notice(Notice::ShardStateLost(lost));
         }
-        let unreadable = self.books.restore(shard, past.as_ref());
+        let unreadable = self.tables.restore(shard, past.as_ref());
         if unreadable {
             out.notice(Notice::UnreadableRecord { shard });
         }
-        let snapshot = self.books.snapshot(now, shard);
+        let snapshot = self.tables.snapshot(now, shard);
         self.journal.begin(shard, epoch, &snapshot, out);
     }
 }
--- a/crates/node/src/scheduler/recovery.rs
+++ b/crates/node/src/scheduler/recovery.rs
@@ -17,9 +17,9 @@
 
 /// Names one reading of a predecessor's journal.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct JournalRun(pub u64);
+pub struct JournalReadId(pub u64);
 
-impl fmt::Display for JournalRun {
+impl fmt::Display for JournalReadId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
     }
@@ -27,7 +27,7 @@
 
 /// What is known of a shard's former owners.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) struct Past {
+pub(super) struct OwnershipHistory {
     /// Whether anybody acted for it before.
     pub(super) had_owner: bool,
     /// Whether the last owner may have gone without a word.
@@ -46,7 +46,7 @@
 }
 
 #[derive(Debug)]
-struct Wanted {
+struct ShardRecovery {
     shard: ShardId,
     epoch: Epoch,
     from: Epoch,
@@ -54,10 +54,10 @@
 }
 
 #[derive(Debug)]
-struct Run {
+struct JournalRead {
     node: NodeId,
     reader: JournalReader,
-    wanted: Vec<Wanted>,
+    shards: Vec<ShardRecovery>,
     /// When to read again, if the log didn't answer.
     again_at: Option<Time>,
 }
@@ -65,11 +65,11 @@
 /// The readings under way. Shards of one predecessor that are taken over together share one.
 #[derive(Debug, Default)]
 pub(super) struct Recovery {
-    gathered: BTreeMap<NodeId, Vec<Wanted>>,
-    runs: BTreeMap<JournalRun, Run>,
-    pasts: BTreeMap<ShardId, Past>,
+    pending: BTreeMap<NodeId, Vec<ShardRecovery>>,
+    reads: BTreeMap<JournalReadId, JournalRead>,
+    histories: BTreeMap<ShardId, OwnershipHistory>,
     done: VecDeque<Recovered>,
-    next: JournalRun,
+    next: JournalReadId,
 }
 
 impl Recovery {
@@ -81,60 +81,66 @@
         waited: bool,
         _out: &mut Out,
     ) {
-        self.pasts.insert(shard, Past { had_owner: from.is_some(), waited });
+        self.histories.insert(shard, OwnershipHistory { had_owner: from.is_some(), waited });
         match from {
             None => {
                 self.done.push_back(Recovered { shard, epoch, past: None, lost: None });
             }
             Some(predecessor) => {
                 let Predecessor { node, epoch: from, start } = predecessor;
-                let wanted = Wanted { shard, epoch, from, start };
-                self.gathered.entry(node).or_default().push(wanted);
+                let shards = ShardRecovery { shard, epoch, from, start };
+                self.pending.entry(node).or_default().push(shards);
             }
         }
     }
 
     /// What is known of the shard's former owners; the careful answer if nothing is.
-    pub(super) fn past_of(&mut self, shard: ShardId) -> Past {
-        self.pasts.remove(&shard).unwrap_or(Past { had_owner: true, waited: true })
+    pub(super) fn take_history(&mut self, shard: ShardId) -> OwnershipHistory {
+        self.histories.remove(&shard).unwrap_or(OwnershipHistory { had_owner: true, waited: true })
     }
 
-    /// Begins gathered readings, and repeats those that the log didn't answer.
+    /// Begins pending readings, and repeats those that the log didn't answer.
     pub(super) fn tick(&mut self, now: Time, out: &mut Out) {
-        self.start_gathered(out);
-        for (run, reading) in &mut self.runs {
-            if reading.again_at.is_some_and(|at| now >= at) {
-                reading.again_at = None;
-                let from = reading.reader.next();
-                let node = reading.node;
-                out.own.push(SchedulerEffect::ReadJournal { run: *run, node, from });
+        self.start_pending(out);
+        for (read_id, read) in &mut self.reads {
+            if read.again_at.is_some_and(|at| now >= at) {
+                read.again_at = None;
+                let from = read.reader.next();
+                let node = read.node;
+                out.own.push(SchedulerEffect::ReadJournal { read_id: *read_id, node, from });
             }
         }
     }
 
-    fn start_gathered(&mut self, out: &mut Out) {
-        for (node, wanted) in std::mem::take(&mut self.gathered) {
-            self.next = JournalRun(self.next.0 + 1);
-            let start = wanted.iter().map(|w| w.start).min().unwrap_or_default();
-            let reader = JournalReader::new(node, wanted.iter().map(|w| (w.shard, w.from)))
+    fn start_pending(&mut self, out: &mut Out) {
+        for (node, shards) in std::mem::take(&mut self.pending) {
+            self.next = JournalReadId(self.next.0 + 1);
+            let start = shards.iter().map(|w| w.start).min().unwrap_or_default();
+            let reader = JournalReader::new(node, shards.iter().map(|w| (w.shard, w.from)))
                 .starting_at(start);
             let from = reader.next();
-            self.runs.insert(self.next, Run { node, reader, wanted, again_at: None });
-            out.own.push(SchedulerEffect::ReadJournal { run: self.next, node, from });
+            self.reads.insert(self.next, JournalRead { node, reader, shards, again_at: None });
+            out.own.push(SchedulerEffect::ReadJournal { read_id: self.next, node, from });
         }
     }
 
-    pub(super) fn read(&mut self, now: Time, run: JournalRun, outcome: ReadOutcome, out: &mut Out) {
-        let Some(reading) = self.runs.get_mut(&run) else { return };
-        match reading.reader.fold(outcome) {
+    pub(super) fn read(
+        &mut self,
+        now: Time,
+        read_id: JournalReadId,
+        outcome: ReadOutcome,
+        out: &mut Out,
+    ) {
+        let Some(read) = self.reads.get_mut(&read_id) else { return };
+        match read.reader.fold(outcome) {
             ReadStep::More => {
-                let (node, from) = (reading.node, reading.reader.next());
-                out.own.push(SchedulerEffect::ReadJournal { run, node, from });
+                let (node, from) = (read.node, read.reader.next());
+                out.own.push(SchedulerEffect::ReadJournal { read_id, node, from });
             }
-            ReadStep::Unavailable => reading.again_at = Some(now + READ_AGAIN),
+            ReadStep::Unavailable => read.again_at = Some(now + READ_AGAIN),
             ReadStep::End => {
-                if let Some(reading) = self.runs.remove(&run) {
-                    self.done.extend(reading.finish());
+                if let Some(read) = self.reads.remove(&read_id) {
+                    self.done.extend(read.finish());
                 }
             }
         }
@@ -146,16 +152,16 @@
 
     /// Shards that are being read back.
     pub(super) fn under_way(&self) -> usize {
-        let running: usize = self.runs.values().map(|run| run.wanted.len()).sum();
-        let gathered: usize = self.gathered.values().map(Vec::len).sum();
-        running + gathered
+        let running: usize = self.reads.values().map(|read| read.shards.len()).sum();
+        let pending: usize = self.pending.values().map(Vec::len).sum();
+        running + pending
     }
 }
 
-impl Run {
+impl JournalRead {
     fn finish(self) -> impl Iterator<Item = Recovered> {
-        let Run { reader, wanted, .. } = self;
-        wanted.into_iter().map(move |Wanted { shard, epoch, from, .. }| {
+        let JournalRead { reader, shards, .. } = self;
+        shards.into_iter().map(move |ShardRecovery { shard, epoch, from, .. }| {
             let (past, lost) = match reader.recovered(shard, from) {
                 Ok(recovered) => (Some(recovered.clone()), None),
                 Err(error) => (None, Some(error)),
--- a/crates/node/src/scheduler/books.rs
+++ b/crates/node/src/scheduler/tables.rs
@@ -3,8 +3,8 @@
 use {
     super::{
         Out, SchedulerEffect, WorkerCallGuard,
-        journal::{BookEntry, BookTicket},
-        recovery::Past,
+        journal::{TableEntry, TableTicket},
+        recovery::OwnershipHistory,
     },
     crate::{
         node::Notice,
@@ -62,21 +62,21 @@
     call: CallId,
 }
 
-pub(super) struct Books {
+pub(super) struct SchedulerTables {
     jobs: JobBook,
     racks: RackBook,
     shares: ShareTable,
     keys: KeyTable,
     callers: BTreeMap<CallId, Caller>,
     next_call: u64,
-    entries: Vec<BookEntry>,
+    entries: Vec<TableEntry>,
     log_up: bool,
     known_nodes: Vec<NodeId>,
 }
 
-impl Books {
+impl SchedulerTables {
     pub(super) fn new(node: NodeId, seed: u64) -> Self {
-        Books {
+        SchedulerTables {
             jobs: JobBook::builder().seed(seed).build(),
             racks: RackBook::builder().seed(seed.wrapping_add(node.0)).build(),
             shares: ShareTable::new(),
@@ -98,7 +98,7 @@
     }
 
     /// The entries that the books want journalled, in the order of their decisions.
-    pub(super) fn take_entries(&mut self) -> Vec<BookEntry> {
+    pub(super) fn take_entries(&mut self) -> Vec<TableEntry> {
         std::mem::take(&mut self.entries)
     }
 
@@ -129,11 +129,11 @@
         now: Time,
         shard: ShardId,
         epoch: Epoch,
-        past: Past,
+        past: OwnershipHistory,
         control: &Control,
         out: &mut Out,
     ) {
-        let Past { had_owner, waited } = past;
+        let OwnershipHistory { had_owner, waited } = past;
         let released = !had_owner || !waited;
         self.step_racks(now, RackEvent::Owned { shard, epoch, released }, control, out);
         let owned = ShareTableEvent::Owned { shard, epoch, had_owner };
@@ -193,15 +193,15 @@
     pub(super) fn journaled(
         &mut self,
         now: Time,
-        ticket: BookTicket,
+        ticket: TableTicket,
         control: &Control,
         out: &mut Out,
     ) {
         match ticket {
-            BookTicket::Jobs(ticket) => {
+            TableTicket::Jobs(ticket) => {
                 self.step_jobs(now, JobEvent::Journaled { ticket }, control, out);
             }
-            BookTicket::Keys(ticket) => {
+            TableTicket::Keys(ticket) => {
                 self.step_keys(now, KeyTableEvent::Journaled { ticket }, control, out);
             }
         }
@@ -229,13 +229,13 @@
         out: &mut Out,
     ) {
         match message {
-            PeerMessage::AskPermit(request) => {
+            PeerMessage::PermitRequest(request) => {
                 self.step_keys(now, KeyTableEvent::Request { request }, control, out);
             }
             PeerMessage::Outcome(report) => {
                 self.step_keys(now, KeyTableEvent::Report { report }, control, out);
             }
-            PeerMessage::AskShares(request) => {
+            PeerMessage::ShareRequest(request) => {
                 self.step_shares(now, ShareTableEvent::Request { request }, control, out);
             }
             PeerMessage::Load { class, load } => {
@@ -288,7 +288,7 @@
         match effect {
             JobEffect::Journal { shard, entry, ticket } => {
                 let body = ShardChange::Job(entry).encode();
-                self.entries.push(BookEntry { shard, ticket: BookTicket::Jobs(ticket), body });
+                self.entries.push(TableEntry { shard, ticket: TableTicket::Jobs(ticket), body });
             }
             JobEffect::Reply { call, reply } => {
                 if let Some(caller) = self.callers.remove(&call) {
@@ -355,7 +355,11 @@
             match effect {
                 KeyTableEffect::Journal { shard, entry, ticket } => {
                     let body = ShardChange::Key(entry).encode();
-                    self.entries.push(BookEntry { shard, ticket: BookTicket::Keys(ticket), body });
+                    self.entries.push(TableEntry {
+                        shard,
+                        ticket: TableTicket::Keys(ticket),
+                        body,
+                    });
                 }
                 KeyTableEffect::Answer { shard, holder, permit } => {
                     let held = control.epoch_if_held(now, shard).is_some();
@@ -366,7 +370,7 @@
                     }
                 }
                 KeyTableEffect::ConfirmReport { holder } => {
-                    let message = PeerMessage::OutcomeKept { request: holder.request };
+                    let message = PeerMessage::OutcomeRecorded { request: holder.request };
                     out.node.send(control, holder.entry, message);
                 }
             }
--- a/crates/node/tests/support/world/performing.rs
+++ b/crates/node/tests/support/world/performing.rs
@@ -139,9 +139,10 @@
                     Box::new(move |outcome| SchedulerEvent::JournalAppended { seq, outcome });
                 self.send(ix, Traffic::Append { stream, bytes, answer });
             }
-            SchedulerEffect::ReadJournal { run, node, from } => {
+            SchedulerEffect::ReadJournal { read_id, node, from } => {
                 let stream = StreamName::journal(node);
-                let answer = Box::new(move |outcome| SchedulerEvent::JournalRead { run, outcome });
+                let answer =
+                    Box::new(move |outcome| SchedulerEvent::JournalRead { read_id, outcome });
                 self.send(ix, Traffic::Read { stream, from, answer });
             }
             SchedulerEffect::CallWorker { addr, ticket, call, guard } => {
