--- a/crates/workflow/src/maintenance.rs
+++ b/crates/workflow/src/maintenance.rs
@@ -70,13 +70,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MaintenanceResult {
     /// It has begun, or was done before.
-    Started,
+    Begun,
     /// Not begun: another process has given orders for this VM under a higher epoch.
     Outranked,
     /// Not begun: the VM isn't up, or is leaving.
     Busy,
     /// Not begun: the VM isn't one of this wave, or there is no such VM.
-    NotInWave,
+    NotOfWave,
     /// Not begun: too many calls at a time.
     Throttled,
     /// Nobody can say.
--- a/crates/workflow/src/scheduler/commands.rs
+++ b/crates/workflow/src/scheduler/commands.rs
@@ -27,11 +27,11 @@
     /// Not run: it arrived after its lease had ended.
     Late,
     /// Not run: the worker has no room for it.
-    NoCapacity,
+    NoRoom,
     /// Not run: its ticket isn't valid.
     BadTicket,
     /// Not run: the worker is unwell or overloaded.
-    Unhealthy,
+    Unwell,
     /// Not run: the worker can't read it.
     Invalid,
     /// Not run: another incarnation answers at this address.
@@ -151,8 +151,8 @@
                 self.on_other_incarnation(now, id);
             }
             StartResult::Unknown => self.on_start_unknown(now, id, task, run),
-            StartResult::NoCapacity => self.reject_start(now, id, task, run, NO_ROOM_PAUSE),
-            StartResult::Unhealthy | StartResult::NotSent => {
+            StartResult::NoRoom => self.reject_start(now, id, task, run, NO_ROOM_PAUSE),
+            StartResult::Unwell | StartResult::NotSent => {
                 self.reject_start(now, id, task, run, UNWELL_PAUSE);
             }
             StartResult::BadTicket => {
--- a/crates/workflow/src/scheduler/lists.rs
+++ b/crates/workflow/src/scheduler/lists.rs
@@ -21,9 +21,9 @@
     /// Its lease lapsed.
     Lapsed,
     /// Another member of its gang ended.
-    GangBroken,
+    Broken,
     /// It waited too long for the other members of its gang.
-    GangTimedOut,
+    Alone,
     /// In a way that isn't known here: not with success, as far as anybody can say.
     Unknown,
 }
--- a/crates/workflow/src/scheduler/maintenance/mod.rs
+++ b/crates/workflow/src/scheduler/maintenance/mod.rs
@@ -87,14 +87,14 @@
         let worker = worker.clone();
         log::info!(wave = number, vm:%, result:?; "upkeep_ordered");
         match result {
-            MaintenanceResult::Started => {
+            MaintenanceResult::Begun => {
                 *stage = Stage::Down { worker: worker.clone(), since: now };
                 // All that ran there has ended with it.
                 if let Some(id) = worker {
                     self.on_left(now, &id);
                 }
             }
-            MaintenanceResult::NotInWave => {
+            MaintenanceResult::NotOfWave => {
                 *stage = Stage::Finished;
                 self.maintenance.dirty.insert(number);
             }
--- a/crates/workflow/src/scheduler/poll_reply.rs
+++ b/crates/workflow/src/scheduler/poll_reply.rs
@@ -64,10 +64,7 @@
             match end.kind {
                 EndKind::Done => worker.failures = 0,
                 EndKind::Failed | EndKind::Unknown => self.on_failure(now, id),
-                EndKind::Stopped
-                | EndKind::Lapsed
-                | EndKind::GangBroken
-                | EndKind::GangTimedOut => {}
+                EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
             }
         }
         match end.kind {
@@ -91,8 +88,8 @@
             // Only a failure that is known as one uses up an attempt.
             EndKind::Stopped
             | EndKind::Lapsed
-            | EndKind::GangBroken
-            | EndKind::GangTimedOut
+            | EndKind::Broken
+            | EndKind::Alone
             | EndKind::Unknown => {
                 if !end.saved.is_empty() {
                     self.dirty.insert(end.task.workflow);
--- a/crates/workflow/tests/support/crashing_tasks.rs
+++ b/crates/workflow/tests/support/crashing_tasks.rs
@@ -45,7 +45,7 @@
                 worker.running.iter().filter(|(task, run)| run.step.gang && of_gang(task));
             let members: Vec<TaskId> = members.map(|(task, _)| *task).collect();
             for task in members {
-                worker.finish(task, EndKind::GangBroken, &mut self.checker);
+                worker.finish(task, EndKind::Broken, &mut self.checker);
             }
         }
     }
@@ -67,7 +67,7 @@
             let ended: Vec<TaskId> =
                 worker.running.iter().filter(incomplete).map(|(t, _)| *t).collect();
             for task in ended {
-                worker.finish(task, EndKind::GangTimedOut, &mut self.checker);
+                worker.finish(task, EndKind::Alone, &mut self.checker);
             }
         }
     }
--- a/crates/workflow/tests/support/fleet.rs
+++ b/crates/workflow/tests/support/fleet.rs
@@ -54,14 +54,14 @@
         }
         *token = epoch;
         if self.done.contains(vm) {
-            return (MaintenanceResult::Started, None);
+            return (MaintenanceResult::Begun, None);
         }
-        let Some(known) = self.vms.get_mut(vm) else { return (MaintenanceResult::NotInWave, None) };
+        let Some(known) = self.vms.get_mut(vm) else { return (MaintenanceResult::NotOfWave, None) };
         let Some(worker) = known.take() else { return (MaintenanceResult::Busy, None) };
         self.done.insert(vm.clone());
         self.down.insert(vm.clone(), now + UPKEEP);
         self.max_down = self.max_down.max(self.down.len());
-        (MaintenanceResult::Started, Some(worker))
+        (MaintenanceResult::Begun, Some(worker))
     }
 
     /// VMs whose upkeep ends now.
--- a/crates/workflow/tests/support/worker.rs
+++ b/crates/workflow/tests/support/worker.rs
@@ -253,7 +253,7 @@
         let step = submission.workflow.steps[usize::from(task.step)].clone();
         let used: u32 = self.running.values().map(|run| counted(&run.step)).sum();
         if used + counted(&step) > self.info.capacity.cpu.0 {
-            return StartResult::NoCapacity;
+            return StartResult::NoRoom;
         }
         checker.started(&self.info.id, task, run, submission);
         let runtime = if step.long_running { u64::MAX / 4 } else { u64::from(step.estimate_ms) };
