--- a/crates/workflow/src/scheduler/attempt.rs
+++ b/crates/workflow/src/scheduler/attempt.rs
@@ -1,4 +1,4 @@
-//! A run of a task at a worker, and what it needs there.
+//! An attempt to run a task on a worker, and the resources it requires.
 
 use {
     super::waits::Stop,
@@ -9,96 +9,96 @@
     egretlb_types::{MilliCores, Resources, Time},
 };
 
-/// How far an order to run a task has come.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// The start was sent.
+    /// The start command was sent.
     Starting,
-    /// The start has no answer; it may have been carried out, or may yet be.
+    /// The start command wasn't answered; the worker may have executed it, or may still do so.
     Unconfirmed {
-        /// When that was noticed.
+        /// When the command timed out.
         since: Time,
     },
-    /// It runs; the worker's clock when that was last known, in milliseconds.
+    /// The task runs.
     Running {
-        /// The worker's clock.
+        /// The worker's clock when the run was last confirmed, in milliseconds.
         clock_ms: u64,
     },
-    /// A stop was sent. Until its end is listed it holds its resources.
+    /// A stop command was sent. The resources stay reserved until the worker lists the end.
     Stopping {
-        /// When it was last sent.
+        /// When the command was last sent.
         sent: Time,
-        /// The worker's clock when it confirmed, in milliseconds; none before.
+        /// The worker's clock when it confirmed the stop, in milliseconds.
         confirmed_ms: Option<u64>,
     },
 }
 
-/// One run of a task at a worker, from the order until its end is known.
+/// An attempt to run a task on a worker, from the start command until its end is known.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) phase: Phase,
-    /// Its task had been started before.
+    /// The task had been started before.
     pub(crate) is_restart: bool,
-    /// The end of the lease that it was started with, on the worker's clock in milliseconds: a start that arrives
-    /// later is rejected. None if this leader didn't start it.
+    /// The worker's clock, in milliseconds, after which the worker rejects the start. None if a previous leader
+    /// started it.
     pub(crate) start_deadline_ms: Option<u64>,
-    /// Nothing is started beside it until it has been at work for a moment.
+    /// Nothing else is started on the worker until this attempt passes its probation.
     pub(crate) isolated: bool,
-    /// A predecessor started it and didn't see it at work.
+    /// Started by a previous leader that didn't see it running past its probation.
     pub(crate) inherited_in_probation: bool,
-    /// The worker has answered its start or listed it.
+    /// The worker has answered the start or listed the run.
     pub(crate) confirmed: bool,
-    /// When it was started, or found.
+    /// When it was started, or first listed by the worker.
     pub(crate) placed_at: Time,
-    /// When it began to run, as far as is known.
+    /// When it started running, as far as known.
     pub(crate) running_since: Time,
-    /// When it was last seen to get on.
+    /// When its progress last changed.
     pub(crate) progressed_at: Time,
-    /// When its speed was last measured, and how far it was then.
+    /// Time and progress, in percent, at the last speed sample.
     pub(crate) speed_sample: (Time, u32),
-    /// How long it should take, in milliseconds; 0 if nobody can say, as for fillers.
+    /// Estimated run time in milliseconds; 0 if unknown, as for best-effort tasks.
     pub(crate) estimate_ms: u32,
     pub(crate) percent: u32,
-    /// The last figure: a serving task's tail in milliseconds, another one's use of the processor.
+    /// Last reported value: tail latency in milliseconds of a latency-critical task, otherwise CPU use in millicores.
     pub(crate) measurement: u32,
     pub(crate) image: ImageNo,
     pub(crate) target_ms: u32,
-    /// Since when a serving task is over its target.
+    /// Since when a latency-critical task exceeds its target.
     pub(crate) over_target_since: Option<Time>,
-    /// The last figure that was learned from.
+    /// The last value used by the interference model.
     pub(crate) learned_measurement: u32,
-    /// The share at which a filler may work and disturb, in percent.
+    /// Share of its CPU that a best-effort task may use, in percent.
     pub(crate) pace: u32,
-    /// The pace that the worker was last told; none if that isn't known.
+    /// The pace last sent to the worker; none if unknown.
     pub(crate) pace_sent: Option<u32>,
-    /// Since when its pace is too low to be worth its stay.
+    /// Since when the pace is too low to keep the task on this worker.
     pub(crate) throttled_since: Option<Time>,
-    /// Counted against the worker.
+    /// Resources counted against the worker's capacity.
     pub(crate) reserved: Resources,
-    /// Processor time that a filling task would use, counted against other fillers only.
+    /// CPU of a best-effort task, counted only against that of other best-effort tasks.
     pub(crate) best_effort_cpu: MilliCores,
     pub(crate) latency_critical: bool,
     pub(crate) best_effort: bool,
-    /// The stop that was ordered, if one was.
+    /// The stop that was requested, if any.
     pub(crate) stop: Option<Stop>,
-    /// It can go on elsewhere without loss: it saves its progress, or lasts.
+    /// Can continue on another worker without loss: it saves checkpoints or is long-running.
     pub(crate) movable: bool,
-    /// It runs until its workflow is cancelled.
+    /// Runs until its workflow is cancelled.
     pub(crate) long_running: bool,
-    /// It lasts, and any number of its step's tasks may be away.
+    /// Long-running, and the step has no bound on interrupted tasks.
     pub(crate) preemptible: bool,
 }
 
-/// What a task of a step needs of a worker.
+/// What a task requires of a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Requirements<'a> {
     pub(crate) step: &'a Step,
-    /// Counted against the worker.
+    /// Resources counted against the worker's capacity.
     pub(crate) reserved: Resources,
-    /// Processor time of a filling task, counted against other fillers only.
+    /// CPU of a best-effort task, counted only against that of other best-effort tasks.
     pub(crate) best_effort_cpu: MilliCores,
     pub(crate) image: ImageNo,
-    /// Only workers of this rack will do.
+    /// The only rack that qualifies; any if none.
     pub(crate) rack: Option<&'a str>,
 }
 
@@ -118,15 +118,15 @@
         }
     }
 
-    /// Its image and the processor time that it asks for, in cores, if it fills.
+    /// Image, and CPU demand in cores; zero unless best-effort.
     pub(crate) fn best_effort_demand(&self) -> (ImageNo, f32) {
         (self.image, self.best_effort_cpu.0 as f32 / 1_000.0)
     }
 }
 
 impl Attempt {
-    pub(crate) fn new(now: Time, need: &Requirements<'_>, phase: Phase) -> Attempt {
-        let Requirements { step, reserved, best_effort_cpu, image, .. } = *need;
+    pub(crate) fn new(now: Time, requirements: &Requirements<'_>, phase: Phase) -> Attempt {
+        let Requirements { step, reserved, best_effort_cpu, image, .. } = *requirements;
         Attempt {
             phase,
             is_restart: false,
@@ -163,16 +163,16 @@
         }
     }
 
-    /// Its image and the processor time that it asks for, in cores, if it fills.
+    /// Image, and CPU demand in cores; zero unless best-effort.
     pub(crate) fn best_effort_demand(&self) -> (ImageNo, f32) {
         (self.image, self.best_effort_cpu.0 as f32 / 1_000.0)
     }
 
-    /// The processor time that a filling task may use at its pace.
+    /// CPU that a best-effort task may use at its pace.
     pub(crate) fn paced_cpu(&self) -> MilliCores {
         MilliCores(self.best_effort_cpu.0 * self.pace / FULL_PACE_PERCENT)
     }
 }
 
-/// The pace of a filler that nothing holds back, in percent.
+/// The pace of an unthrottled best-effort task, in percent.
 pub(crate) const FULL_PACE_PERCENT: u32 = 100;
--- a/crates/workflow/src/scheduler/gangs.rs
+++ b/crates/workflow/src/scheduler/gangs.rs
@@ -1,8 +1,7 @@
-//! Gangs: tasks that work only together.
+//! Gang scheduling: tasks that only make progress while all of them run.
 //!
-//! Load: members that stand alone hold room and do nothing, and end after some seconds; a gang that is slower
-//! across racks holds its room for half as long again, or three times as long. So all of a gang start at once
-//! or none, in one rack if it matters.
+//! A partially started gang would hold capacity without progress, so all members start at once or none. A gang
+//! that is slower across racks preferably runs in one rack.
 
 use {
     super::{Attempt, Effect, Phase, Ready, Requirements, Scheduler, placement::has_capacity},
@@ -12,12 +11,11 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// A gang that is slower across racks waits so long for one with room for all of it; across racks it takes
-/// half as long again and more.
-const RACK_PATIENCE: Duration = Duration::from_secs(2);
+/// How long a rack-sensitive gang waits for a rack that fits all its members.
+const RACK_WAIT: Duration = Duration::from_secs(2);
 
 impl Scheduler {
-    /// Places all members of a gang, or none: a member alone would hold room and do nothing.
+    /// Places all members of a gang, or none. Returns whether the step has no waiting tasks left.
     pub(super) fn place_gang(
         &mut self,
         now: Time,
@@ -26,28 +24,32 @@
         step: &Step,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let Some(first) = self.front_task(key) else { return true };
-        if self.was_started(key.task(first)) && !self.may_restart(now) {
+        let Some(front_task) = self.front_task(key) else { return true };
+        if self.was_started(key.task(front_task)) && !self.may_restart(now) {
             return false;
         }
         let waiting = self.queue_of(key).map_or(0, |queue| queue.len());
-        // Members that still end are waited for: all have to start as one run.
+        // All members start as one run, so this waits for those that are still ending.
         if waiting < step.count as usize {
             return false;
         }
-        let mut need = Requirements::new(step, &mut self.colocation);
-        let rack = step.rack_sensitive.then(|| self.roomy_rack(now, key.task(0), service, &need));
-        need.rack = rack.as_ref().and_then(|rack| rack.as_deref());
-        let patient = step.rack_sensitive && self.step_wait(now, key) < RACK_PATIENCE;
-        if patient && need.rack.is_none() {
+        let mut requirements = Requirements::new(step, &mut self.colocation);
+        let rack = step
+            .rack_sensitive
+            .then(|| self.tightest_rack(now, key.task(0), service, &requirements));
+        requirements.rack = rack.as_ref().and_then(|rack| rack.as_deref());
+        let wait_for_rack = step.rack_sensitive && self.step_wait(now, key) < RACK_WAIT;
+        if wait_for_rack && requirements.rack.is_none() {
             return false;
         }
         let mut placed: Vec<(TaskId, WorkerId)> = Vec::with_capacity(waiting);
         for index in 0..step.count {
             let task = key.task(index);
-            let Some(id) = self.choose_worker(now, task, service, &need, &mut None) else { break };
+            let Some(id) = self.choose_worker(now, task, service, &requirements, &mut None) else {
+                break;
+            };
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.insert(task, RunId(0), Attempt::new(now, &need, Phase::Starting));
+                worker.insert(task, RunId(0), Attempt::new(now, &requirements, Phase::Starting));
             }
             placed.push((task, id));
         }
@@ -61,13 +63,13 @@
             return false;
         }
         let run = placed.iter().map(|(task, _)| self.next_run(*task)).max().unwrap_or_default();
-        let first = placed[0].0;
-        let saved = self.task_mut(first).map(|state| state.saved.clone()).unwrap_or_default();
+        let first_task = placed[0].0;
+        let saved = self.task_mut(first_task).map(|state| state.saved.clone()).unwrap_or_default();
         for (task, id) in placed {
             if let Some(state) = self.task_mut(task) {
                 state.saved.clone_from(&saved);
             }
-            self.start_attempt(now, task, &need, &id, Some(run), out);
+            self.start_attempt(now, task, &requirements, &id, Some(run), out);
         }
         if let Some(queue) = self.queue_of(key) {
             queue.clear();
@@ -75,29 +77,33 @@
         true
     }
 
-    /// The rack with the least room of those that hold all members of a gang.
-    fn roomy_rack(
+    /// The rack with the least free capacity that fits all members of a gang.
+    fn tightest_rack(
         &self,
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Requirements<'_>,
+        requirements: &Requirements<'_>,
     ) -> Option<CompactString> {
-        let mut places: BTreeMap<&str, u32> = BTreeMap::new();
+        let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
         for (id, worker) in &self.workers {
-            let suits = worker.info.service == *service
+            let eligible = worker.info.service == *service
                 && worker.accepts_work(now, &self.limits)
                 && !self.is_in_maintenance(id)
                 && self.is_allowed(now, task, id)
-                && has_capacity(worker, task, need);
-            let Some(rack) = worker.info.rack().filter(|_| suits) else { continue };
-            let fits = worker.free().times(&need.reserved);
-            let most =
-                if need.step.per_worker == 0 { fits } else { need.step.per_worker.min(fits) };
-            let places = places.entry(rack).or_default();
-            *places = places.saturating_add(most);
+                && has_capacity(worker, task, requirements);
+            let Some(rack) = worker.info.rack().filter(|_| eligible) else { continue };
+            let fits = worker.free().times(&requirements.reserved);
+            let worker_slots = if requirements.step.per_worker == 0 {
+                fits
+            } else {
+                requirements.step.per_worker.min(fits)
+            };
+            let slots = slots.entry(rack).or_default();
+            *slots = slots.saturating_add(worker_slots);
         }
-        let holds = places.into_iter().filter(|(_, places)| *places >= need.step.count);
-        holds.min_by_key(|(_, places)| *places).map(|(rack, _)| CompactString::new(rack))
+        let fitting_racks =
+            slots.into_iter().filter(|(_, slots)| *slots >= requirements.step.count);
+        fitting_racks.min_by_key(|(_, slots)| *slots).map(|(rack, _)| CompactString::new(rack))
     }
 }
--- a/crates/workflow/src/scheduler/poll_reply.rs
+++ b/crates/workflow/src/scheduler/poll_reply.rs
@@ -1,4 +1,4 @@
-//! What a worker's lists say: what runs there, and how runs ended.
+//! Processing of a worker's poll reply, which lists its running and ended runs.
 
 use {
     super::{
@@ -13,7 +13,7 @@
 };
 
 impl Scheduler {
-    /// Takes a worker's lists in. `sent` is when the poll was sent.
+    /// Applies a worker's reply to the poll sent at `sent`.
     pub(super) fn apply_poll_reply(
         &mut self,
         now: Time,
@@ -26,28 +26,32 @@
         worker.note_contact(now, reply.clock_ms);
         self.clear_crashes_of_worker(id);
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let before = worker.unreadable_rows.clone();
-        let unclear = worker.unreadable_rows.update(now, reply);
-        let first = !worker.reconciled;
-        // What its predecessor started there isn't known from such an answer. Nothing is renewed before the
-        // survey, so by the bound all of that has lapsed.
-        worker.reconciled |= !unclear || now >= worker.lease_bound;
+        let previous_unreadable = worker.unreadable_rows.clone();
+        let has_unreadable = worker.unreadable_rows.update(now, reply);
+        let first_reply = !worker.reconciled;
+        // An incomplete reply doesn't show everything that a previous leader started there. Leases aren't renewed
+        // before reconciliation, so all of that has lapsed by the bound.
+        worker.reconciled |= !has_unreadable || now >= worker.lease_bound;
         if !worker.reconciled {
             worker.next_poll_at = now + POLL_RETRY;
-        } else if first && self.unreconciled.remove(id).is_some() && self.unreconciled.is_empty() {
+        } else if first_reply
+            && self.unreconciled.remove(id).is_some()
+            && self.unreconciled.is_empty()
+        {
             log::info!(epoch:% = self.epoch; "survey_complete");
         }
-        if first {
+        if first_reply {
             self.remove_supposed(id, &reply.running);
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
-        self.roster_dirty |= first && !worker.in_roster;
-        let taken = worker.ends_processed;
+        self.roster_dirty |= first_reply && !worker.in_roster;
+        let last_end = worker.ends_processed;
         let numbers = reply.ended.iter().map(|end| end.number);
         worker.ends_processed =
-            numbers.chain(worker.unreadable_rows.skipped_ends(reply)).fold(taken, u64::max);
-        let news = |end: &&End| end.number > taken || before.is_unreadable_end(end.number);
-        for end in reply.ended.iter().filter(news) {
+            numbers.chain(worker.unreadable_rows.skipped_ends(reply)).fold(last_end, u64::max);
+        let is_new =
+            |end: &&End| end.number > last_end || previous_unreadable.is_unreadable_end(end.number);
+        for end in reply.ended.iter().filter(is_new) {
             self.on_run_ended(now, id, end, out);
         }
         self.compare_runs(now, id, sent, reply, out);
@@ -88,7 +92,7 @@
         match end.kind {
             EndKind::Done => self.on_done(now, end.task, out),
             EndKind::Failed => self.on_failed(now, id, end),
-            // Only a failure that is known as one uses up an attempt.
+            // Only a known failure counts as a failed attempt.
             EndKind::Stopped
             | EndKind::Lapsed
             | EndKind::GangBroken
@@ -102,8 +106,8 @@
         }
     }
 
-    /// A worker that fails one run after another gets nothing new for a while: its health looks good,
-    /// and as it is always free, it would draw and fail a large part of all tasks.
+    /// Quarantines a worker after several failures in a row. It reports healthy and always has free capacity, so it
+    /// would attract and fail a large share of the tasks.
     fn on_failure(&mut self, now: Time, id: &WorkerId) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.failures += 1;
@@ -118,50 +122,55 @@
         let Some(step) = self.step(task) else { return };
         let gang = step.gang;
         self.dirty.insert(task.workflow);
-        let Some(flow) = self.workflows.get_mut(&task.workflow) else { return };
-        let Some(occurrence) = flow.occurrences.get_mut(&task.occurrence) else { return };
+        let Some(workflow) = self.workflows.get_mut(&task.workflow) else { return };
+        let Some(occurrence) = workflow.occurrences.get_mut(&task.occurrence) else { return };
         let Some(state) = occurrence.steps.get_mut(usize::from(task.step)) else { return };
-        // One member's end stands for its whole gang.
+        // The end of one member ends its whole gang.
         let members =
             if gang { 0..state.tasks.len() } else { task.index as usize..task.index as usize + 1 };
-        let mut spare = Vec::new();
+        let mut redundant = Vec::new();
         for index in members {
             let Some(member) = state.tasks.get_mut(index) else { continue };
             state.done += u32::from(!member.done);
             member.done = true;
             let id = TaskId { index: u32::try_from(index).unwrap_or(u32::MAX), ..task };
             if !gang {
-                spare.extend(member.attempts.drain(..).map(|(worker, run)| (worker, id, run)));
+                redundant.extend(member.attempts.drain(..).map(|(worker, run)| (worker, id, run)));
             }
         }
-        let complete = state.is_done();
-        let all = occurrence.steps.iter().all(super::active_workflow::StepState::is_done);
-        for (worker, id, run) in spare {
-            self.stop_runs(now, &worker, StopReason::OtherAttemptDone, out, |of, number| {
-                of == id && number == run
-            });
+        let step_done = state.is_done();
+        let all_steps_done =
+            occurrence.steps.iter().all(super::active_workflow::StepState::is_done);
+        for (worker, id, run) in redundant {
+            self.stop_runs(
+                now,
+                &worker,
+                StopReason::OtherAttemptDone,
+                out,
+                |other_task, other_run| other_task == id && other_run == run,
+            );
         }
-        if all {
+        if all_steps_done {
             self.complete(task);
-        } else if complete {
+        } else if step_done {
             self.open_steps(now, task.workflow, task.occurrence);
         }
     }
 
     fn complete(&mut self, task: TaskId) {
-        let Some(flow) = self.workflows.get_mut(&task.workflow) else { return };
-        flow.complete(task.occurrence);
-        if flow.outcome.is_some() {
+        let Some(workflow) = self.workflows.get_mut(&task.workflow) else { return };
+        workflow.complete(task.occurrence);
+        if workflow.outcome.is_some() {
             log::info!(workflow:% = task.workflow, outcome = "Completed"; "workflow_ended");
         }
     }
 
     fn on_failed(&mut self, now: Time, id: &WorkerId, end: &End) {
-        let lasting = self.step(end.task).is_none_or(|step| step.long_running);
+        let long_running = self.step(end.task).is_none_or(|step| step.long_running);
         self.avoid(now, end.task, id);
         self.clear_crashes_of_task(end.task);
         let Some(state) = self.task_mut(end.task) else { return };
-        if !lasting && !state.failed.contains(&end.run) {
+        if !long_running && !state.failed.contains(&end.run) {
             state.failed.push(end.run);
         }
         let attempts = state.failed.len();
@@ -170,10 +179,10 @@
         self.enqueue(now, end.task);
     }
 
-    /// Compares what should run at a worker with what it lists.
+    /// Compares the expected runs of a worker with those that it lists.
     ///
-    /// Answers on two connections may overtake each other, so a list is compared with the worker's own
-    /// clock: it speaks only of orders that were confirmed at an earlier reading.
+    /// Replies on two connections may overtake each other. A list is therefore compared by the worker's own clock and
+    /// only covers commands that were confirmed at an earlier reading.
     fn compare_runs(
         &mut self,
         now: Time,
@@ -196,44 +205,44 @@
         }
         let lease = self.limits.lease_bound();
         let Some(worker) = self.workers.get(id) else { return };
-        let mut gone = Vec::new();
-        let mut doubtful = Vec::new();
-        let mut never_began = Vec::new();
-        for (key, copy) in worker.attempts.iter().filter(|(key, _)| !listed.contains(*key)) {
-            // It can't begin any more, whether or not a stop is ever answered.
-            let late = copy.start_deadline_ms.is_some_and(|until| reply.clock_ms > until);
+        let mut ended = Vec::new();
+        let mut unconfirmed = Vec::new();
+        let mut expired_starts = Vec::new();
+        for (key, attempt) in worker.attempts.iter().filter(|(key, _)| !listed.contains(*key)) {
+            // The start deadline has passed, so the run can't start any more, even if a stop is never answered.
+            let expired = attempt.start_deadline_ms.is_some_and(|until| reply.clock_ms > until);
             let unanswered =
-                matches!(copy.phase, Phase::Unconfirmed { .. } | Phase::Stopping { .. });
-            if late && unanswered && worker.unreadable_rows.all_readable() {
-                never_began.push(*key);
+                matches!(attempt.phase, Phase::Unconfirmed { .. } | Phase::Stopping { .. });
+            if expired && unanswered && worker.unreadable_rows.all_readable() {
+                expired_starts.push(*key);
                 continue;
             }
             match worker.unreadable_rows.classify_absent(
                 now,
-                copy.phase,
+                attempt.phase,
                 sent,
                 reply.clock_ms,
                 lease,
             ) {
-                AbsentRun::Ended => gone.push(*key),
-                AbsentRun::Unconfirmed => doubtful.push(*key),
+                AbsentRun::Ended => ended.push(*key),
+                AbsentRun::Unconfirmed => unconfirmed.push(*key),
                 AbsentRun::Undecided => {}
             }
         }
-        for (task, run) in gone {
+        for (task, run) in ended {
             log::info!(task:%, run:%, worker:% = id; "run_not_listed");
             self.drop_attempt(now, id, task, run);
         }
-        for (task, run) in never_began {
+        for (task, run) in expired_starts {
             log::info!(task:%, run:%, worker:% = id; "start_too_late");
-            // The roomiest worker would be tried with it again and again.
+            // Otherwise the worker with most free capacity would be chosen again and again.
             self.avoid(now, task, id);
             self.drop_attempt(now, id, task, run);
         }
-        // The start may still be carried out; a stop keeps it from that.
-        for (task, run) in doubtful {
-            self.stop_runs(now, id, StopReason::StartUnconfirmed, out, |of, number| {
-                of == task && number == run
+        // The worker may still execute the start; a stop prevents that.
+        for (task, run) in unconfirmed {
+            self.stop_runs(now, id, StopReason::StartUnconfirmed, out, |other_task, other_run| {
+                other_task == task && other_run == run
             });
         }
     }
@@ -248,24 +257,24 @@
     ) {
         let RunningTask { task, run, percent, .. } = *running;
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let Some(copy) = worker.attempts.get_mut(&(task, run)) else {
+        let Some(attempt) = worker.attempts.get_mut(&(task, run)) else {
             self.adopt_run(now, id, clock_ms, running, out);
             return;
         };
-        let speed = copy.sample_speed(now, percent);
-        if copy.percent != percent {
-            copy.progressed_at = now;
-        }
-        copy.percent = percent;
-        copy.measurement = running.figure;
-        let cleared = now.since(copy.running_since) >= CRASHES_CLEARED_AFTER;
-        match copy.phase {
-            Phase::Starting | Phase::Unconfirmed { .. } => copy.set_running(now, clock_ms),
+        let speed = attempt.sample_speed(now, percent);
+        if attempt.percent != percent {
+            attempt.progressed_at = now;
+        }
+        attempt.percent = percent;
+        attempt.measurement = running.figure;
+        let past_crash_window = now.since(attempt.running_since) >= CRASHES_CLEARED_AFTER;
+        match attempt.phase {
+            Phase::Starting | Phase::Unconfirmed { .. } => attempt.set_running(now, clock_ms),
             Phase::Running { .. } => {}
             Phase::Stopping { sent, .. } => {
                 if now.since(sent) > self.limits.command_timeout * 2 {
-                    self.stop_runs(now, id, StopReason::Duplicate, out, |of, number| {
-                        of == task && number == run
+                    self.stop_runs(now, id, StopReason::Duplicate, out, |other_task, other_run| {
+                        other_task == task && other_run == run
                     });
                 }
                 return;
@@ -274,22 +283,22 @@
         if let Some(speed) = speed {
             worker.add_speed_sample(now, speed);
         }
-        let proved = worker.pass_probation(now, task, run);
+        let passed_probation = worker.pass_probation(now, task, run);
         let Some(state) = self.task_mut(task) else { return };
-        let settled = proved && state.announced.take_if(|known| known.run == run).is_some();
+        let announcement_settled =
+            passed_probation && state.announced.take_if(|known| known.run == run).is_some();
         if !running.saved.is_empty() {
             state.saved.clone_from(&running.saved);
         }
-        if cleared && !state.crashes.is_empty() {
+        if past_crash_window && !state.crashes.is_empty() {
             self.clear_crashes_of_task(task);
         }
-        if settled {
+        if announcement_settled {
             self.dirty.insert(task.workflow);
         }
     }
 
-    /// A run is listed in a row of which nothing else can be read: it is under way, and how far it is isn't
-    /// known.
+    /// Handles a run whose row is only partly readable: it is running, with unknown progress.
     fn on_listed(
         &mut self,
         now: Time,
@@ -300,8 +309,10 @@
     ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         match worker.attempts.get_mut(&(task, run)) {
-            Some(copy) if matches!(copy.phase, Phase::Starting | Phase::Unconfirmed { .. }) => {
-                copy.set_running(now, clock_ms);
+            Some(attempt)
+                if matches!(attempt.phase, Phase::Starting | Phase::Unconfirmed { .. }) =>
+            {
+                attempt.set_running(now, clock_ms);
             }
             Some(_) => {}
             None => {
@@ -312,7 +323,7 @@
         }
     }
 
-    /// A run that this leader didn't start: a predecessor did. It is kept if its task still waits.
+    /// Takes over a run started by a previous leader, or stops it if its task doesn't wait any more.
     fn adopt_run(
         &mut self,
         now: Time,
@@ -336,17 +347,17 @@
             None => false,
         };
         let step = step.unwrap_or_default();
-        let need = Requirements::new(&step, &mut self.colocation);
-        let mut copy = Attempt::new(now, &need, Phase::Running { clock_ms });
-        copy.confirmed = true;
-        copy.percent = percent;
-        // A predecessor may have held it back.
-        copy.pace_sent = None;
+        let requirements = Requirements::new(&step, &mut self.colocation);
+        let mut attempt = Attempt::new(now, &requirements, Phase::Running { clock_ms });
+        attempt.confirmed = true;
+        attempt.percent = percent;
+        // The previous leader may have throttled it.
+        attempt.pace_sent = None;
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.insert(task, run, copy);
+            worker.insert(task, run, attempt);
         }
-        // Also what isn't wanted holds its task until its end is listed: another copy may turn out not to
-        // run at all, and the task must not start anew while this one is being stopped.
+        // An unwanted run also blocks its task until its end is listed: another attempt may turn out not to run,
+        // and the task must not restart while this one is being stopped.
         if let Some(state) = self.task_mut(task) {
             state.attempts.push((id.clone(), run));
             state.found_running |= wanted;
@@ -356,28 +367,29 @@
         }
         self.unqueue(task);
         if !wanted {
-            self.stop_runs(now, id, StopReason::Duplicate, out, |of, number| {
-                of == task && number == run
+            self.stop_runs(now, id, StopReason::Duplicate, out, |other_task, other_run| {
+                other_task == task && other_run == run
             });
         }
     }
 
-    /// Forgets what the records list at a worker that answers for the first time, where it does run: it is
-    /// taken over or stopped like all else that is found. Its workflow may have been cancelled since it was
-    /// listed, and its run would be renewed for as long as the worker stays.
+    /// On the first reply of a worker, removes attempts known from the records if the worker lists them as running.
+    /// They are then adopted or stopped like any other run, since their workflow may have been cancelled meanwhile.
     fn remove_supposed(&mut self, id: &WorkerId, found: &[RunningTask]) {
         for RunningTask { task, run, .. } in found {
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.remove(*task, *run);
             }
             if let Some(state) = self.task_mut(*task) {
-                state.attempts.retain(|(at, number)| at != id || number != run);
+                state
+                    .attempts
+                    .retain(|(other_worker, other_run)| other_worker != id || other_run != run);
             }
         }
     }
 
-    /// Forgets runs that the records only suppose, where a higher one of the same task was found: the
-    /// predecessor started that one because the others had certainly ended.
+    /// Removes attempts known only from the records if a higher run of the task was found: the previous leader started
+    /// it because the others had ended.
     fn drop_supposed(&mut self, task: TaskId, found: RunId) {
         let Some(state) = self.task_mut(task) else { return };
         let older: Vec<(WorkerId, RunId)> =
@@ -388,20 +400,22 @@
             };
             worker.remove(task, run);
             if let Some(state) = self.task_mut(task) {
-                state.attempts.retain(|(at, number)| *at != id || *number != run);
+                state
+                    .attempts
+                    .retain(|(other_worker, other_run)| *other_worker != id || *other_run != run);
             }
         }
     }
 
     fn unqueue(&mut self, task: TaskId) {
-        let Some(flow) = self.workflows.get_mut(&task.workflow) else { return };
-        flow.started = true;
-        let Some(occurrence) = flow.occurrences.get_mut(&task.occurrence) else { return };
+        let Some(workflow) = self.workflows.get_mut(&task.workflow) else { return };
+        workflow.started = true;
+        let Some(occurrence) = workflow.occurrences.get_mut(&task.occurrence) else { return };
         let Some(step) = occurrence.steps.get_mut(usize::from(task.step)) else { return };
         step.queue.retain(|index| *index != task.index);
     }
 
-    /// Forgets a run that is certainly not under way, and queues its task.
+    /// Removes an attempt that certainly doesn't run, and queues its task.
     pub(super) fn drop_attempt(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
         self.log_dropped(now, id, task, run);
         self.contacts.note(id);
@@ -409,9 +423,9 @@
             worker.remove(task, run);
         }
         let Some(state) = self.task_mut(task) else { return };
-        let before = state.attempts.len();
-        state.attempts.retain(|(at, number)| at != id || *number != run);
-        if state.attempts.len() != before {
+        let count = state.attempts.len();
+        state.attempts.retain(|(other_worker, other_run)| other_worker != id || *other_run != run);
+        if state.attempts.len() != count {
             self.enqueue(now, task);
         }
     }
