--- a/crates/workflow/src/scheduler/candidates.rs
+++ b/crates/workflow/src/scheduler/candidates.rs
@@ -1,9 +1,9 @@
-//! The workers that can take tasks of one step, best first.
+//! Candidate workers for the tasks of one step, best first.
 //!
-//! Load: steps of dozens of tasks, thousands of starts a second, hundreds of workers. Looking at each worker for each
-//! task took more of the leader's processor than anything else. What one start changes is its own worker, so the
-//! others are looked at once for all tasks of a step that are placed together. Where none has a place, only workers
-//! that have been heard of since are looked at again, and all of them from time to time.
+//! Scanning all workers for each task would be too expensive: steps have dozens of tasks, and there are thousands of
+//! starts each second on hundreds of workers. A start only changes its own worker, so the other workers are
+//! scanned once for all tasks of a step that are placed together. If none qualifies, only workers updated since are
+//! scanned again, and all workers after [`FULL_SCAN_INTERVAL`].
 
 use {
     super::{
@@ -22,30 +22,29 @@
     },
 };
 
-/// After this long all workers are looked at again: what isn't heard of any worker, such as the end of a quarantine
-/// or new knowledge of images, may open a place.
-const SEARCH_AGAIN: Duration = Duration::from_millis(300);
+/// Interval of full scans: changes that aren't worker updates, such as the end of a quarantine, can make a worker
+/// eligible.
+const FULL_SCAN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The most workers heard of that are remembered; more than a thousand are heard in [`SEARCH_AGAIN`] on the largest
-/// fleets.
+/// Maximum number of updates kept; large fleets have over a thousand within [`FULL_SCAN_INTERVAL`].
 const MAX_UPDATES: usize = 2_048;
 
-/// What fillers that run found no other place lately. Hundreds of them may be slowed down at once, and each asks with
-/// each answer of its worker.
+/// Demands of running best-effort tasks that recently fit no other worker. Hundreds of throttled tasks may ask again
+/// on each reply of their worker.
 #[derive(Debug, Default)]
 pub(super) struct UnplaceableDemands {
     demands: Vec<(Time, CompactString, Step)>,
 }
 
 impl UnplaceableDemands {
-    /// Whether a step of the same image that asks for no more found no place lately.
+    /// Whether an equal or smaller demand for the same image recently fit no worker.
     pub(super) fn contains(&mut self, now: Time, service: &CompactString, step: &Step) -> bool {
-        self.demands.retain(|(at, ..)| now.since(*at) < SEARCH_AGAIN);
-        self.demands.iter().any(|(_, of, known)| {
-            of == service
-                && known.image == step.image
-                && known.label == step.label
-                && known.resources.fits(&step.resources)
+        self.demands.retain(|(at, ..)| now.since(*at) < FULL_SCAN_INTERVAL);
+        self.demands.iter().any(|(_, other_service, step_without_worker)| {
+            other_service == service
+                && step_without_worker.image == step.image
+                && step_without_worker.label == step.label
+                && step_without_worker.resources.fits(&step.resources)
         })
     }
 
@@ -54,12 +53,12 @@
     }
 }
 
-/// The workers of which something was heard lately, in order.
+/// The most recent worker updates, in order.
 #[derive(Debug, Default)]
 pub(super) struct UpdatedWorkers {
     ids: VecDeque<WorkerId>,
-    /// How many were forgotten.
-    forgotten: u64,
+    /// Number of updates dropped from the front.
+    dropped: u64,
 }
 
 impl UpdatedWorkers {
@@ -67,23 +66,23 @@
         self.ids.push_back(id.clone());
         if self.ids.len() > MAX_UPDATES {
             self.ids.pop_front();
-            self.forgotten += 1;
+            self.dropped += 1;
         }
     }
 
-    /// How many times workers were heard of.
+    /// Number of updates so far.
     fn count(&self) -> u64 {
-        self.forgotten + self.ids.len() as u64
+        self.dropped + self.ids.len() as u64
     }
 
-    /// The workers heard of since `count`; none if that isn't remembered any more.
+    /// The workers updated since `count`; none if these updates were dropped.
     fn since(&self, count: u64) -> Option<impl Iterator<Item = &WorkerId>> {
-        let known = usize::try_from(count.checked_sub(self.forgotten)?).ok()?;
-        Some(self.ids.iter().skip(known))
+        let skipped = usize::try_from(count.checked_sub(self.dropped)?).ok()?;
+        Some(self.ids.iter().skip(skipped))
     }
 }
 
-/// A worker that can take a task; among equally good ones the first by its id.
+/// A worker that can take a task; ties are broken by the lowest id.
 #[derive(Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Candidate {
     fitness: Fitness,
@@ -94,62 +93,68 @@
 #[derive(Debug)]
 pub(super) struct Candidates {
     best_first: BinaryHeap<Candidate>,
-    /// The worker that was last taken out.
-    taken: Option<WorkerId>,
+    /// The worker removed last.
+    last_popped: Option<WorkerId>,
 }
 
 impl Candidates {
-    /// Takes out the best worker, but not `avoided`.
+    /// Removes and returns the best worker other than `avoided`.
     pub(super) fn pop_best(&mut self, avoided: Option<&WorkerId>) -> Option<WorkerId> {
         let best = self.best_first.pop()?;
-        self.taken = if avoided == Some(&best.id.0) {
+        self.last_popped = if avoided == Some(&best.id.0) {
             let second = self.best_first.pop();
             self.best_first.push(best);
-            second.map(|place| place.id.0)
+            second.map(|candidate| candidate.id.0)
         } else {
             Some(best.id.0)
         };
-        self.taken.clone()
+        self.last_popped.clone()
     }
 
-    /// Forgets a worker that was chosen in another way: it isn't what it was.
+    /// Removes a worker whose state has changed, unless it was the one removed last.
     fn remove(&mut self, id: &WorkerId) {
-        if self.taken.take().as_ref() != Some(id) {
-            self.best_first.retain(|place| place.id.0 != *id);
+        if self.last_popped.take().as_ref() != Some(id) {
+            self.best_first.retain(|candidate| candidate.id.0 != *id);
         }
     }
 }
 
 impl Scheduler {
-    /// The workers that can take `task`, and with it the other tasks of its step that wait.
+    /// Collects the workers that can take `task`, and thus the other waiting tasks of its step.
     pub(super) fn candidates(
         &mut self,
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Requirements<'_>,
+        requirements: &Requirements<'_>,
     ) -> Candidates {
         let contacts = self.contacts.count();
-        let last = self.searched(task).filter(|last| now.since(last.at) < SEARCH_AGAIN);
-        let lately = last.and_then(|last| self.heard_since(last.contacts));
-        let (found, scanned) = match &lately {
+        let last_search = self
+            .last_search(task)
+            .filter(|last_search| now.since(last_search.at) < FULL_SCAN_INTERVAL);
+        let updated = last_search.and_then(|last_search| self.updated_since(last_search.contacts));
+        let (candidates, scanned) = match &updated {
             Some(ids) => {
                 let workers = ids.iter().filter_map(|id| self.workers.get_key_value(id));
-                (self.candidates_among(now, task, service, need, workers), ids.len())
+                (self.candidates_among(now, task, service, requirements, workers), ids.len())
             }
             None => {
                 let workers = self.workers.iter();
-                (self.candidates_among(now, task, service, need, workers), self.workers.len())
+                (
+                    self.candidates_among(now, task, service, requirements, workers),
+                    self.workers.len(),
+                )
             }
         };
         self.stats.workers_scanned += scanned as u64;
-        let at = last.filter(|_| lately.is_some()).map_or(now, |last| last.at);
-        self.note_searched(task, found.is_empty().then_some(Searched { at, contacts }));
-        Candidates { best_first: found.into(), taken: None }
+        let at =
+            last_search.filter(|_| updated.is_some()).map_or(now, |last_search| last_search.at);
+        self.set_last_search(task, candidates.is_empty().then_some(Searched { at, contacts }));
+        Candidates { best_first: candidates.into(), last_popped: None }
     }
 
-    /// The workers of which something was heard since the count was `count`, if that is remembered.
-    fn heard_since(&self, count: u64) -> Option<Vec<WorkerId>> {
+    /// The workers updated since `count`; none if these updates were dropped.
+    fn updated_since(&self, count: u64) -> Option<Vec<WorkerId>> {
         let mut ids: Vec<WorkerId> = self.contacts.since(count)?.cloned().collect();
         ids.sort_unstable();
         ids.dedup();
@@ -161,65 +166,66 @@
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Requirements<'_>,
+        requirements: &Requirements<'_>,
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
     ) -> Vec<Candidate> {
-        let advised = self.needs_ticket(task.step_id()).is_some();
-        let place = |(id, worker): (&WorkerId, &Worker)| {
-            // Most workers are full, so their room is asked for first.
-            let takes = has_capacity(worker, task, need) && worker.accepts_work(now, &self.limits);
-            let takes = takes && (!advised || self.is_allowed(now, task, id));
-            let fitness =
-                takes.then(|| self.eligible_fitness(now, (id, worker), task, service, need))??;
+        let needs_ticket = self.needs_ticket(task.step_id()).is_some();
+        let candidate = |(id, worker): (&WorkerId, &Worker)| {
+            // The capacity check comes first, since most workers are full.
+            let eligible =
+                has_capacity(worker, task, requirements) && worker.accepts_work(now, &self.limits);
+            let eligible = eligible && (!needs_ticket || self.is_allowed(now, task, id));
+            let fitness = eligible
+                .then(|| self.eligible_fitness(now, (id, worker), task, service, requirements))??;
             Some(Candidate { fitness, id: Reverse(id.clone()) })
         };
-        workers.filter_map(place).collect()
+        workers.filter_map(candidate).collect()
     }
 
     fn step_state(&mut self, task: TaskId) -> Option<&mut StepState> {
-        let flow = self.workflows.get_mut(&task.workflow)?;
-        let occurrence = flow.occurrences.get_mut(&task.occurrence)?;
+        let workflow = self.workflows.get_mut(&task.workflow)?;
+        let occurrence = workflow.occurrences.get_mut(&task.occurrence)?;
         occurrence.steps.get_mut(usize::from(task.step))
     }
 
-    fn searched(&mut self, task: TaskId) -> Option<Searched> {
+    fn last_search(&mut self, task: TaskId) -> Option<Searched> {
         self.step_state(task)?.searched
     }
 
-    fn note_searched(&mut self, task: TaskId, searched: Option<Searched>) {
+    fn set_last_search(&mut self, task: TaskId, last_search: Option<Searched>) {
         if let Some(step) = self.step_state(task) {
-            step.searched = searched;
+            step.searched = last_search;
         }
     }
 
-    /// Puts a worker back that was taken out, as it is after a start there.
+    /// Adds a worker again if it still qualifies after a start there.
     pub(super) fn update_candidate(
         &mut self,
         now: Time,
         task: TaskId,
         service: &CompactString,
-        need: &Requirements<'_>,
+        requirements: &Requirements<'_>,
         id: WorkerId,
-        places: &mut Candidates,
+        candidates: &mut Candidates,
     ) {
         self.stats.workers_scanned += 1;
-        places.remove(&id);
+        candidates.remove(&id);
         let Some(worker) = self.workers.get(&id) else { return };
-        let place = self.candidates_among(now, task, service, need, iter::once((&id, worker)));
-        places.best_first.extend(place);
+        let candidate =
+            self.candidates_among(now, task, service, requirements, iter::once((&id, worker)));
+        candidates.best_first.extend(candidate);
     }
 
-    /// How well a worker with room suits a task; none if it can't take it. Whether it has a ticket for the task
-    /// isn't asked here.
+    /// Fitness of a worker with free capacity for a task; none if it doesn't qualify. Doesn't check tickets.
     pub(super) fn eligible_fitness(
         &self,
         now: Time,
         (id, worker): (&WorkerId, &Worker),
         task: TaskId,
         service: &CompactString,
-        need: &Requirements<'_>,
+        requirements: &Requirements<'_>,
     ) -> Option<Fitness> {
-        let suits = worker.info.service == *service && !self.is_in_maintenance(id);
-        if suits { self.fitness(now, worker, task, need) } else { None }
+        let eligible = worker.info.service == *service && !self.is_in_maintenance(id);
+        if eligible { self.fitness(now, worker, task, requirements) } else { None }
     }
 }
