--- a/crates/workflow/src/scheduler/latency_critical.rs
+++ b/crates/workflow/src/scheduler/latency_critical.rs
@@ -1,4 +1,4 @@
-//! Figures of serving tasks: what is learned from them, and relief for tasks over their target.
+//! Latency-critical tasks: samples for the interference model, and eviction of best-effort tasks.
 
 use {
     super::{Attempt, Effect, Phase, Ready, Scheduler, Worker, waits::StopReason},
@@ -11,99 +11,103 @@
     std::time::Duration,
 };
 
-/// A serving task counts as over its target until its tail is below this share of it: a figure strays by
-/// a fifth, and one good figure among bad ones is no recovery.
-const CLEARED: f32 = 0.85;
+/// A task counts as recovered once its tail latency is below this share of its target. A margin, since samples vary
+/// by a fifth.
+const RECOVERED_RATIO: f32 = 0.85;
 
-/// A serving task over its target for this long is relieved of all fillers, whatever was learned of them: what
-/// presses isn't known yet, and a filler is done sooner elsewhere than this is found out one by one. The
-/// platform counts harm from 4 s on.
-const RELIEF_AFTER: Duration = Duration::from_millis(1_800);
+/// How long a task may exceed its target before all best-effort tasks of its worker are evicted. Finding the
+/// interfering one first would take too long; the platform's limit is 4 s.
+const EVICT_AFTER: Duration = Duration::from_millis(1_800);
 
-/// The pause between two reliefs at a worker: the figures show the first one by then.
-const RELIEF_GAP: Duration = Duration::from_millis(600);
+/// Minimum time between two evictions on a worker, until samples show the effect of the first.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(600);
 
 impl Attempt {
-    /// It serves and is at work, so its figure says something.
-    fn is_serving(&self) -> bool {
+    /// Whether it is latency-critical and at work, so that its samples are meaningful.
+    fn is_measurable(&self) -> bool {
         self.latency_critical && self.percent >= 100
     }
 
-    /// Its tail as a multiple of its target.
+    /// Tail latency as a multiple of the target.
     fn ratio(&self) -> f32 {
         self.measurement as f32 / self.target_ms as f32
     }
 
-    /// Whether its figure is another one than last time: the same figure is listed again until the next one
-    /// is due, and counts once.
-    fn has_news(&self) -> bool {
-        self.is_serving() && self.measurement != self.learned_measurement
+    /// Whether the sample is new: workers list the same value again until they measure the next one.
+    fn has_new_sample(&self) -> bool {
+        self.is_measurable() && self.measurement != self.learned_measurement
     }
 }
 
-/// A serving task that is over its target.
+/// A latency-critical task that exceeds its target.
 #[derive(Clone, Copy, Debug)]
 struct OverTarget {
     since: Time,
     image: ImageNo,
-    /// Its tail as a multiple of its target.
+    /// Tail latency as a multiple of the target.
     ratio: f32,
 }
 
 impl Worker {
-    /// The processor time that the fillers which run here were listed to use, in cores.
-    fn fillers_use(&self) -> impl Iterator<Item = (ImageNo, f32)> {
-        let fillers = self.attempts.values().filter(|copy| copy.best_effort);
-        fillers.map(|copy| (copy.image, copy.measurement as f32 / 1_000.0))
+    /// Reported CPU use of the best-effort tasks here by image, in cores.
+    fn best_effort_use(&self) -> impl Iterator<Item = (ImageNo, f32)> {
+        let best_effort = self.attempts.values().filter(|attempt| attempt.best_effort);
+        best_effort.map(|attempt| (attempt.image, attempt.measurement as f32 / 1_000.0))
     }
 
-    /// The new figures of serving tasks, by workflow.
-    fn fresh_figures(&mut self, now: Time, exposure: &Exposure) -> SmallVec<[Observation; 4]> {
-        let mut seen: SmallVec<[Observation; 4]> = SmallVec::new();
-        for ((task, _), copy) in self.attempts.iter().filter(|(_, copy)| copy.has_news()) {
-            if seen.iter().any(|known| known.workflow == task.workflow) {
+    /// New observations of the latency-critical tasks, by workflow.
+    fn new_observations(&mut self, now: Time, exposure: &Exposure) -> SmallVec<[Observation; 4]> {
+        let mut observations: SmallVec<[Observation; 4]> = SmallVec::new();
+        for ((task, _), attempt) in
+            self.attempts.iter().filter(|(_, attempt)| attempt.has_new_sample())
+        {
+            if observations.iter().any(|observation| observation.workflow == task.workflow) {
                 continue;
             }
-            let of_workflow = |(of, _): &&(TaskId, RunId)| of.workflow == task.workflow;
-            let news =
-                || self.attempts.iter().filter(|(key, copy)| of_workflow(key) && copy.has_news());
+            let of_workflow =
+                |(other_task, _): &&(TaskId, RunId)| other_task.workflow == task.workflow;
+            let samples = || {
+                self.attempts
+                    .iter()
+                    .filter(|(key, attempt)| of_workflow(key) && attempt.has_new_sample())
+            };
             let sample = Sample {
-                headroom: median_headroom(news().map(|(_, copy)| copy.ratio())),
-                count: news().count() as f32,
+                headroom: median_headroom(samples().map(|(_, attempt)| attempt.ratio())),
+                count: samples().count() as f32,
                 exposure: exposure.clone(),
             };
-            let (workflow, image) = (task.workflow, copy.image);
-            seen.push(Observation { workflow, image, at: now, sample });
+            let (workflow, image) = (task.workflow, attempt.image);
+            observations.push(Observation { workflow, image, at: now, sample });
         }
-        for copy in self.attempts.values_mut().filter(|copy| copy.is_serving()) {
-            copy.learned_measurement = copy.measurement;
+        for attempt in self.attempts.values_mut().filter(|attempt| attempt.is_measurable()) {
+            attempt.learned_measurement = attempt.measurement;
         }
-        seen
+        observations
     }
 
-    /// Notes which serving tasks are over their target; returns the one that has been for longest.
-    fn note_over_target(&mut self, now: Time) -> Option<OverTarget> {
-        let mut worst: Option<OverTarget> = None;
-        for copy in self.attempts.values_mut().filter(|copy| copy.is_serving()) {
-            let ratio = copy.ratio();
-            if ratio <= CLEARED {
-                copy.over_target_since = None;
+    /// Updates which latency-critical tasks exceed their targets; returns the one that has for longest.
+    fn update_over_target(&mut self, now: Time) -> Option<OverTarget> {
+        let mut longest: Option<OverTarget> = None;
+        for attempt in self.attempts.values_mut().filter(|attempt| attempt.is_measurable()) {
+            let ratio = attempt.ratio();
+            if ratio <= RECOVERED_RATIO {
+                attempt.over_target_since = None;
             }
-            if ratio <= 1.0 && copy.over_target_since.is_none() {
+            if ratio <= 1.0 && attempt.over_target_since.is_none() {
                 continue;
             }
-            let since = *copy.over_target_since.get_or_insert(now);
-            if worst.is_none_or(|known| since < known.since) {
-                worst = Some(OverTarget { since, image: copy.image, ratio });
+            let since = *attempt.over_target_since.get_or_insert(now);
+            if longest.is_none_or(|longest| since < longest.since) {
+                longest = Some(OverTarget { since, image: attempt.image, ratio });
             }
         }
-        self.over_target = worst.is_some();
-        worst
+        self.over_target = longest.is_some();
+        longest
     }
 }
 
 impl Scheduler {
-    /// Takes in the figures that a worker has just listed, and relieves tasks that are over target.
+    /// Processes the samples that a worker has just reported, and evicts best-effort tasks if a target is exceeded.
     pub(super) fn check_latency_targets(
         &mut self,
         now: Time,
@@ -114,10 +118,10 @@
         if worker.latency_critical == 0 {
             return;
         }
-        let exposure = self.colocation.exposure(&worker.neighbours, worker.fillers_use());
-        let seen = worker.fresh_figures(now, &exposure);
-        worker.neighbours.add_observations(seen);
-        if let Some(over) = worker.note_over_target(now) {
+        let exposure = self.colocation.exposure(&worker.neighbours, worker.best_effort_use());
+        let observations = worker.new_observations(now, &exposure);
+        worker.neighbours.add_observations(observations);
+        if let Some(over) = worker.update_over_target(now) {
             let image = self.colocation.model().name(over.image);
             let (ratio, fillers) = (over.ratio, exposure.as_slice());
             log::debug!(worker:% = id, image:%, ratio, fillers:?; "over_target");
@@ -133,58 +137,63 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        if now.since(over.since) < RELIEF_AFTER || now.since(worker.evicted_at) < RELIEF_GAP {
+        if now.since(over.since) < EVICT_AFTER || now.since(worker.evicted_at) < EVICTION_INTERVAL {
             return;
         }
-        let presses = |copy: &Attempt| {
-            copy.best_effort && copy.pace > 0 && !matches!(copy.phase, Phase::Stopping { .. })
+        let is_evictable = |attempt: &Attempt| {
+            attempt.best_effort
+                && attempt.pace > 0
+                && !matches!(attempt.phase, Phase::Stopping { .. })
         };
-        let pressing = worker.attempts.iter().filter(|(_, copy)| presses(copy));
-        let pressing: Vec<(TaskId, RunId)> = pressing.map(|(key, _)| *key).collect();
-        if pressing.is_empty() {
+        let victims = worker.attempts.iter().filter(|(_, attempt)| is_evictable(attempt));
+        let victims: Vec<(TaskId, RunId)> = victims.map(|(key, _)| *key).collect();
+        if victims.is_empty() {
             return;
         }
         worker.evicted_at = now;
-        self.stats.evicted += pressing.len() as u64;
+        self.stats.evicted += victims.len() as u64;
         let image = self.colocation.model().name(over.image);
-        log::info!(worker:% = id, image:%, stopped = pressing.len(); "serving_relieved");
+        log::info!(worker:% = id, image:%, stopped = victims.len(); "serving_relieved");
         self.stop_runs(now, id, StopReason::Evicted, out, |task, run| {
-            pressing.contains(&(task, run))
+            victims.contains(&(task, run))
         });
     }
 
-    /// Learns from the last figures of all workers, when that is due.
+    /// Updates the interference model from the latest samples of all workers, when due.
     pub(super) fn update_interference_model(&mut self, now: Time) {
         if !self.colocation.is_due(now) {
             return;
         }
-        let asked = self.fillers_ask();
+        let demand = self.best_effort_demand();
         let workers = self.workers.values().map(|worker| &worker.neighbours);
-        self.learned_dirty |= self.colocation.learn(now, workers, asked);
+        self.learned_dirty |= self.colocation.learn(now, workers, demand);
         for worker in self.workers.values_mut() {
             self.colocation.cache_acceptance(&mut worker.neighbours);
         }
     }
 
-    /// What fillers ask for, by image, in cores, whether they run or wait.
-    fn fillers_ask(&mut self) -> Vec<(ImageNo, f32)> {
-        let copies = self.workers.values().flat_map(|worker| worker.attempts.values());
-        let mut asked: Vec<(ImageNo, f32)> =
-            copies.filter(|copy| copy.best_effort).map(Attempt::best_effort_demand).collect();
+    /// CPU demand in cores of running and waiting best-effort tasks, by image.
+    fn best_effort_demand(&mut self) -> Vec<(ImageNo, f32)> {
+        let attempts = self.workers.values().flat_map(|worker| worker.attempts.values());
+        let mut demand: Vec<(ImageNo, f32)> = attempts
+            .filter(|attempt| attempt.best_effort)
+            .map(Attempt::best_effort_demand)
+            .collect();
         for key in &self.ready {
             let Ready { workflow, occurrence, step, .. } = *key;
-            let Some(flow) = self.workflows.get(&workflow) else { continue };
-            let Some(of_step) = flow.submission.workflow.steps.get(usize::from(step)) else {
+            let Some(active_workflow) = self.workflows.get(&workflow) else { continue };
+            let Some(step_spec) = active_workflow.submission.workflow.steps.get(usize::from(step))
+            else {
                 continue;
             };
-            let state = flow.occurrences.get(&occurrence);
+            let state = active_workflow.occurrences.get(&occurrence);
             let state = state.and_then(|state| state.steps.get(usize::from(step)));
-            if of_step.best_effort {
+            if step_spec.best_effort {
                 let waiting = state.map_or(0, |state| state.queue.len()) as f32;
-                let cores = of_step.resources.cpu.0 as f32 / 1_000.0;
-                asked.push((self.colocation.image(&of_step.image), waiting * cores));
+                let cores = step_spec.resources.cpu.0 as f32 / 1_000.0;
+                demand.push((self.colocation.image(&step_spec.image), waiting * cores));
             }
         }
-        asked
+        demand
     }
 }
--- a/crates/workflow/src/scheduler/regroup.rs
+++ b/crates/workflow/src/scheduler/regroup.rs
@@ -1,7 +1,7 @@
-//! Serving tasks that are moved to stand beside those on which the same fillers press.
+//! Regrouping: moves latency-critical tasks next to those that tolerate the same best-effort tasks.
 //!
-//! A task that is moved is away for about a second. That costs its users less than a filler that finds no room
-//! costs the batch which waits for it, and the room that a move opens is used over and over.
+//! A moved task is down for about a second. That costs less than the best-effort capacity gained, which is used again
+//! and again.
 
 use {
     super::{
@@ -16,21 +16,20 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// The pause between two passes at the same workers, in which one task is moved or two change places: what a move
-/// opens shows in what is started next.
-const REGROUP_GAP: Duration = Duration::from_millis(250);
+/// Interval of passes over the same workers; a pass moves one task or swaps two, and later starts show the effect.
+const REGROUP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// So many workers are considered in a pass. Pairs of them are compared, so all of a large fleet at once would hold up
-/// everything else; they take turns, each as often as on a small one.
-const HOSTS_PER_PASS: usize = 96;
+/// Maximum number of workers per pass, since a pass compares pairs of workers. Larger fleets take turns, and each
+/// worker is still considered every [`REGROUP_INTERVAL`].
+const MAX_HOSTS_PER_PASS: usize = 96;
 
-/// Tasks are moved only while some filler has waited for so long: otherwise there is room enough.
-const FILLERS_WAIT: Duration = Duration::from_millis(300);
+/// Tasks are moved only if a best-effort task has waited this long; otherwise there is enough free capacity.
+const MIN_BEST_EFFORT_WAIT: Duration = Duration::from_millis(300);
 
-/// A task isn't moved sooner after its start: it would only have paid for the start.
-const LEAST_STAY: Duration = Duration::from_secs(3);
+/// Minimum run time before a task is moved; earlier, its start would have been wasted.
+const MIN_RUN_TIME: Duration = Duration::from_secs(3);
 
-/// A task that may be moved, and where it runs.
+/// An attempt that may be moved, and its worker.
 struct Candidate {
     worker: WorkerId,
     task: TaskId,
@@ -38,11 +37,11 @@
 }
 
 impl Scheduler {
-    /// Stops serving tasks that stand better elsewhere, one or two at a time; they start again at once.
+    /// Stops up to two latency-critical tasks per service that fit better elsewhere; they restart at once.
     pub(super) fn regroup(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let turns = self.workers.len().div_ceil(HOSTS_PER_PASS).max(1);
-        let gap = REGROUP_GAP / u32::try_from(turns).unwrap_or(u32::MAX);
-        if now.since(self.regrouped_at) < gap || self.best_effort_wait < FILLERS_WAIT {
+        let turns = self.workers.len().div_ceil(MAX_HOSTS_PER_PASS).max(1);
+        let interval = REGROUP_INTERVAL / u32::try_from(turns).unwrap_or(u32::MAX);
+        if now.since(self.regrouped_at) < interval || self.best_effort_wait < MIN_BEST_EFFORT_WAIT {
             return;
         }
         self.regroup_turn = (self.regroup_turn + 1) % turns;
@@ -50,69 +49,80 @@
         let services: BTreeSet<CompactString> =
             self.workers.values().map(|worker| worker.info.service.clone()).collect();
         for service in services {
-            for Candidate { worker, task, run } in self.better_elsewhere(now, &service) {
+            for Candidate { worker, task, run } in self.tasks_to_move(now, &service) {
                 self.stats.regrouped += 1;
                 log::info!(task:%, run:%, worker:% = worker; "serving_regrouped");
-                self.stop_runs(now, &worker, StopReason::Regrouped, out, |of, number| {
-                    of == task && number == run
-                });
+                self.stop_runs(
+                    now,
+                    &worker,
+                    StopReason::Regrouped,
+                    out,
+                    |other_task, other_run| other_task == task && other_run == run,
+                );
             }
         }
     }
 
-    fn better_elsewhere(&self, now: Time, service: &CompactString) -> Vec<Candidate> {
-        let takes = |worker: &Worker| {
+    fn tasks_to_move(&self, now: Time, service: &CompactString) -> Vec<Candidate> {
+        let eligible = |worker: &Worker| {
             worker.info.service == *service && worker.accepts_work(now, &self.limits)
         };
-        let turn =
-            self.workers.iter().skip(self.regroup_turn * HOSTS_PER_PASS).take(HOSTS_PER_PASS);
-        let workers: Vec<(&WorkerId, &Worker)> = turn.filter(|(_, worker)| takes(worker)).collect();
+        let turn = self
+            .workers
+            .iter()
+            .skip(self.regroup_turn * MAX_HOSTS_PER_PASS)
+            .take(MAX_HOSTS_PER_PASS);
+        let workers: Vec<(&WorkerId, &Worker)> =
+            turn.filter(|(_, worker)| eligible(worker)).collect();
         let hosts: Vec<Host> = workers.iter().map(|(_, worker)| host(worker)).collect();
         let (mut movable, mut candidates) = (Vec::new(), Vec::new());
-        for (place, (id, worker)) in workers.iter().enumerate() {
-            for ((task, run), copy) in &worker.attempts {
-                if self.may_be_moved(now, *task, copy) {
+        for (index, (id, worker)) in workers.iter().enumerate() {
+            for ((task, run), attempt) in &worker.attempts {
+                if self.may_be_moved(now, *task, attempt) {
                     movable.push(MovableTask {
-                        host: place,
-                        image: copy.image,
-                        resources: copy.reserved,
+                        host: index,
+                        image: attempt.image,
+                        resources: attempt.reserved,
                     });
                     candidates.push(Candidate { worker: (*id).clone(), task: *task, run: *run });
                 }
             }
         }
         let mut company = ColocationGroups::new(self.colocation.model(), self.colocation.demand());
-        let suits = |task: usize, host: usize| {
+        let may_run_on = |task: usize, host: usize| {
             let task = candidates[task].task;
-            let most = self.step(task).map_or(0, |step| step.per_worker as usize);
-            most == 0 || count_siblings(workers[host].1, task) < most
+            let max_tasks = self.step(task).map_or(0, |step| step.per_worker as usize);
+            max_tasks == 0 || count_siblings(workers[host].1, task) < max_tasks
         };
-        let best = company.best_regrouping(&hosts, &movable, suits);
+        let best = company.best_regrouping(&hosts, &movable, may_run_on);
         let Some(Regrouping { first, second }) = best else { return Vec::new() };
-        let chosen = candidates.into_iter().enumerate();
-        chosen.filter(|(n, _)| *n == first || Some(*n) == second).map(|(_, task)| task).collect()
+        let indexed_tasks = candidates.into_iter().enumerate();
+        indexed_tasks
+            .filter(|(index, _)| *index == first || Some(*index) == second)
+            .map(|(_, task)| task)
+            .collect()
     }
 
-    /// Whether a serving task may be stopped to run elsewhere: it has settled, may be away, goes anywhere, and
-    /// no other one of its step is away.
-    fn may_be_moved(&self, now: Time, task: TaskId, copy: &Attempt) -> bool {
-        let settled = matches!(copy.phase, Phase::Running { .. })
-            && copy.percent >= 100
-            && now.since(copy.placed_at) >= LEAST_STAY;
-        let goes_anywhere =
+    /// Whether a latency-critical task may be moved: it is at work and preemptible, not bound to certain workers, and no
+    /// task of its step is waiting.
+    fn may_be_moved(&self, now: Time, task: TaskId, attempt: &Attempt) -> bool {
+        let at_work = matches!(attempt.phase, Phase::Running { .. })
+            && attempt.percent >= 100
+            && now.since(attempt.placed_at) >= MIN_RUN_TIME;
+        let unconstrained =
             |step: &Step| step.label.is_none() && step.data_rack.is_none() && !step.gang;
-        copy.latency_critical
-            && copy.preemptible
-            && settled
-            && self.step(task).is_some_and(goes_anywhere)
+        attempt.latency_critical
+            && attempt.preemptible
+            && at_work
+            && self.step(task).is_some_and(unconstrained)
             && self.needs_ticket(task.step_id()).is_none()
             && self.all_placed(task)
     }
 
     fn all_placed(&self, task: TaskId) -> bool {
-        let flow = self.workflows.get(&task.workflow);
-        let occurrence = flow.and_then(|flow| flow.occurrences.get(&task.occurrence));
-        let step = occurrence.and_then(|of| of.steps.get(usize::from(task.step)));
+        let workflow = self.workflows.get(&task.workflow);
+        let occurrence = workflow.and_then(|workflow| workflow.occurrences.get(&task.occurrence));
+        let step = occurrence.and_then(|occurrence| occurrence.steps.get(usize::from(task.step)));
         step.is_some_and(|step| step.queue.is_empty())
     }
 }
