--- a/crates/workflow/src/scheduler/stragglers.rs
+++ b/crates/workflow/src/scheduler/stragglers.rs
@@ -1,9 +1,8 @@
-//! Tasks that stand still or are far slower than expected.
+//! Straggler mitigation: tasks that stall or run far slower than estimated.
 //!
-//! Load: now and then a few workers let their tasks stand still for seconds, or run them several times
-//! slower, while they look well otherwise. A workflow waits for its slowest task, so with ten tasks each
-//! a twentieth of such workers delays nearly half of all workflows. A task that may run twice gets a
-//! copy elsewhere; another one is stopped and goes on elsewhere.
+//! Some workers stall their tasks for seconds or slow them down several times while they report healthy. A workflow
+//! waits for its slowest task, so a few such workers delay many workflows. A speculative task gets a second attempt on
+//! another worker; any other task is stopped and restarts there.
 
 use {
     super::{
@@ -15,149 +14,150 @@
     std::time::Duration,
 };
 
-/// A task that hasn't got on for so long stands still. A task of a second gets on by a percent each
-/// 10 ms, and one that resumes from a checkpoint waits for a quarter of a second.
-const STANDS_AFTER: Duration = Duration::from_millis(900);
+/// A task without progress for this long is stalled. A task of 1 s progresses by 1% every 10 ms, and resuming from a
+/// checkpoint takes 250 ms.
+const STALLED_AFTER: Duration = Duration::from_millis(900);
 
-/// A worker where tasks stand still gets nothing new for so long.
-const STANDING_BAR: Duration = Duration::from_secs(2);
+/// How long a worker with a stalled task gets no new tasks.
+const STALL_BAR: Duration = Duration::from_secs(2);
 
-/// A task is slow once it has run for its estimate times this, in percent; estimates of interactive
-/// steps are off by a fifth.
+/// A task is slow once it has run for this share of its estimate, in percent; estimates of interactive steps are off by
+/// a fifth.
 const SLOW_PERCENT: u32 = 180;
 
-/// And this much longer, which a short task takes to start.
-const SLOW_SLACK: Duration = Duration::from_millis(200);
+/// Added to the time above, since a short task takes this long to start.
+const SLOW_MARGIN: Duration = Duration::from_millis(200);
 
-/// A slow task that is further than this is nearly done: elsewhere it would begin anew.
-const WORTH_MOVING_PERCENT: u32 = 50;
+/// A slow task with more progress than this stays, since elsewhere it starts over.
+const MAX_MOVED_PROGRESS_PERCENT: u32 = 50;
 
-/// The most tasks of one worker that are moved at a time.
-const MOVES_PER_ANSWER: usize = 6;
+/// Maximum number of tasks of one worker moved at a time.
+const MAX_MOVES_PER_REPLY: usize = 6;
 
-/// A run can be judged by its progress after this long: at a usual pace a task of 0.8 s is a third through.
-const JUDGED_AFTER: Duration = Duration::from_millis(220);
+/// Minimum run time before a run is judged by its progress: a third of a task of 0.8 s.
+const MIN_JUDGED_RUN_TIME: Duration = Duration::from_millis(220);
 
-/// One that resumes from a checkpoint stands still at first, for up to a quarter of a second.
-const RESUMED_AFTER: Duration = Duration::from_millis(600);
+/// The same for a task with checkpoints, which makes no progress for up to 250 ms while it resumes.
+const MIN_RESUMED_RUN_TIME: Duration = Duration::from_millis(600);
 
-/// A run is moved if what is left of it takes longer than the whole task elsewhere, times this in percent.
-/// Estimates are off by a half at most, slow workers take four times as long and more.
-const WORTH_LEAVING_PERCENT: u32 = 150;
+/// A run is moved if its remaining time exceeds this share of the whole task's estimate, in percent. Estimates are
+/// off by at most a half; slow workers take four times as long or more.
+const MIN_REMAINING_PERCENT: u32 = 150;
 
-/// And this much longer, for the stop and the new start.
-const LEAVING_COST: Duration = Duration::from_millis(150);
+/// Added to the time above, for the stop and the new start.
+const MOVE_COST: Duration = Duration::from_millis(150);
 
-/// A task is moved so often at most: if it is slow wherever it runs, its estimate is wrong.
-const MOST_MOVES: u8 = 2;
+/// Maximum number of moves of a task; if it is slow everywhere, its estimate is wrong.
+const MAX_MOVES: u8 = 2;
 
-/// A speed is measured over this long at least.
-const SPEED_SPAN: Duration = Duration::from_millis(100);
+/// Minimum span of a speed sample.
+const MIN_SPEED_SPAN: Duration = Duration::from_millis(100);
 
-/// And over this share of a task's estimate, in percent: progress comes in whole percents, and one of two
-/// would be off by a half.
-const SPEED_PERCENT: u32 = 8;
+/// The same as a share of the task's estimate, in percent: progress is in whole percents, so a shorter span is
+/// imprecise.
+const MIN_SPEED_SPAN_PERCENT: u32 = 8;
 
-/// A worker below this share of the usual speed is slow.
+/// A worker is slow below this multiple of the expected speed.
 const SLOW_SPEED: f32 = 0.5;
 
-/// What is known of a worker's speed is forgotten after this long; it may have recovered.
-const SPEED_FORGOTTEN: Duration = Duration::from_secs(3);
+/// How long a worker's speed stays valid; it may have recovered since.
+const SPEED_VALIDITY: Duration = Duration::from_secs(3);
 
-/// The share of a new measurement in a worker's speed.
-const SPEED_SHARE: f32 = 0.5;
+/// Weight of a new sample in a worker's speed.
+const SPEED_SAMPLE_WEIGHT: f32 = 0.5;
 
 impl Attempt {
-    /// It runs, by the worker's word.
+    /// Marks the attempt as running, as confirmed by the worker.
     pub(super) fn set_running(&mut self, now: Time, clock_ms: u64) {
         self.phase = Phase::Running { clock_ms };
         self.confirmed = true;
         (self.running_since, self.progressed_at, self.speed_sample) = (now, now, (now, 0));
     }
 
-    /// The shortest time over which its progress says anything.
-    fn telling_span(&self) -> Duration {
-        Duration::from_millis(u64::from(self.estimate_ms)) * SPEED_PERCENT / 100
+    /// Minimum span over which its progress is meaningful.
+    fn min_sample_span(&self) -> Duration {
+        Duration::from_millis(u64::from(self.estimate_ms)) * MIN_SPEED_SPAN_PERCENT / 100
     }
 
-    /// Whether it began too lately to be judged by its progress.
+    /// Whether it has run too briefly to be judged by its progress.
     pub(super) fn is_too_recent_to_judge(&self, now: Time) -> bool {
-        let judged_after = JUDGED_AFTER.max(self.telling_span());
-        self.estimate_ms > 0 && now.since(self.running_since) < judged_after
+        let min_run_time = MIN_JUDGED_RUN_TIME.max(self.min_sample_span());
+        self.estimate_ms > 0 && now.since(self.running_since) < min_run_time
     }
 
-    /// How fast it got on since that was last measured, as a multiple of what was estimated.
+    /// Speed since the last sample, as a multiple of the estimated speed; none if it can't be sampled yet.
     pub(super) fn sample_speed(&mut self, now: Time, percent: u32) -> Option<f32> {
-        let (since, before) = self.speed_sample;
-        let passed = now.since(since);
+        let (since, previous_percent) = self.speed_sample;
+        let elapsed = now.since(since);
         let runs = matches!(self.phase, Phase::Running { .. });
-        // While it resumes from a checkpoint it stands still in any case.
-        let stands = percent == before && passed < RESUMED_AFTER;
-        let soon = passed < SPEED_SPAN.max(self.telling_span());
-        if self.estimate_ms == 0 || !runs || soon || stands || percent < before {
+        // No progress is expected while it resumes from a checkpoint.
+        let resuming = percent == previous_percent && elapsed < MIN_RESUMED_RUN_TIME;
+        let too_soon = elapsed < MIN_SPEED_SPAN.max(self.min_sample_span());
+        if self.estimate_ms == 0 || !runs || too_soon || resuming || percent < previous_percent {
             return None;
         }
         self.speed_sample = (now, percent);
-        let done = (percent - before) as f32 / 100.0 * self.estimate_ms as f32 / 1_000.0;
-        Some(done / passed.as_secs_f32())
+        let done = (percent - previous_percent) as f32 / 100.0 * self.estimate_ms as f32 / 1_000.0;
+        Some(done / elapsed.as_secs_f32())
     }
 
-    /// Whether what is left of it takes longer than the whole task would elsewhere.
-    fn lags(&self, now: Time, resumed: bool) -> bool {
+    /// Whether its remaining time exceeds that of a new attempt elsewhere.
+    fn is_lagging(&self, now: Time, resumed: bool) -> bool {
         let ran = now.since(self.running_since);
-        let patience = if resumed { RESUMED_AFTER } else { JUDGED_AFTER };
-        if self.estimate_ms == 0 || ran < patience.max(self.telling_span()) {
+        let min_run_time = if resumed { MIN_RESUMED_RUN_TIME } else { MIN_JUDGED_RUN_TIME };
+        if self.estimate_ms == 0 || ran < min_run_time.max(self.min_sample_span()) {
             return false;
         }
-        let whole =
-            Duration::from_millis(u64::from(self.estimate_ms)) * WORTH_LEAVING_PERCENT / 100;
-        let left = ran * (100 - self.percent.min(100)) / self.percent.max(1);
-        left >= whole + LEAVING_COST
+        let max_remaining =
+            Duration::from_millis(u64::from(self.estimate_ms)) * MIN_REMAINING_PERCENT / 100;
+        let remaining = ran * (100 - self.percent.min(100)) / self.percent.max(1);
+        remaining >= max_remaining + MOVE_COST
     }
 }
 
 impl Worker {
-    /// Takes in how fast a task got on here.
+    /// Adds a speed sample to the worker's moving average.
     pub(super) fn add_speed_sample(&mut self, now: Time, speed: f32) {
-        let known = self.speed.filter(|(_, at)| now.since(*at) < SPEED_FORGOTTEN);
-        let mean = known.map_or(speed, |(known, _)| known + SPEED_SHARE * (speed - known));
+        let recent = self.speed.filter(|(_, at)| now.since(*at) < SPEED_VALIDITY);
+        let mean =
+            recent.map_or(speed, |(recent, _)| recent + SPEED_SAMPLE_WEIGHT * (speed - recent));
         self.speed = Some((mean, now));
     }
 
-    /// Whether tasks lately got on slowly here.
+    /// Whether tasks have recently run slowly here.
     pub(super) fn is_slow(&self, now: Time) -> bool {
-        self.speed.is_some_and(|(speed, at)| speed < SLOW_SPEED && now.since(at) < SPEED_FORGOTTEN)
+        self.speed.is_some_and(|(speed, at)| speed < SLOW_SPEED && now.since(at) < SPEED_VALIDITY)
     }
 }
 
 enum Straggler {
-    Standing,
+    Stalled,
     Slow,
 }
 
-fn judge(now: Time, copy: &Attempt, step: &Step, resumed: bool) -> Option<Straggler> {
-    if step.long_running || step.gang || !matches!(copy.phase, Phase::Running { .. }) {
+fn classify(now: Time, attempt: &Attempt, step: &Step, resumed: bool) -> Option<Straggler> {
+    if step.long_running || step.gang || !matches!(attempt.phase, Phase::Running { .. }) {
         return None;
     }
-    // One that is held back gets on as slowly as it should.
-    if copy.pace < FULL_PACE_PERCENT {
+    // A throttled task is expected to be slow.
+    if attempt.pace < FULL_PACE_PERCENT {
         return None;
     }
-    let ran = now.since(copy.placed_at);
-    if now.since(copy.progressed_at) >= STANDS_AFTER && ran >= STANDS_AFTER {
-        return Some(Straggler::Standing);
+    let ran = now.since(attempt.placed_at);
+    if now.since(attempt.progressed_at) >= STALLED_AFTER && ran >= STALLED_AFTER {
+        return Some(Straggler::Stalled);
     }
-    if copy.lags(now, resumed) {
+    if attempt.is_lagging(now, resumed) {
         return Some(Straggler::Slow);
     }
-    // Fillers are slowed down by what else runs, and their estimates are off by any factor.
+    // Best-effort tasks are slowed down by others, and their estimates are unreliable.
     let expected = Duration::from_millis(u64::from(step.estimate_ms)) * SLOW_PERCENT / 100;
-    let slow = !step.best_effort && step.estimate_ms > 0 && ran >= expected + SLOW_SLACK;
-    (slow && copy.percent < WORTH_MOVING_PERCENT).then_some(Straggler::Slow)
+    let slow = !step.best_effort && step.estimate_ms > 0 && ran >= expected + SLOW_MARGIN;
+    (slow && attempt.percent < MAX_MOVED_PROGRESS_PERCENT).then_some(Straggler::Slow)
 }
 
 impl Scheduler {
-    /// Moves what stands still or is slow at a worker that has just been heard.
+    /// Moves stalled and slow tasks of a worker after its poll reply.
     pub(super) fn handle_stragglers(
         &mut self,
         now: Time,
@@ -166,42 +166,42 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(worker) = self.workers.get(id) else { return };
-        let mut found: Vec<(TaskId, RunId)> = Vec::new();
-        let mut standing = 0;
-        for ((task, run), copy) in &worker.attempts {
+        let mut stragglers: Vec<(TaskId, RunId)> = Vec::new();
+        let mut stalled = 0;
+        for ((task, run), attempt) in &worker.attempts {
             if reply.may_omit(*task, *run) {
                 continue;
             }
             let Some(step) = self.step(*task) else { continue };
             let resumed = step.checkpoints;
-            match judge(now, copy, step, resumed) {
-                Some(Straggler::Standing) => standing += 1,
+            match classify(now, attempt, step, resumed) {
+                Some(Straggler::Stalled) => stalled += 1,
                 Some(Straggler::Slow) => {}
                 None => continue,
             }
-            found.push((*task, *run));
+            stragglers.push((*task, *run));
         }
-        if standing > 0
+        if stalled > 0
             && let Some(worker) = self.workers.get_mut(id)
         {
-            worker.backoff_until = worker.backoff_until.max(now + STANDING_BAR);
+            worker.backoff_until = worker.backoff_until.max(now + STALL_BAR);
         }
-        for (task, run) in found.into_iter().take(MOVES_PER_ANSWER) {
+        for (task, run) in stragglers.into_iter().take(MAX_MOVES_PER_REPLY) {
             self.relocate_straggler(now, id, task, run, out);
         }
     }
 
-    /// Whether another worker would take a task now.
+    /// Whether another worker could take a task now.
     pub(super) fn fits_elsewhere(&mut self, now: Time, id: &WorkerId, task: TaskId) -> bool {
         let Some(step) = self.step(task).cloned() else { return false };
-        let Some(flow) = self.workflows.get(&task.workflow) else { return false };
-        let service = flow.submission.service.clone();
+        let Some(workflow) = self.workflows.get(&task.workflow) else { return false };
+        let service = workflow.submission.service.clone();
         self.avoid(now, task, id);
-        let need = Requirements::new(&step, &mut self.colocation);
+        let requirements = Requirements::new(&step, &mut self.colocation);
         if self.failed_searches.contains(now, &service, &step) {
             return false;
         }
-        let fits = self.choose_elsewhere(now, task, &service, &need).is_some();
+        let fits = self.choose_elsewhere(now, task, &service, &requirements).is_some();
         if !fits {
             self.failed_searches.note(now, service, &step);
         }
@@ -217,28 +217,30 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(step) = self.step(task).cloned() else { return };
-        let Some(flow) = self.workflows.get(&task.workflow) else { return };
-        let service = flow.submission.service.clone();
+        let Some(workflow) = self.workflows.get(&task.workflow) else { return };
+        let service = workflow.submission.service.clone();
         let Some(state) = self.task_mut(task) else { return };
-        if state.attempts.len() > 1 || state.slow_moves >= MOST_MOVES {
+        if state.attempts.len() > 1 || state.slow_moves >= MAX_MOVES {
             return;
         }
         self.avoid(now, task, id);
         if step.speculative && !self.may_start() {
             return;
         }
-        let need = Requirements::new(&step, &mut self.colocation);
-        // Without another place it is better off where it is.
-        let Some(other) = self.choose_elsewhere(now, task, &service, &need) else { return };
+        let requirements = Requirements::new(&step, &mut self.colocation);
+        // Without another worker it stays where it is.
+        let Some(new_worker) = self.choose_elsewhere(now, task, &service, &requirements) else {
+            return;
+        };
         log::info!(task:%, run:%, worker:% = id, copied = step.speculative; "straggler_moved");
         if let Some(state) = self.task_mut(task) {
             state.slow_moves += 1;
         }
         if step.speculative {
-            self.start_attempt(now, task, &need, &other, None, out);
+            self.start_attempt(now, task, &requirements, &new_worker, None, out);
         } else {
-            self.stop_runs(now, id, StopReason::Slow, out, |of, number| {
-                of == task && number == run
+            self.stop_runs(now, id, StopReason::Slow, out, |other_task, other_run| {
+                other_task == task && other_run == run
             });
         }
     }
