--- a/crates/workflow/src/scheduler/isolated_start.rs
+++ b/crates/workflow/src/scheduler/isolated_start.rs
@@ -1,7 +1,7 @@
 //! Isolated starts of tasks that are suspected of crashing workers.
 //!
-//! A suspected task is started on a worker without other attempts in probation, and nothing else is started there until
-//! it passes its own. So the next crash shows whether it is the cause, and affects few other tasks.
+//! A suspected task is started on a worker without other attempts in probation, and nothing else is started there
+//! until it passes its own. So the next crash shows whether it is the cause, and affects few other tasks.
 
 use {
     super::{
@@ -196,8 +196,8 @@
         IsolatedStart::Later
     }
 
-    /// Moves the first task that isn't suspected to the front of the queue, so that suspected tasks don't block the others
-    /// of the step. Returns whether there is one.
+    /// Moves the first task that isn't suspected to the front of the queue, so that suspected tasks don't block the
+    /// others of the step. Returns whether there is one.
     pub(super) fn pass_over_suspects(&mut self, key: Ready) -> bool {
         let waiting: Vec<u32> = self.queue_of(key).into_iter().flatten().map(|i| *i).collect();
         let position = waiting.iter().position(|index| !self.is_suspect(key.task(*index)));
--- a/crates/workflow/src/scheduler/poll_reply.rs
+++ b/crates/workflow/src/scheduler/poll_reply.rs
@@ -388,8 +388,8 @@
         }
     }
 
-    /// Removes attempts known only from the records if a higher run of the task was found: the previous leader started
-    /// it because the others had ended.
+    /// Removes attempts known only from the records if a higher run of the task was found: the previous leader
+    /// started it because the others had ended.
     fn drop_supposed(&mut self, task: TaskId, found: RunId) {
         let Some(state) = self.task_mut(task) else { return };
         let older: Vec<(WorkerId, RunId)> =
--- a/crates/workflow/src/scheduler/preempt.rs
+++ b/crates/workflow/src/scheduler/preempt.rs
@@ -15,8 +15,8 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// How long long-running tasks leave free capacity to batch tasks after one of these fit no worker; below the platform's
-/// limit of 3 s for starting a long-running task that fits.
+/// How long long-running tasks leave free capacity to batch tasks after one of these fit no worker; below the
+/// platform's limit of 3 s for starting a long-running task that fits.
 const DEFER_FOR: Duration = Duration::from_secs(2);
 
 /// Minimum run time before a long-running task is stopped; earlier, its start would have been wasted.
@@ -90,8 +90,9 @@
         stopping.map(|attempt| u64::from(attempt.reserved.cpu.0)).sum()
     }
 
-    /// The long-running task whose stop frees enough capacity for a task of `step` and gains most best-effort capacity, or the
-    /// smallest of equal ones. It restarts where it costs less, which improves the colocation of latency-critical tasks.
+    /// The long-running task whose stop frees enough capacity for a task of `step` and gains most best-effort
+    /// capacity, or the smallest of equal ones. It restarts where it costs less, which improves the colocation of
+    /// latency-critical tasks.
     fn victim(
         &self,
         now: Time,
--- a/crates/workflow/src/scheduler/regroup.rs
+++ b/crates/workflow/src/scheduler/regroup.rs
@@ -30,7 +30,7 @@
 const MIN_RUN_TIME: Duration = Duration::from_secs(3);
 
 /// An attempt that may be moved, and its worker.
-struct Candidate {
+struct MoveCandidate {
     worker: WorkerId,
     task: TaskId,
     run: RunId,
@@ -49,7 +49,7 @@
         let services: BTreeSet<CompactString> =
             self.workers.values().map(|worker| worker.info.service.clone()).collect();
         for service in services {
-            for Candidate { worker, task, run } in self.tasks_to_move(now, &service) {
+            for MoveCandidate { worker, task, run } in self.tasks_to_move(now, &service) {
                 self.stats.regrouped += 1;
                 log::info!(task:%, run:%, worker:% = worker; "serving_regrouped");
                 self.stop_runs(
@@ -63,7 +63,7 @@
         }
     }
 
-    fn tasks_to_move(&self, now: Time, service: &CompactString) -> Vec<Candidate> {
+    fn tasks_to_move(&self, now: Time, service: &CompactString) -> Vec<MoveCandidate> {
         let eligible = |worker: &Worker| {
             worker.info.service == *service && worker.accepts_work(now, &self.limits)
         };
@@ -84,17 +84,21 @@
                         image: attempt.image,
                         resources: attempt.reserved,
                     });
-                    candidates.push(Candidate { worker: (*id).clone(), task: *task, run: *run });
+                    candidates.push(MoveCandidate {
+                        worker: (*id).clone(),
+                        task: *task,
+                        run: *run,
+                    });
                 }
             }
         }
-        let mut company = ColocationGroups::new(self.colocation.model(), self.colocation.demand());
+        let mut groups = ColocationGroups::new(self.colocation.model(), self.colocation.demand());
         let may_run_on = |task: usize, host: usize| {
             let task = candidates[task].task;
             let max_tasks = self.step(task).map_or(0, |step| step.per_worker as usize);
             max_tasks == 0 || count_siblings(workers[host].1, task) < max_tasks
         };
-        let best = company.best_regrouping(&hosts, &movable, may_run_on);
+        let best = groups.best_regrouping(&hosts, &movable, may_run_on);
         let Some(Regrouping { first, second }) = best else { return Vec::new() };
         let indexed_tasks = candidates.into_iter().enumerate();
         indexed_tasks
@@ -103,8 +107,8 @@
             .collect()
     }
 
-    /// Whether a latency-critical task may be moved: it is at work and preemptible, not bound to certain workers, and no
-    /// task of its step is waiting.
+    /// Whether a latency-critical task may be moved: it is at work and preemptible, not bound to certain workers,
+    /// and no task of its step is waiting.
     fn may_be_moved(&self, now: Time, task: TaskId, attempt: &Attempt) -> bool {
         let at_work = matches!(attempt.phase, Phase::Running { .. })
             && attempt.percent >= 100
--- a/crates/workflow/src/scheduler/start_window.rs
+++ b/crates/workflow/src/scheduler/start_window.rs
@@ -1,8 +1,8 @@
 //! Limits the number of starts under way.
 //!
-//! A leader decides faster than its link, its CPU or its workers execute. Starts beyond that would wait in queues that
-//! can't be revoked, and could run seconds after their task is done. Undecided starts wait in the leader's queue
-//! instead, in its order.
+//! A leader decides faster than its link, its CPU or its workers execute. Starts beyond that would wait in queues
+//! that can't be revoked, and could run seconds after their task is done. Undecided starts wait in the leader's
+//! queue instead, in its order.
 
 use {egretlb_types::Time, std::time::Duration};
 
--- a/crates/workflow/src/scheduler/stragglers.rs
+++ b/crates/workflow/src/scheduler/stragglers.rs
@@ -1,8 +1,8 @@
 //! Straggler mitigation: tasks that stall or run far slower than estimated.
 //!
 //! Some workers stall their tasks for seconds or slow them down several times while they report healthy. A workflow
-//! waits for its slowest task, so a few such workers delay many workflows. A speculative task gets a second attempt on
-//! another worker; any other task is stopped and restarts there.
+//! waits for its slowest task, so a few such workers delay many workflows. A speculative task gets a second attempt
+//! on another worker; any other task is stopped and restarts there.
 
 use {
     super::{
@@ -21,8 +21,8 @@
 /// How long a worker with a stalled task gets no new tasks.
 const STALL_BAR: Duration = Duration::from_secs(2);
 
-/// A task is slow once it has run for this share of its estimate, in percent; estimates of interactive steps are off by
-/// a fifth.
+/// A task is slow once it has run for this share of its estimate, in percent; estimates of interactive steps are
+/// off by a fifth.
 const SLOW_PERCENT: u32 = 180;
 
 /// Added to the time above, since a short task takes this long to start.
--- a/crates/workflow/src/scheduler/unreadable_rows.rs
+++ b/crates/workflow/src/scheduler/unreadable_rows.rs
@@ -1,7 +1,7 @@
 //! Unreadable directory entries of workers, and unreadable rows of their poll replies.
 //!
-//! Such a row may stand for any run that is missing from the reply, or for its end. Ignoring it could start a running task
-//! twice or repeat one that is done.
+//! Such a row may stand for any run that is missing from the reply, or for its end. Ignoring it could start a
+//! running task twice or repeat one that is done.
 
 use {
     super::{Phase, PollReply, Worker},
@@ -11,13 +11,13 @@
     std::time::Duration,
 };
 
-/// How long an unreadable end stays unacknowledged, so that the worker lists it again, for about five polls. After that
-/// it is given up and its task counts as ended without success, since a reply holds only 500 ends and later ones
-/// would never be listed.
+/// How long an unreadable end stays unacknowledged, so that the worker lists it again, for about five polls. After
+/// that it is given up and its task counts as ended without success, since a reply holds only 500 ends and later
+/// ones would never be listed.
 const END_GIVE_UP_AFTER: Duration = Duration::from_secs(1);
 
-/// How long after a confirmed stop a run has certainly ended, in milliseconds of the worker's clock. Workers take at most
-/// 400 ms for a stop.
+/// How long after a confirmed stop a run has certainly ended, in milliseconds of the worker's clock. Workers take
+/// at most 400 ms for a stop.
 const STOP_BOUND_MS: u64 = 1_000;
 
 /// What the absence of a run from a poll reply means.
@@ -75,8 +75,9 @@
         self.unreadable_ends.contains(&end)
     }
 
-    /// Ends to skip because they fill up the reply: those given up and those of foreign tasks. Otherwise they are acknowledged
-    /// together with later ends, since a number made up by another writer may be higher than those of ends to come.
+    /// Ends to skip because they fill up the reply: those given up and those of foreign tasks. Otherwise they are
+    /// acknowledged together with later ends, since a number made up by another writer may be higher than those of
+    /// ends to come.
     pub(super) fn skipped_ends(&self, reply: &PollReply) -> impl Iterator<Item = u64> {
         let (odd, given_up) = (&reply.unreadable, self.given_up_to);
         let given_up = odd.ends.iter().copied().filter(move |number| *number <= given_up);
