--- a/crates/workflow/src/scheduler/candidates.rs
+++ b/crates/workflow/src/scheduler/candidates.rs
@@ -2,8 +2,8 @@
 //!
 //! Scanning all workers for each task would be too expensive: steps have dozens of tasks, and there are thousands of
 //! starts each second on hundreds of workers. A start only changes its own worker, so the other workers are
-//! scanned once for all tasks of a step that are placed together. If none qualifies, only workers updated since are
-//! scanned again, and all workers after [`FULL_SCAN_INTERVAL`].
+//! scanned once for all tasks of a step that are placed together. If none qualifies, only workers contacted since
+//! are scanned again, and all workers after [`FULL_SCAN_INTERVAL`].
 
 use {
     super::{
@@ -22,29 +22,28 @@
     },
 };
 
-/// Interval of full scans: changes that aren't worker updates, such as the end of a quarantine, can make a worker
-/// eligible.
+/// Interval of full scans: a worker can also become eligible without contact, such as by the end of its quarantine.
 const FULL_SCAN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Maximum number of updates kept; large fleets have over a thousand within [`FULL_SCAN_INTERVAL`].
-const MAX_UPDATES: usize = 2_048;
+/// Maximum number of contacts kept; large fleets have over a thousand within [`FULL_SCAN_INTERVAL`].
+const MAX_CONTACTS: usize = 2_048;
 
-/// Demands of running best-effort tasks that recently fit no other worker. Hundreds of throttled tasks may ask again
-/// on each reply of their worker.
+/// Demands of running best-effort tasks that recently fit no other worker. Caches the result, since hundreds of
+/// throttled tasks may search on each reply of their worker.
 #[derive(Debug, Default)]
-pub(super) struct UnplaceableDemands {
+pub(super) struct FailedSearches {
     demands: Vec<(Time, CompactString, Step)>,
 }
 
-impl UnplaceableDemands {
+impl FailedSearches {
     /// Whether an equal or smaller demand for the same image recently fit no worker.
     pub(super) fn contains(&mut self, now: Time, service: &CompactString, step: &Step) -> bool {
         self.demands.retain(|(at, ..)| now.since(*at) < FULL_SCAN_INTERVAL);
-        self.demands.iter().any(|(_, other_service, step_without_worker)| {
+        self.demands.iter().any(|(_, other_service, failed_step)| {
             other_service == service
-                && step_without_worker.image == step.image
-                && step_without_worker.label == step.label
-                && step_without_worker.resources.fits(&step.resources)
+                && failed_step.image == step.image
+                && failed_step.label == step.label
+                && failed_step.resources.fits(&step.resources)
         })
     }
 
@@ -53,29 +52,29 @@
     }
 }
 
-/// The most recent worker updates, in order.
+/// The most recent replies and changes of workers, in order.
 #[derive(Debug, Default)]
-pub(super) struct UpdatedWorkers {
+pub(super) struct ContactLog {
     ids: VecDeque<WorkerId>,
-    /// Number of updates dropped from the front.
+    /// Number of entries dropped from the front.
     dropped: u64,
 }
 
-impl UpdatedWorkers {
+impl ContactLog {
     pub(super) fn note(&mut self, id: &WorkerId) {
         self.ids.push_back(id.clone());
-        if self.ids.len() > MAX_UPDATES {
+        if self.ids.len() > MAX_CONTACTS {
             self.ids.pop_front();
             self.dropped += 1;
         }
     }
 
-    /// Number of updates so far.
+    /// Number of contacts so far.
     fn count(&self) -> u64 {
         self.dropped + self.ids.len() as u64
     }
 
-    /// The workers updated since `count`; none if these updates were dropped.
+    /// The workers contacted since `count`; none if those entries were dropped.
     fn since(&self, count: u64) -> Option<impl Iterator<Item = &WorkerId>> {
         let skipped = usize::try_from(count.checked_sub(self.dropped)?).ok()?;
         Some(self.ids.iter().skip(skipped))
@@ -132,8 +131,9 @@
         let last_search = self
             .last_search(task)
             .filter(|last_search| now.since(last_search.at) < FULL_SCAN_INTERVAL);
-        let updated = last_search.and_then(|last_search| self.updated_since(last_search.contacts));
-        let (candidates, scanned) = match &updated {
+        let contacted =
+            last_search.and_then(|last_search| self.contacted_since(last_search.contacts));
+        let (candidates, scanned) = match &contacted {
             Some(ids) => {
                 let workers = ids.iter().filter_map(|id| self.workers.get_key_value(id));
                 (self.candidates_among(now, task, service, requirements, workers), ids.len())
@@ -148,13 +148,13 @@
         };
         self.stats.workers_scanned += scanned as u64;
         let at =
-            last_search.filter(|_| updated.is_some()).map_or(now, |last_search| last_search.at);
+            last_search.filter(|_| contacted.is_some()).map_or(now, |last_search| last_search.at);
         self.set_last_search(task, candidates.is_empty().then_some(Searched { at, contacts }));
         Candidates { best_first: candidates.into(), last_popped: None }
     }
 
-    /// The workers updated since `count`; none if these updates were dropped.
-    fn updated_since(&self, count: u64) -> Option<Vec<WorkerId>> {
+    /// The workers contacted since `count`; none if those entries were dropped.
+    fn contacted_since(&self, count: u64) -> Option<Vec<WorkerId>> {
         let mut ids: Vec<WorkerId> = self.contacts.since(count)?.cloned().collect();
         ids.sort_unstable();
         ids.dedup();
--- a/crates/workflow/src/scheduler/lost_workers.rs
+++ b/crates/workflow/src/scheduler/lost_workers.rs
@@ -245,10 +245,10 @@
         let recent = &self.lost_workers.recent;
         let unresponsive = self.workers.iter().filter_map(|(other_id, other_worker)| {
             let already_counted = other_id == id || recent.iter().any(|lost| lost.id == *other_id);
-            let last_contact = other_worker
+            let other_contact = other_worker
                 .last_contact
                 .filter(|at| !already_counted && now.since(*at) >= PROBABLY_LOST_AFTER)?;
-            (other_worker.info.service == worker.info.service && lost_together(last_contact))
+            (other_worker.info.service == worker.info.service && lost_together(other_contact))
                 .then(|| other_worker.info.rack())
         });
         let lost = recent
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -129,8 +129,8 @@
     regroup_turn: usize,
     start_window: StartWindow,
     /// Workers of which something was heard, for steps that found no place.
-    contacts: candidates::UpdatedWorkers,
-    failed_searches: candidates::UnplaceableDemands,
+    contacts: candidates::ContactLog,
+    failed_searches: candidates::FailedSearches,
     /// Processor time, in thousandths of a core, that stops will free, by service; summed up once in a pass.
     cpu_being_freed: Vec<(CompactString, u64)>,
     /// When workers were last looked through for what time alone changes.
@@ -226,8 +226,8 @@
             regrouped_at: now,
             regroup_turn: 0,
             start_window: StartWindow::new(now),
-            contacts: candidates::UpdatedWorkers::default(),
-            failed_searches: candidates::UnplaceableDemands::default(),
+            contacts: candidates::ContactLog::default(),
+            failed_searches: candidates::FailedSearches::default(),
             cpu_being_freed: Vec::new(),
             swept_at: Time::ZERO,
             lagging: false,
--- a/crates/workflow/src/scheduler/placement.rs
+++ b/crates/workflow/src/scheduler/placement.rs
@@ -60,7 +60,8 @@
         let submission = Arc::clone(&workflow.submission);
         let service = &submission.service;
         let step = &submission.workflow.steps[usize::from(key.step)];
-        // A task that a previous leader may have started can run on an unresponsive worker, unless it was found.
+        // A task that a previous leader may have started could still run on a worker that hasn't replied, unless this
+        // leader has found it running before.
         if limited_to_found && (step.gang || step.speculative || !self.move_found_to_front(key)) {
             return false;
         }
@@ -89,8 +90,8 @@
             }
             let Some(index) = self.front_task(key) else { return true };
             let task = key.task(index);
-            let repeats_too_early = self.was_started(task) && !self.may_restart(now);
-            if repeats_too_early || !self.may_start() {
+            let restarts_too_early = self.was_started(task) && !self.may_restart(now);
+            if restarts_too_early || !self.may_start() {
                 return false;
             }
             let worker = if self.is_suspect(task) {
@@ -126,7 +127,7 @@
                 }
                 return false;
             };
-            self.pop(key);
+            self.pop_front_task(key);
             let wait = self.step_wait(now, key);
             self.stats.start_waits.push(wait);
             self.start_attempt(now, task, &requirements, &worker, None, out);
@@ -191,7 +192,7 @@
         true
     }
 
-    fn pop(&mut self, key: Ready) {
+    fn pop_front_task(&mut self, key: Ready) {
         if let Some(queue) = self.queue_of(key) {
             queue.pop_front();
         }
@@ -347,7 +348,7 @@
                 .added_interference(&worker.neighbours, requirements.best_effort_demand());
             let interference = match interference {
                 Some(interference) => interference,
-                None if self.may_explore(now, worker, task, requirements) => EXPLORED_INTERFERENCE,
+                None if self.may_probe_on(now, worker, task, requirements) => PROBED_INTERFERENCE,
                 None => return None,
             };
             return Some((near_data, fast, -acceptance, -i64::from(interference), left_over_cpu));
@@ -359,7 +360,7 @@
     ///
     /// The pessimistic estimate for an image that never ran beside the latency-critical images could keep its tasks
     /// waiting forever, with nothing learned. Its pace is limited by that estimate until more is known.
-    fn may_explore(
+    fn may_probe_on(
         &self,
         now: Time,
         worker: &Worker,
@@ -367,7 +368,7 @@
         requirements: &Requirements<'_>,
     ) -> bool {
         worker.best_effort == 0
-            && self.queue_wait(now, task.step_id()) >= EXPLORE_AFTER
+            && self.queue_wait(now, task.step_id()) >= PROBE_AFTER
             && self.task(task).is_some_and(TaskState::is_pending)
             && self.colocation.may_probe(&worker.neighbours, requirements.best_effort_demand())
     }
@@ -397,10 +398,10 @@
 pub(super) const CAPACITY_STEP_MILLICORES: f32 = 2_000.0;
 
 /// How long a best-effort task with a poorly known image waits before it may run anyway.
-const EXPLORE_AFTER: Duration = Duration::from_secs(4);
+const PROBE_AFTER: Duration = Duration::from_secs(4);
 
 /// Ranks a poorly known image behind every known interference.
-const EXPLORED_INTERFERENCE: u32 = 1_000;
+const PROBED_INTERFERENCE: u32 = 1_000;
 
 /// Granularity at which acceptance is compared, as a share of the best-effort demand.
 const ACCEPTANCE_STEP: f32 = 0.1;
--- a/crates/workflow/src/scheduler/poll_reply.rs
+++ b/crates/workflow/src/scheduler/poll_reply.rs
@@ -41,7 +41,7 @@
             log::info!(epoch:% = self.epoch; "survey_complete");
         }
         if first_reply {
-            self.remove_supposed(id, &reply.running);
+            self.remove_recorded_attempts(id, &reply.running);
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
         self.roster_dirty |= first_reply && !worker.in_roster;
@@ -333,7 +333,7 @@
         out: &mut Vec<Effect>,
     ) {
         let RunningTask { task, run, percent, .. } = *running;
-        self.drop_supposed(task, run);
+        self.drop_superseded_attempts(task, run);
         self.clear_crash_of_run(task, run);
         let step = self.step(task).cloned();
         log::debug!(task:%, run:%, worker:% = id; "task_found");
@@ -375,7 +375,7 @@
 
     /// On the first reply of a worker, removes attempts known from the records if the worker lists them as running.
     /// They are then adopted or stopped like any other run, since their workflow may have been cancelled meanwhile.
-    fn remove_supposed(&mut self, id: &WorkerId, found: &[RunningTask]) {
+    fn remove_recorded_attempts(&mut self, id: &WorkerId, found: &[RunningTask]) {
         for RunningTask { task, run, .. } in found {
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.remove(*task, *run);
@@ -390,7 +390,7 @@
 
     /// Removes attempts known only from the records if a higher run of the task was found: the previous leader
     /// started it because the others had ended.
-    fn drop_supposed(&mut self, task: TaskId, found: RunId) {
+    fn drop_superseded_attempts(&mut self, task: TaskId, found: RunId) {
         let Some(state) = self.task_mut(task) else { return };
         let older: Vec<(WorkerId, RunId)> =
             state.attempts.iter().filter(|(_, run)| *run < found).cloned().collect();
--- a/crates/workflow/src/scheduler/stragglers.rs
+++ b/crates/workflow/src/scheduler/stragglers.rs
@@ -19,7 +19,7 @@
 const STALLED_AFTER: Duration = Duration::from_millis(900);
 
 /// How long a worker with a stalled task gets no new tasks.
-const STALL_BAR: Duration = Duration::from_secs(2);
+const STALL_BACKOFF: Duration = Duration::from_secs(2);
 
 /// A task is slow once it has run for this share of its estimate, in percent; estimates of interactive steps are
 /// off by a fifth.
@@ -184,7 +184,7 @@
         if stalled > 0
             && let Some(worker) = self.workers.get_mut(id)
         {
-            worker.backoff_until = worker.backoff_until.max(now + STALL_BAR);
+            worker.backoff_until = worker.backoff_until.max(now + STALL_BACKOFF);
         }
         for (task, run) in stragglers.into_iter().take(MAX_MOVES_PER_REPLY) {
             self.relocate_straggler(now, id, task, run, out);
