--- a/crates/workflow/src/scheduler/unreadable_rows.rs
+++ b/crates/workflow/src/scheduler/unreadable_rows.rs
@@ -31,9 +31,9 @@
     Undecided,
 }
 
-/// The unreadable rows in a worker's poll replies.
+/// Tracks the unreadable rows in a worker's poll replies.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UnreadableRows {
+pub(crate) struct UnreadableRowTracker {
     /// Since when each reply has had unreadable rows of runs.
     unreadable_runs_since: Option<Time>,
     /// Numbers of unreadable ends, in order, and since when there are any.
@@ -43,7 +43,7 @@
     given_up_to: u64,
 }
 
-impl UnreadableRows {
+impl UnreadableRowTracker {
     /// Applies a reply; returns whether a run missing from it may be in an unreadable row.
     pub(super) fn update(&mut self, now: Time, reply: &PollReply) -> bool {
         self.unreadable_runs_since = (reply.unreadable.unidentified_runs > 0)
--- a/crates/workflow/src/scheduler/worker.rs
+++ b/crates/workflow/src/scheduler/worker.rs
@@ -1,7 +1,7 @@
 //! What the leader knows of a worker.
 
 use {
-    super::{attempt::Attempt, unreadable_rows::UnreadableRows},
+    super::{attempt::Attempt, unreadable_rows::UnreadableRowTracker},
     crate::{Limits, RunId, TaskId, WorkerInfo, WorkerState, colocation::Neighbours},
     egretlb_types::{Resources, Time},
     std::{collections::BTreeMap, time::Duration},
@@ -50,7 +50,7 @@
     pub(crate) poll_sent: Option<Time>,
     pub(crate) next_poll_at: Time,
     /// Rows of its lists that can't be read.
-    pub(super) unreadable_rows: UnreadableRows,
+    pub(super) unreadable_rows: UnreadableRowTracker,
     /// Ends up to here were taken in.
     pub(crate) ends_processed: u64,
     /// Ends up to here are recorded, so the worker may forget them.
@@ -100,7 +100,7 @@
             clock: None,
             poll_sent: None,
             next_poll_at: now,
-            unreadable_rows: UnreadableRows::default(),
+            unreadable_rows: UnreadableRowTracker::default(),
             ends_processed: 0,
             ends_recorded: 0,
             attempts: BTreeMap::new(),
