--- a/crates/workflow/src/scheduler/fallback.rs
+++ b/crates/workflow/src/scheduler/fallback.rs
@@ -125,9 +125,9 @@
     }
 
     fn avoids_worker(&mut self, now: Time, task: TaskId) -> bool {
-        let lasting = self.step(task).is_some_and(|step| step.long_running);
+        let long_running = self.step(task).is_some_and(|step| step.long_running);
         let avoid = self.task_mut(task).and_then(|state| state.avoid.as_ref());
-        !lasting && avoid.is_some_and(|avoid| now.since(avoid.since) < AVOID_FOR)
+        !long_running && avoid.is_some_and(|avoid| now.since(avoid.since) < AVOID_FOR)
     }
 
     /// Moves the first task that avoids no worker to the front of the queue, so that a failed task doesn't block the
--- a/crates/workflow/src/scheduler/poll_reply.rs
+++ b/crates/workflow/src/scheduler/poll_reply.rs
@@ -286,7 +286,7 @@
         let passed_probation = worker.pass_probation(now, task, run);
         let Some(state) = self.task_mut(task) else { return };
         let announcement_settled =
-            passed_probation && state.announced.take_if(|known| known.run == run).is_some();
+            passed_probation && state.announced.take_if(|announced| announced.run == run).is_some();
         if !running.saved.is_empty() {
             state.saved.clone_from(&running.saved);
         }
