--- a/crates/workflow/tests/crash_loops.rs
+++ b/crates/workflow/tests/crash_loops.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash each worker that starts them, and tasks that were merely beside them.
+//! Tasks that crash every worker they start on, and the tasks that run beside them.
 
 mod support;
 
@@ -10,14 +10,14 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// How long after its start a culprit crashes its worker.
-const AT_ONCE: Duration = Duration::from_millis(10);
+/// How long after its start a task crashes its worker.
+const CRASH_DELAY: Duration = Duration::from_millis(10);
 
 fn task(workflow: u64, index: u32) -> TaskId {
     TaskId { workflow: WorkflowId(workflow), occurrence: 0, step: 0, index }
 }
 
-/// Twelve workers, each with lasting tasks.
+/// Twelve workers with long-running tasks.
 fn busy_world(seed: u64) -> World {
     let mut world = World::new(seed, 3, 12, Limits::default());
     world.run(2 * SECOND);
@@ -30,48 +30,51 @@
     world.state(WorkflowId(id)) == Some(WorkflowState::Ended(Outcome::Failed))
 }
 
-/// Guards against a task that takes down one worker after the other because it is started again without end.
+/// Guards against a crashing task that is restarted without end.
 #[test]
 fn culprit_given_up() {
     let mut world = World::new(41, 3, 12, Limits::default());
     world.run(2 * SECOND);
     world.submit(1, &submission(vec![long_running(12, 2)]));
     let id = world.submit(2, &submission(vec![step(6, 800)]));
-    world.crashing_tasks.tasks.insert(task(2, 3), AT_ONCE);
+    world.crashing_tasks.tasks.insert(task(2, 3), CRASH_DELAY);
     world.run(40 * SECOND);
     assert_eq!(world.checker.violations, Vec::<String>::new());
     assert_eq!(world.state(id), Some(WorkflowState::Ended(Outcome::Failed)));
 }
 
-/// Guards against a suspected task that takes along, with the next worker, what shared the first one with it.
+/// Guards against a suspected task that crashes a second worker together with the same other tasks.
 #[test]
 fn bystanders_spared() {
     for seed in 0..20 {
         let mut world = busy_world(seed);
         world.submit(2, &submission(vec![step(12, 3_000)]));
-        world.crashing_tasks.tasks.insert(task(2, 5), AT_ONCE);
+        world.crashing_tasks.tasks.insert(task(2, 5), CRASH_DELAY);
         lines::collect();
         world.run(30 * SECOND);
         let mut lost: BTreeMap<String, u32> = BTreeMap::new();
         for line in lines::of(&lines::take(), "run_lost") {
             *lost.entry(line.get("task").to_owned()).or_default() += 1;
         }
-        let culprit = task(2, 5).to_string();
-        let twice: Vec<_> = lost.iter().filter(|(of, n)| **of != culprit && **n > 1).collect();
-        assert!(twice.is_empty(), "seed {seed}: {twice:?}");
+        let crashing_task = task(2, 5).to_string();
+        let lost_twice: Vec<_> = lost
+            .iter()
+            .filter(|(lost_task, count)| **lost_task != crashing_task && **count > 1)
+            .collect();
+        assert!(lost_twice.is_empty(), "seed {seed}: {lost_twice:?}");
         assert!(failed(&world, 2), "seed {seed}");
         assert_eq!(world.checker.crashes_by(task(2, 5)), 2, "seed {seed}");
         assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
-/// Guards against a count of crashes that ends with the leader's term.
+/// Guards against a crash history that is lost when the leader changes.
 #[test]
 fn leaders_change_meanwhile() {
     for seed in 0..20 {
         let mut world = busy_world(seed);
         world.submit(2, &submission(vec![step(6, 800)]));
-        world.crashing_tasks.tasks.insert(task(2, 3), AT_ONCE);
+        world.crashing_tasks.tasks.insert(task(2, 3), CRASH_DELAY);
         for _ in 0..6 {
             world.run(Duration::from_millis(3_600 + 70 * seed));
             let Some(leader) = world.leader() else { continue };
@@ -85,7 +88,7 @@
     }
 }
 
-/// Guards against a task whose starts are never answered, so that nobody knows whether it ran where a worker was lost.
+/// Guards against a crashing task whose starts are never answered, so that it is unknown whether it ran.
 #[test]
 fn unanswered_starts() {
     let mut world = busy_world(42);
@@ -97,55 +100,55 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// Guards against workers that stay away for good, so that nothing tells a crash from a cut.
+/// Guards against workers that never return, so that crashes can't be told from partitions.
 #[test]
 fn workers_stay_away() {
     let mut world = busy_world(43);
     world.submit(2, &submission(vec![step(6, 800)]));
-    world.crashing_tasks.tasks.insert(task(2, 3), AT_ONCE);
+    world.crashing_tasks.tasks.insert(task(2, 3), CRASH_DELAY);
     world.crashing_tasks.away = 600 * SECOND;
     world.run(90 * SECOND);
     assert!(failed(&world, 2));
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// Guards against a task that is at work for a while before it crashes its worker.
+/// Guards against a task that crashes its worker after running for a while.
 #[test]
 fn late_culprit() {
-    for after in [1, 3, 7] {
+    for after_seconds in [1, 3, 7] {
         let mut world = busy_world(44);
         world.submit(2, &submission(vec![step(6, 60_000)]));
-        world.crashing_tasks.tasks.insert(task(2, 3), after * SECOND);
+        world.crashing_tasks.tasks.insert(task(2, 3), after_seconds * SECOND);
         world.run(120 * SECOND);
-        assert!(failed(&world, 2), "after {after} s");
-        assert_eq!(world.checker.violations, Vec::<String>::new(), "after {after} s");
+        assert!(failed(&world, 2), "after {after_seconds} s");
+        assert_eq!(world.checker.violations, Vec::<String>::new(), "after {after_seconds} s");
     }
 }
 
-/// Guards against a lasting culprit, which has no limit of failed runs.
+/// Guards against a long-running crashing task, which has no limit of failed runs.
 #[test]
 fn lasting_culprit() {
     let mut world = busy_world(45);
     world.submit(2, &submission(vec![long_running(6, 1)]));
-    world.crashing_tasks.tasks.insert(task(2, 3), AT_ONCE);
+    world.crashing_tasks.tasks.insert(task(2, 3), CRASH_DELAY);
     world.run(40 * SECOND);
     assert!(failed(&world, 2));
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// Guards against a gang whose members are all lost with one worker after the other.
+/// Guards against a gang that is lost with one worker after the other.
 #[test]
 fn gang_culprit() {
     let mut world = busy_world(46);
     let gang = Step { gang: true, ..step(6, 60_000) };
     world.submit(2, &submission(vec![gang]));
-    world.crashing_tasks.tasks.insert(task(2, 3), AT_ONCE);
+    world.crashing_tasks.tasks.insert(task(2, 3), CRASH_DELAY);
     world.run(90 * SECOND);
     assert!(failed(&world, 2));
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// Guards against innocent tasks that are given up because many culprits come at once.
+/// Guards against giving up harmless tasks when many crashing tasks run at once.
 #[test]
 fn many_culprits() {
     for seed in 0..20 {
@@ -153,7 +156,7 @@
         for id in 10..40 {
             world.submit(id, &submission(vec![step(4, 700)]));
             if id % 5 == 0 {
-                world.crashing_tasks.tasks.insert(task(id, 2), AT_ONCE);
+                world.crashing_tasks.tasks.insert(task(id, 2), CRASH_DELAY);
             }
             world.run(Duration::from_millis(150));
         }
@@ -167,7 +170,7 @@
     }
 }
 
-/// Guards against tasks that are given up because racks were lost under them.
+/// Guards against giving up tasks because of lost racks.
 #[test]
 fn racks_lost() {
     for seed in 0..20 {
@@ -203,15 +206,16 @@
     }
 }
 
-/// Guards against workers that are cut off, and come back, being held against what ran there.
+/// Guards against counting partitioned workers that return as crashes.
 #[test]
 fn cut_is_no_crash() {
     let mut world = busy_world(47);
     let id = world.submit(2, &submission(vec![step(24, 60_000)]));
     for _ in 0..6 {
-        let cut: Vec<usize> = (0..12).filter(|n| !world.workers[*n].running.is_empty()).collect();
-        let cut: Vec<usize> = cut.into_iter().take(6).collect();
-        world.nodes.iter_mut().for_each(|node| node.unreachable.clone_from(&cut));
+        let partitioned: Vec<usize> =
+            (0..12).filter(|n| !world.workers[*n].running.is_empty()).collect();
+        let partitioned: Vec<usize> = partitioned.into_iter().take(6).collect();
+        world.nodes.iter_mut().for_each(|node| node.unreachable.clone_from(&partitioned));
         world.run(8 * SECOND);
         world.nodes.iter_mut().for_each(|node| node.unreachable.clear());
         world.run(Duration::from_millis(900));
@@ -221,7 +225,7 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// Guards against a run that fails by itself, and thus left its worker alive, counting towards a conviction.
+/// Guards against crashes that still count after a run that failed by itself and left its worker alive.
 #[test]
 fn failure_clears() {
     let mut world = busy_world(48);
--- a/crates/workflow/tests/fillers_paced.rs
+++ b/crates/workflow/tests/fillers_paced.rs
@@ -1,4 +1,4 @@
-//! Fillers beside serving tasks whose load swings.
+//! Pacing of best-effort tasks beside latency-critical tasks with changing load.
 
 mod support;
 
@@ -12,54 +12,52 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn serving(count: u32) -> Step {
-    let mut serving = step(count, 0);
-    serving.resources.cpu = MilliCores(4_000);
-    serving.long_running = true;
-    serving.target_ms = 50;
-    serving.per_worker = 1;
-    serving.image = CompactString::const_new("serving");
-    serving
+fn latency_critical(count: u32) -> Step {
+    let mut latency_critical = step(count, 0);
+    latency_critical.resources.cpu = MilliCores(4_000);
+    latency_critical.long_running = true;
+    latency_critical.target_ms = 50;
+    latency_critical.per_worker = 1;
+    latency_critical.image = CompactString::const_new("serving");
+    latency_critical
 }
 
-fn filler(count: u32, ms: u32) -> Step {
-    let mut filler = step(count, ms);
-    filler.best_effort = true;
-    filler.image = CompactString::const_new("filler");
-    filler
+fn best_effort(count: u32, ms: u32) -> Step {
+    let mut best_effort = step(count, ms);
+    best_effort.best_effort = true;
+    best_effort.image = CompactString::const_new("filler");
+    best_effort
 }
 
-/// Serving tasks in the valley of their load, and fillers beside them that press.
-fn pressed() -> (World, WorkflowId) {
+/// Latency-critical tasks at low load, and interfering best-effort tasks beside them.
+fn interfering_world() -> (World, WorkflowId) {
     let mut world = World::new(31, 2, 2, Limits::default());
     world.run(2 * SECOND);
     for worker in &mut world.workers {
         (worker.tail_ms, worker.interference_ms) = (14, 15);
     }
-    world.submit(1, &submission(vec![serving(2)]));
+    world.submit(1, &submission(vec![latency_critical(2)]));
     world.run(3 * SECOND);
-    let id = world.submit(2, &submission(vec![filler(2, 4_000)]));
+    let id = world.submit(2, &submission(vec![best_effort(2, 4_000)]));
     world.run(SECOND);
     (world, id)
 }
 
-fn fillers(world: &World, id: WorkflowId) -> Vec<u32> {
+fn best_effort_paces(world: &World, id: WorkflowId) -> Vec<u32> {
     let runs = world.workers.iter().flat_map(|worker| &worker.running);
     runs.filter(|(task, _)| task.workflow == id).map(|(_, run)| run.pace).collect()
 }
 
-/// The load of a serving task rises while a filler runs beside it. The filler is held back within half a
-/// second, at a tenth of the cost of a stop: its work so far isn't lost. When the load falls it goes on at
-/// its full pace, and ends.
+/// Guards against a best-effort task that isn't throttled at peak load, or doesn't return to full pace afterwards.
 #[test]
 fn held_back_at_peak() {
-    let (mut world, id) = pressed();
-    assert_eq!(fillers(&world, id).len(), 2);
+    let (mut world, id) = interfering_world();
+    assert_eq!(best_effort_paces(&world, id).len(), 2);
     for worker in &mut world.workers {
         worker.tail_ms = 45;
     }
     world.run(Duration::from_millis(800));
-    let paces = fillers(&world, id);
+    let paces = best_effort_paces(&world, id);
     assert!(paces.iter().all(|pace| *pace <= 40), "{paces:?}");
     for worker in &mut world.workers {
         worker.tail_ms = 14;
@@ -68,16 +66,15 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// The leader that held a filler back dies, and the serving tasks are cancelled meanwhile. Its successor
-/// doesn't know the pace; were it to take it for full, the filler would stand still for good.
+/// Guards against a successor that assumes full pace for a task throttled by the previous leader.
 #[test]
 fn let_go_by_successor() {
-    let (mut world, id) = pressed();
+    let (mut world, id) = interfering_world();
     for worker in &mut world.workers {
         worker.tail_ms = 200;
     }
     world.run(Duration::from_millis(1_200));
-    assert!(fillers(&world, id).iter().all(|pace| *pace == 0));
+    assert!(best_effort_paces(&world, id).iter().all(|pace| *pace == 0));
     let starts = world.checker.starts;
     let leader = world.leader().expect("somebody leads");
     world.kill(leader);
@@ -86,26 +83,23 @@
         worker.running.retain(|task, _| task.workflow == id);
     }
     assert!(world.run_until(9 * SECOND, |world| world.completed(id)).is_some());
-    // Neither was stopped and begun anew.
+    // Neither was restarted.
     assert_eq!(world.checker.starts, starts);
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A task is over its target on end while fillers work beside it, whatever is known of them. The platform
-/// counts harm after 4 s; by 2.5 s they are held back wholly or gone.
+/// Guards against best-effort tasks that keep a task over its target for longer than the platform's limit of 4 s.
 #[test]
 fn relieved_in_time() {
-    let (mut world, id) = pressed();
+    let (mut world, id) = interfering_world();
     for worker in &mut world.workers {
         (worker.tail_ms, worker.interference_ms) = (49, 3);
     }
     world.run(Duration::from_millis(2_500));
-    assert!(fillers(&world, id).iter().all(|pace| *pace == 0));
+    assert!(best_effort_paces(&world, id).iter().all(|pace| *pace == 0));
 }
 
-/// Serving tasks stand on every worker, at half of their target. A filler that takes half of a worker comes, of an
-/// image that was never seen beside them. Were what is feared of it to decide, it would wait for ever, since it
-/// never runs and so nothing is learned of it; it is tried once it has waited.
+/// Guards against an image that is never placed beside latency-critical tasks because nothing is known about it.
 #[test]
 fn unknown_is_tried() {
     let mut world = World::new(33, 2, 2, Limits::default());
@@ -113,33 +107,31 @@
     for worker in &mut world.workers {
         (worker.tail_ms, worker.interference_ms) = (25, 0);
     }
-    world.submit(1, &submission(vec![serving(2)]));
+    world.submit(1, &submission(vec![latency_critical(2)]));
     world.run(3 * SECOND);
-    let mut large = filler(1, 500);
-    large.resources.cpu = MilliCores(4_000);
-    let id = world.submit(2, &submission(vec![large]));
+    let mut large_step = best_effort(1, 500);
+    large_step.resources.cpu = MilliCores(4_000);
+    let id = world.submit(2, &submission(vec![large_step]));
     assert!(world.run_until(12 * SECOND, |world| world.completed(id)).is_some());
 }
 
-/// A filler at a tenth of its pace isn't taken for one that stands still, which would stop it and lose
-/// what it has done.
+/// Guards against treating a throttled task as a straggler.
 #[test]
 fn no_straggler() {
-    let (mut world, id) = pressed();
+    let (mut world, id) = interfering_world();
     let starts = world.checker.starts;
     for worker in &mut world.workers {
         worker.tail_ms = 44;
     }
     world.run(3 * SECOND);
-    assert_eq!(fillers(&world, id).len(), 2);
+    assert_eq!(best_effort_paces(&world, id).len(), 2);
     assert_eq!(world.checker.starts, starts);
 }
 
-/// Orders get no answer and are carried out seconds later. What is in force at a worker isn't known then,
-/// so the pace is told again.
+/// Guards against an unknown pace after pace commands whose answers are lost.
 #[test]
 fn lost_calls_repeated() {
-    let (mut world, id) = pressed();
+    let (mut world, id) = interfering_world();
     for worker in &mut world.workers {
         worker.tail_ms = 200;
     }
@@ -155,19 +147,18 @@
 
 #[test]
 fn submission_serves_nobody() {
-    let plain: Submission = submission(vec![filler(2, 300)]);
+    let best_effort_only: Submission = submission(vec![best_effort(2, 300)]);
     let mut world = World::new(32, 2, 2, Limits::default());
     world.run(2 * SECOND);
-    let id = world.submit(1, &plain);
+    let id = world.submit(1, &best_effort_only);
     assert!(world.run_until(2 * SECOND, |world| world.completed(id)).is_some());
     assert!(world.workers.iter().all(|worker| worker.paces.is_empty()));
 }
 
-/// A serving task's tail strays by a tenth from figure to figure near what its fillers leave it. Each change
-/// of a filler's pace is a call; telling every step took 500 calls a second at 490 workers.
+/// Guards against pace commands for small changes of tail latency, which would add up on large fleets.
 #[test]
 fn small_changes_untold() {
-    let (mut world, id) = pressed();
+    let (mut world, id) = interfering_world();
     for worker in &mut world.workers {
         worker.tail_ms = 30;
     }
@@ -179,7 +170,8 @@
         }
         world.run(Duration::from_millis(100));
     }
-    let told: usize = world.workers.iter().map(|worker| worker.paces.len()).sum::<usize>() - before;
-    assert!(told <= 12, "{told}");
-    assert_eq!(fillers(&world, id).len(), 2);
+    let commands: usize =
+        world.workers.iter().map(|worker| worker.paces.len()).sum::<usize>() - before;
+    assert!(commands <= 12, "{commands}");
+    assert_eq!(best_effort_paces(&world, id).len(), 2);
 }
--- a/crates/workflow/tests/gang_racks.rs
+++ b/crates/workflow/tests/gang_racks.rs
@@ -1,4 +1,4 @@
-//! Gangs that are slower when they span racks.
+//! Gangs that are slower across racks.
 
 mod support;
 
@@ -27,17 +27,17 @@
 }
 
 fn racks(world: &World, id: WorkflowId) -> BTreeSet<usize> {
-    let holds = |number: &usize| world.workers[*number].running.keys().any(|t| t.workflow == id);
-    (0..world.workers.len()).filter(holds).map(|number| number / 4).collect()
+    let runs_gang =
+        |number: &usize| world.workers[*number].running.keys().any(|t| t.workflow == id);
+    (0..world.workers.len()).filter(runs_gang).map(|number| number / 4).collect()
 }
 
-/// Each member takes as long again and more when one of them stands elsewhere, so all go to one rack,
-/// although single workers of other racks have more room.
+/// Guards against a gang spread over racks because single workers elsewhere have more free capacity.
 #[test]
 fn one_rack() {
     for seed in 0..6 {
         let mut world = world(seed);
-        // Some of each rack is taken.
+        // Part of each rack is in use.
         world.submit(1, &submission(vec![step(18, 8_000)]));
         world.run(Duration::from_millis(200));
         let id = world.submit(2, &submission(vec![gang(8, 3)]));
@@ -48,14 +48,13 @@
     }
 }
 
-/// No rack has room for all of it now, but one will in a moment: that is worth more than starting across
-/// racks at once.
+/// Guards against a start across racks when one rack will soon fit the whole gang.
 #[test]
 fn waits_for_rack() {
     let mut world = world(11);
-    let mut short = step(12, 900);
-    short.resources.cpu = MilliCores(6_000);
-    world.submit(1, &submission(vec![short]));
+    let mut short_step = step(12, 900);
+    short_step.resources.cpu = MilliCores(6_000);
+    world.submit(1, &submission(vec![short_step]));
     world.run(Duration::from_millis(100));
     let id = world.submit(2, &submission(vec![gang(8, 4)]));
     world.run(Duration::from_millis(400));
@@ -64,7 +63,7 @@
     assert_eq!(racks(&world, id).len(), 1);
 }
 
-/// It is wider than any rack. It isn't left waiting for good.
+/// Guards against a gang that waits forever because no rack fits it.
 #[test]
 fn wider_than_rack() {
     let mut world = world(12);
--- a/crates/workflow/tests/large_fleet.rs
+++ b/crates/workflow/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! What a leader of many workers does for each start.
+//! Placement cost of a leader with many workers.
 
 mod support;
 
@@ -16,25 +16,24 @@
 fn world() -> World {
     let mut world = World::new(41, 1, WORKERS, Limits::default());
     world.run(3 * SECOND);
-    looked_at(&mut world);
+    workers_scanned(&mut world);
     world
 }
 
-/// Workers that the leader has looked at to place tasks, since the last call.
-fn looked_at(world: &mut World) -> u64 {
+/// Number of workers that the leader has scanned for placement since the last call.
+fn workers_scanned(world: &mut World) -> u64 {
     let leader = world.leader().expect("somebody leads");
     let scheduler = world.nodes[leader].scheduler.as_mut().expect("it leads");
     scheduler.take_stats().workers_scanned
 }
 
-fn large(count: u32) -> Step {
+fn large_step(count: u32) -> Step {
     let mut step = step(count, 300);
     step.resources.cpu = MilliCores(8_000);
     step
 }
 
-/// Load: wide steps, thousands of starts a second, hundreds of workers. Looked at anew for each task, the workers
-/// alone would take more of the leader's processor than it has.
+/// Guards against scanning all workers for each task of a wide step.
 #[test]
 fn wide_step_placed() {
     let mut world = world();
@@ -42,38 +41,37 @@
     let id = world.submit(1, &submission(vec![step(200, 300)]));
     assert!(world.run_until(5 * SECOND, |world| world.completed(id)).is_some());
     let started = (world.checker.starts - starts) as u64;
-    let looked = looked_at(&mut world);
+    let scanned = workers_scanned(&mut world);
     assert!(started >= 200);
-    assert!(looked <= 20 * started, "{looked} workers for {started} starts");
+    assert!(scanned <= 20 * started, "{scanned} workers for {started} starts");
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// Load: the fleet is full, and work waits. Nothing changes but at the workers that are heard of, so the others
-/// needn't be looked at with each pass, hundreds of times a second.
+/// Guards against scanning all workers in each pass while the fleet is full and tasks wait.
 #[test]
 fn full_fleet_waited_for() {
     let mut world = world();
-    let mut long = large(WORKERS as u32);
-    long.estimate_ms = 20_000;
-    world.submit(1, &submission(vec![long]));
+    let mut long_step = large_step(WORKERS as u32);
+    long_step.estimate_ms = 20_000;
+    world.submit(1, &submission(vec![long_step]));
     world.run(SECOND);
-    world.submit(2, &submission(vec![large(50)]));
+    world.submit(2, &submission(vec![large_step(50)]));
     world.run(SECOND);
-    looked_at(&mut world);
+    workers_scanned(&mut world);
     world.run(2 * SECOND);
-    let looked = looked_at(&mut world);
-    // Each of them four times a second, and with each of its answers, of which the gap between polls allows 40.
-    let most = 2 * (4 + 40) * WORKERS as u64;
-    assert!(looked <= most, "{looked} workers, {most} at most");
+    let scanned = workers_scanned(&mut world);
+    // Each worker four times a second, and once per reply, of which the poll interval allows 40.
+    let max_scanned = 2 * (4 + 40) * WORKERS as u64;
+    assert!(scanned <= max_scanned, "{scanned} workers, {max_scanned} at most");
 }
 
-/// A worker becomes free while others wait for room. It is found at once, not with the next look at all.
+/// Guards against a waiting task that uses freed capacity only at the next full scan.
 #[test]
 fn freed_room_used() {
     let mut world = world();
-    world.submit(1, &submission(vec![large(WORKERS as u32)]));
+    world.submit(1, &submission(vec![large_step(WORKERS as u32)]));
     world.run(Duration::from_millis(100));
-    let id = world.submit(2, &submission(vec![large(1)]));
+    let id = world.submit(2, &submission(vec![large_step(1)]));
     let took = world.run_until(3 * SECOND, |world| world.completed(id));
     assert!(took.is_some_and(|took| took < SECOND), "{took:?}");
     assert!(world.completed(WorkflowId(1)));
--- a/crates/workflow/tests/lost_run_lines.rs
+++ b/crates/workflow/tests/lost_run_lines.rs
@@ -1,4 +1,4 @@
-//! Each run that is lost with its worker leaves a line.
+//! Log lines on runs that are lost with their worker.
 
 mod support;
 
@@ -14,28 +14,27 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Crashes the first busy worker and returns the lines on what was lost there, once `after` is over.
+/// Crashes the first busy worker; returns the number of its runs and the log lines on them.
 fn lost_lines(revive: bool) -> (usize, Vec<Line>) {
     let mut world = World::new(31, 2, 4, Limits::default());
     world.run(2 * SECOND);
     lines::collect();
     world.submit(1, &submission(vec![step(8, 6_000)]));
     world.run(2 * SECOND);
-    let busy = world.workers.iter().position(|worker| !worker.running.is_empty());
-    let busy = busy.expect("eight tasks run");
-    let runs = world.workers[busy].running.len();
-    world.workers[busy].crash(&mut world.checker);
+    let busy_worker = world.workers.iter().position(|worker| !worker.running.is_empty());
+    let busy_worker = busy_worker.expect("eight tasks run");
+    let runs = world.workers[busy_worker].running.len();
+    world.workers[busy_worker].crash(&mut world.checker);
     world.run(SECOND);
     if revive {
-        world.revive(busy);
+        world.revive(busy_worker);
     }
     world.run(8 * SECOND);
     let lines = lines::take();
     (runs, lines::of(&lines, "run_lost").into_iter().cloned().collect())
 }
 
-/// Without these lines nobody can tell which tasks a worker took along, nor whether one of them runs at each worker that is
-/// lost.
+/// Guards against lost runs without a log line, and lines that can't be attributed to a worker.
 #[test]
 fn replaced_worker() {
     let (runs, lines) = lost_lines(true);
@@ -44,12 +43,12 @@
         assert_eq!(line.get("loss"), "replaced");
         assert_eq!(line.get("in_doubt"), "false");
         assert_eq!(line.get("beside"), (runs - 1).to_string());
-        let worked: u64 = line.get("worked_ms").parse().expect("a number");
-        assert!((1..=2_000).contains(&worked), "{worked}");
+        let worked_ms: u64 = line.get("worked_ms").parse().expect("a number");
+        assert!((1..=2_000).contains(&worked_ms), "{worked_ms}");
     }
 }
 
-/// A worker that stays away may merely be cut off, and its line says so.
+/// Guards against a line that reports an unresponsive worker as crashed, since it may only be partitioned.
 #[test]
 fn silent_worker() {
     let (runs, lines) = lost_lines(false);
--- a/crates/workflow/tests/lost_workers.rs
+++ b/crates/workflow/tests/lost_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that crash, fall silent, fail what they start, or leave.
+//! Workers that crash, become unresponsive, fail their tasks, or leave.
 
 mod support;
 
@@ -10,7 +10,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A step that waits for the first one.
+/// A step that depends on the first one.
 fn later_step(count: u32, ms: u32) -> Step {
     let mut later = step(count, ms);
     later.after.push(0);
@@ -23,8 +23,7 @@
     world
 }
 
-/// A worker loses power with tasks on it. They are started elsewhere, and not before its leases must
-/// have lapsed, since it might merely be cut off.
+/// Guards against restarting the tasks of a crashed worker before its leases have lapsed, or never.
 #[test]
 fn dark_worker() {
     let mut world = world(1);
@@ -35,8 +34,8 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A worker is cut off and runs on. Its tasks may be started elsewhere only once its leases have lapsed,
-/// on its own clock, which is 2% slow.
+/// Guards against restarting the tasks of a partitioned worker before its leases have lapsed on its own clock, which
+/// is 2% slow.
 #[test]
 fn cut_worker() {
     let mut world = world(3);
@@ -54,8 +53,7 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A worker is lost seconds before the leader is killed. The successor must hold back what may run at
-/// that worker, but nothing else: a client with work elsewhere would wait for nine seconds.
+/// Guards against a successor that holds back all work, not only that of a worker lost before the takeover.
 #[test]
 fn silent_before_takeover() {
     let mut world = world(2);
@@ -90,9 +88,7 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A task fails on its last attempt, and the leader is killed right after that end is recorded. The
-/// successor must end the workflow; were the task started once more, it would have one attempt more
-/// than its queue allows.
+/// Guards against a successor that restarts a task whose last allowed attempt had failed.
 #[test]
 fn spent_before_takeover() {
     for seed in 0..6 {
@@ -110,8 +106,7 @@
     }
 }
 
-/// One worker fails all that it starts while its heartbeats look well. As it is always free it would
-/// draw most tasks, and use up their attempts.
+/// Guards against a healthy-looking worker that fails everything and uses up the attempts of many tasks.
 #[test]
 fn failing_worker() {
     let mut world = world(7);
@@ -125,8 +120,7 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A worker says that it is about to leave. Its lasting tasks are moved before it goes; otherwise their
-/// users are without them until a lease has lapsed.
+/// Guards against long-running tasks that stay on a draining worker and are down until their lease has lapsed.
 #[test]
 fn leaving_worker() {
     let mut world = world(8);
@@ -136,18 +130,17 @@
     world.submit(1, &submission(vec![serving]));
     world.add_worker(8);
     world.run(2 * SECOND);
-    let busy = world.workers.iter().position(|worker| !worker.running.is_empty());
-    let busy = busy.expect("six tasks run");
-    world.workers[busy].info.state = WorkerState::Draining;
+    let busy_worker = world.workers.iter().position(|worker| !worker.running.is_empty());
+    let busy_worker = busy_worker.expect("six tasks run");
+    world.workers[busy_worker].info.state = WorkerState::Draining;
     world.run(Duration::from_millis(1_500));
-    assert!(world.workers[busy].running.is_empty());
+    assert!(world.workers[busy_worker].running.is_empty());
     let running: usize = world.workers.iter().map(|worker| worker.running.len()).sum();
     assert_eq!(running, 6);
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A workflow is cancelled while no process leads. What runs of it must be stopped by the next leader,
-/// not taken over.
+/// Guards against a successor that adopts the runs of a workflow cancelled between two leaders.
 #[test]
 fn cancelled_between_leaders() {
     let mut world = world(9);
@@ -163,30 +156,26 @@
     assert_eq!(world.state(id), Some(WorkflowState::Ended(Outcome::Cancelled)));
 }
 
-/// Tasks of one worker stand still while it answers and looks well. They are moved; a workflow would
-/// otherwise wait for them for as long as the worker's trouble lasts.
+/// Guards against a workflow that waits for tasks stalled on a worker that reports healthy.
 #[test]
 fn standing_tasks() {
     for speculative in [false, true] {
         let mut world = world(10);
-        let mut slow = step(12, 800);
-        slow.speculative = speculative;
-        let id = world.submit(1, &submission(vec![slow]));
+        let mut stalled_step = step(12, 800);
+        stalled_step.speculative = speculative;
+        let id = world.submit(1, &submission(vec![stalled_step]));
         world.run(Duration::from_millis(300));
-        let busy = world.workers.iter().position(|worker| !worker.running.is_empty());
-        let busy = busy.expect("tasks run");
-        world.workers[busy].stall_runs(60_000);
+        let busy_worker = world.workers.iter().position(|worker| !worker.running.is_empty());
+        let busy_worker = busy_worker.expect("tasks run");
+        world.workers[busy_worker].stall_runs(60_000);
         let took = world.run_until(10 * SECOND, |world| world.completed(id));
         assert!(took.is_some_and(|took| took < Duration::from_millis(3_500)), "{took:?}");
         assert_eq!(world.checker.violations, Vec::<String>::new());
     }
 }
 
-/// A worker is cut off with a start in doubt, and the records list it as silent. Then it is back and doesn't
-/// know the run, so the leader starts the task elsewhere; at that moment the store turns the leader away.
-/// Its successor finds the new run beside the one that the records suppose. Were it stopped for that one,
-/// which takes a while, and the task queued again as soon as the supposed run proves to be none, the task
-/// would run twice.
+/// Guards against a task that runs twice: a successor finds a new run beside an older one that is only in the
+/// records. Stopping the new run and requeueing the task once the old one proves to be none would overlap.
 #[test]
 fn found_beside_supposed() {
     for seed in 0..12 {
@@ -204,13 +193,12 @@
         world.run(5 * SECOND);
         assert_ne!(world.leader(), Some(leader));
         assert_eq!(world.checker.violations, Vec::<String>::new(), "seed {seed}");
-        // A higher run is the proof that the supposed one had ended, so it goes on.
+        // A higher run proves that the recorded one had ended, so it continues.
         assert_eq!(world.checker.starts, 16, "seed {seed}");
     }
 }
 
-/// Workers announce that they leave, are emptied and go dark; the leader is killed just then. Its successor
-/// knows from the records that nothing runs there, so clients don't wait for nine seconds.
+/// Guards against a successor that waits for leases on workers that had drained and left before the takeover.
 #[test]
 fn left_before_takeover() {
     let mut world = world(17);
@@ -230,14 +218,13 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A worker that leaves is cut off with a task on it, and the leader is killed. Its successor starts that
-/// task elsewhere only once its lease must have lapsed, and all others at once.
+/// Guards against a successor that restarts a task of a partitioned draining worker too early, or delays other work.
 #[test]
 fn leaving_and_cut() {
     let mut world = world(18);
-    let mut slow = step(6, 20_000);
-    slow.per_worker = 1;
-    world.submit(1, &submission(vec![slow]));
+    let mut long_step = step(6, 20_000);
+    long_step.per_worker = 1;
+    world.submit(1, &submission(vec![long_step]));
     world.run(Duration::from_millis(300));
     world.workers[0].info.state = WorkerState::Draining;
     world.run(SECOND);
--- a/crates/workflow/tests/room_shared.rs
+++ b/crates/workflow/tests/room_shared.rs
@@ -1,4 +1,4 @@
-//! Who gets room when there is little.
+//! Distribution of scarce capacity.
 
 mod support;
 
@@ -18,19 +18,18 @@
     world
 }
 
-fn lasting(count: u32, cores: u32) -> Step {
+fn long_running(count: u32, cores: u32) -> Step {
     let mut step = step(count, 0);
     step.resources.cpu = MilliCores(cores * 1_000);
     step.long_running = true;
     step
 }
 
-/// Lasting tasks hold all room when short ones come that somebody waits for. One is stopped for them,
-/// and comes back afterwards; without that the short ones wait for minutes.
+/// Guards against batch tasks that wait for minutes while long-running tasks hold all capacity.
 #[test]
 fn short_goes_first() {
     let mut world = world();
-    world.submit(1, &submission(vec![lasting(8, 4)]));
+    world.submit(1, &submission(vec![long_running(8, 4)]));
     world.run(5 * SECOND);
     let id = world.submit(2, &submission(vec![step(3, 500)]));
     let took = world.run_until(5 * SECOND, |world| world.completed(id));
@@ -41,11 +40,11 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A step says how many of its tasks may be away: it isn't stopped for others.
+/// Guards against preempting a step that bounds the number of unavailable tasks.
 #[test]
 fn guarded_stays() {
     let mut world = world();
-    let mut guarded = lasting(8, 4);
+    let mut guarded = long_running(8, 4);
     guarded.max_unavailable = Some(0);
     world.submit(1, &submission(vec![guarded]));
     world.run(5 * SECOND);
@@ -55,45 +54,43 @@
     assert_eq!(running, 8);
 }
 
-/// An image serves on four workers, and each has room for all four tasks of another workflow with that image.
-/// Were they put on one of them, its users would lose all at once where its tail rises or it is lost; on four
-/// workers they lose a quarter.
+/// Guards against placing all tasks of a workflow on one of several equal workers, whose loss would stop them all.
 #[test]
 fn serving_is_spread() {
     let mut world = world();
-    let mut serving = lasting(4, 1);
-    serving.target_ms = 50;
-    serving.image = CompactString::const_new("serving");
-    serving.per_worker = 1;
-    world.submit(1, &submission(vec![serving.clone()]));
+    let mut latency_critical = long_running(4, 1);
+    latency_critical.target_ms = 50;
+    latency_critical.image = CompactString::const_new("serving");
+    latency_critical.per_worker = 1;
+    world.submit(1, &submission(vec![latency_critical.clone()]));
     world.run(SECOND);
-    serving.per_worker = 0;
-    world.submit(2, &submission(vec![serving]));
+    latency_critical.per_worker = 0;
+    world.submit(2, &submission(vec![latency_critical]));
     world.run(2 * SECOND);
-    let held: Vec<usize> = world.workers.iter().map(|worker| worker.running.len()).collect();
-    assert_eq!(held, [2, 2, 2, 2]);
+    let task_counts: Vec<usize> = world.workers.iter().map(|worker| worker.running.len()).collect();
+    assert_eq!(task_counts, [2, 2, 2, 2]);
 }
 
-/// A wide step of large tasks waits for room; small work behind it in the queue uses the gaps.
+/// Guards against small tasks that are blocked by a wide step of large tasks waiting in front of them.
 #[test]
 fn gaps_are_used() {
     let mut world = world();
-    let mut large = step(6, 2_000);
-    large.resources.cpu = MilliCores(6_000);
-    let wide = world.submit(1, &submission(vec![large]));
+    let mut large_step = step(6, 2_000);
+    large_step.resources.cpu = MilliCores(6_000);
+    let wide_workflow = world.submit(1, &submission(vec![large_step]));
     world.run(Duration::from_millis(100));
-    let small = world.submit(2, &submission(vec![step(4, 300)]));
-    let took = world.run_until(5 * SECOND, |world| world.completed(small));
+    let small_workflow = world.submit(2, &submission(vec![step(4, 300)]));
+    let took = world.run_until(5 * SECOND, |world| world.completed(small_workflow));
     assert!(took.is_some_and(|took| took < SECOND), "{took:?}");
-    assert!(world.run_until(10 * SECOND, |world| world.completed(wide)).is_some());
+    assert!(world.run_until(10 * SECOND, |world| world.completed(wide_workflow)).is_some());
 }
 
 #[test]
 fn spread_is_kept() {
     let mut world = world();
-    let mut apart = lasting(4, 1);
-    apart.per_worker = 1;
-    world.submit(1, &submission(vec![apart]));
+    let mut spread_step = long_running(4, 1);
+    spread_step.per_worker = 1;
+    world.submit(1, &submission(vec![spread_step]));
     world.run(2 * SECOND);
     assert!(world.workers.iter().all(|worker| worker.running.len() == 1));
 }
@@ -112,7 +109,7 @@
     assert!(world.run_until(2 * SECOND, |world| world.completed(id)).is_some());
 }
 
-/// A gang starts whole or not at all: members alone would hold room and do nothing.
+/// Guards against a partially started gang, which holds capacity without progress.
 #[test]
 fn gang_waits_whole() {
     let mut world = world();
@@ -133,21 +130,20 @@
     assert!(runs.iter().all(|run| *run == runs[0]));
 }
 
-/// Serving tasks report tails far over their target while fillers run beside them. The fillers go, also
-/// before anything was learned of them.
+/// Guards against a task that stays over its target because nothing is known about the best-effort tasks beside it.
 #[test]
 fn serving_is_relieved() {
     let mut world = world();
-    let mut serving = lasting(4, 6);
-    serving.target_ms = 50;
-    serving.per_worker = 1;
-    serving.image = CompactString::const_new("serving");
-    world.submit(1, &submission(vec![serving]));
+    let mut latency_critical = long_running(4, 6);
+    latency_critical.target_ms = 50;
+    latency_critical.per_worker = 1;
+    latency_critical.image = CompactString::const_new("serving");
+    world.submit(1, &submission(vec![latency_critical]));
     world.run(SECOND);
-    let mut filler = step(4, 20_000);
-    filler.best_effort = true;
-    filler.image = CompactString::const_new("filler");
-    world.submit(2, &submission(vec![filler]));
+    let mut best_effort_step = step(4, 20_000);
+    best_effort_step.best_effort = true;
+    best_effort_step.image = CompactString::const_new("filler");
+    world.submit(2, &submission(vec![best_effort_step]));
     world.run(SECOND);
     assert!(world.workers.iter().any(|worker| worker.running.len() > 1));
     for worker in &mut world.workers {
--- a/crates/workflow/tests/start_window.rs
+++ b/crates/workflow/tests/start_window.rs
@@ -1,4 +1,4 @@
-//! How many starts a leader has under way, by how fast they are answered.
+//! The number of starts under way, by the rate at which they are answered.
 
 use {
     egretlb_types::Time,
@@ -8,53 +8,53 @@
 
 const STEP: Duration = Duration::from_millis(1);
 
-/// A leader that always has something to start, and workers that answer `rate` starts a second, each after `delay`
-/// at least. Returns how many starts were answered in the last second, and the longest of their waits.
-fn play(rate: usize, delay: Duration, answers: impl Fn(Time) -> bool) -> (usize, Duration) {
+/// Simulates a leader that always has something to start, and workers that answer `rate` starts a second, each after
+/// `delay` or later. Returns the number of starts answered in the last second and the longest of their waits.
+fn simulate(rate: usize, delay: Duration, answers: impl Fn(Time) -> bool) -> (usize, Duration) {
     let mut now = Time::ZERO;
     let mut window = StartWindow::new(now);
-    let mut waiting: VecDeque<Time> = VecDeque::new();
-    let (mut credit, mut served, mut longest) = (0.0, 0, Duration::ZERO);
+    let mut unanswered: VecDeque<Time> = VecDeque::new();
+    let (mut credit, mut answered, mut longest_wait) = (0.0, 0, Duration::ZERO);
     for step in 0..6_000 {
         now = now + STEP;
         while window.is_open() {
             window.on_decided();
-            waiting.push_back(now);
+            unanswered.push_back(now);
         }
         credit = (credit + rate as f64 / 1_000.0).min(rate as f64);
-        while credit >= 1.0 && waiting.front().is_some_and(|since| now.since(*since) >= delay) {
+        while credit >= 1.0
+            && unanswered.front().is_some_and(|decided_at| now.since(*decided_at) >= delay)
+        {
             credit -= 1.0;
-            let since = waiting.pop_front().unwrap_or(now);
+            let decided_at = unanswered.pop_front().unwrap_or(now);
             window.on_settled(now, answers(now));
             if step >= 5_000 {
-                served += 1;
-                longest = longest.max(now.since(since));
+                answered += 1;
+                longest_wait = longest_wait.max(now.since(decided_at));
             }
         }
     }
-    (served, longest)
+    (answered, longest_wait)
 }
 
-/// Load: 900 workers and 2,500 starts a second, each answered within 100 ms. A fixed 64 under way would let 640 of
-/// them through a second.
+/// Guards against a limit that is too low for a large fleet: 2,500 starts a second, each answered within 100 ms.
 #[test]
 fn large_fleet_kept_busy() {
-    let (served, _) = play(2_500, Duration::from_millis(100), |_| true);
-    assert!(served >= 2_300, "{served} a second");
+    let (answered, _) = simulate(2_500, Duration::from_millis(100), |_| true);
+    assert!(answered >= 2_300, "{answered} a second");
 }
 
-/// Load: the leader's link takes a tenth of what it would decide. What stands in the link's queue can't be taken back,
-/// and may have been cancelled by the time it arrives.
+/// Guards against starts that queue up in a slow link, where they can't be revoked.
 #[test]
 fn thin_link_not_filled() {
-    let (served, longest) = play(300, Duration::from_millis(5), |_| true);
-    assert!(served >= 290, "{served} a second");
-    assert!(longest <= Duration::from_millis(400), "{longest:?}");
+    let (answered, longest_wait) = simulate(300, Duration::from_millis(5), |_| true);
+    assert!(answered >= 290, "{answered} a second");
+    assert!(longest_wait <= Duration::from_millis(400), "{longest_wait:?}");
 }
 
-/// Nobody answers: what is started into the void stays few.
+/// Guards against a growing number of starts while none is answered.
 #[test]
 fn silence_not_fed() {
-    let (_, longest) = play(128, Duration::from_millis(500), |_| false);
-    assert!(longest <= Duration::from_secs(1), "{longest:?}");
+    let (_, longest_wait) = simulate(128, Duration::from_millis(500), |_| false);
+    assert!(longest_wait <= Duration::from_secs(1), "{longest_wait:?}");
 }
