--- a/crates/workflow/src/scheduler/active_workflow.rs
+++ b/crates/workflow/src/scheduler/active_workflow.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of a workflow that hasn't ended.
+//! The leader's state of a workflow that hasn't ended.
 
 use {
     crate::{
@@ -20,36 +20,37 @@
 pub(crate) struct TaskState {
     pub(crate) done: bool,
     pub(crate) failed: SmallVec<[RunId; 2]>,
-    /// Workers that were lost under its runs since one showed that it doesn't crash its worker.
+    /// Worker losses during its runs since it was last shown not to crash its worker.
     pub(crate) crashes: SmallVec<[Crash; 1]>,
-    /// A run that is recorded before its outcome is known: the next one, or one that may have crashed its worker.
+    /// A run recorded before its outcome is known: the next one, or one that may have crashed its
+    /// worker.
     pub(crate) announced: Option<AnnouncedRun>,
-    /// Runs that may be under way, and where.
+    /// Runs that may be under way, with their workers.
     pub(crate) attempts: SmallVec<[(WorkerId, RunId); 1]>,
     pub(crate) last_run: RunId,
-    /// This leader has found it running: no run of it that a predecessor started can be under way elsewhere.
+    /// This leader has seen it running, so no run of a predecessor is under way elsewhere.
     pub(crate) found_running: bool,
     pub(crate) saved: CompactString,
-    /// Where it failed or was slow last: the next run goes elsewhere if it can.
+    /// Where it last failed or was slow: the next run prefers other workers.
     pub(crate) avoid: Option<Avoided>,
-    /// Since when it hasn't run; none if it never did, as far as this leader knows.
+    /// Since when it hasn't run; `None` if it never ran, as far as this leader knows.
     pub(crate) down_since: Option<Time>,
-    /// How often it left a worker where it was slow.
+    /// How often it was moved off a worker where it was slow.
     pub(crate) slow_moves: u8,
 }
 
 impl TaskState {
-    /// Whether it isn't done and runs nowhere.
+    /// Whether it is neither done nor running.
     pub(crate) fn is_pending(&self) -> bool {
         !self.done && self.attempts.is_empty()
     }
 
-    /// Whether it is given up: it has failed as often as its queue allows, or crashes its workers.
+    /// Whether it has failed as often as allowed, or is given up because it crashes its workers.
     pub(crate) fn is_exhausted(&self, max_attempts: u32) -> bool {
         self.failed.len() >= max_attempts.max(1) as usize || is_given_up(&self.crashes)
     }
 
-    /// The run that was announced and not started yet.
+    /// The run that is announced but not started yet.
     pub(crate) fn announced_run(&self) -> Option<RunId> {
         self.announced.as_ref().map(|announced| announced.run).filter(|run| *run > self.last_run)
     }
@@ -60,7 +61,7 @@
     }
 }
 
-/// A worker that a task is better off without.
+/// A worker that a task avoids.
 #[derive(Clone, Debug)]
 pub(crate) struct Avoided {
     pub(crate) worker: WorkerId,
@@ -71,23 +72,23 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepState {
     pub(crate) tasks: Vec<TaskState>,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub(crate) done: u32,
-    /// Tasks that wait for a worker.
+    /// Indices of tasks that wait for a worker.
     pub(crate) queue: VecDeque<u32>,
-    /// Since when the queue isn't empty.
+    /// Since when the queue has been non-empty.
     pub(crate) since: Time,
     /// All steps before it are done.
     pub(crate) open: bool,
-    /// When no worker had a place for its tasks, and what has been heard of workers by then.
+    /// The last search that found no worker for its tasks.
     pub(crate) searched: Option<Searched>,
 }
 
-/// A search among all workers that found no place for a step.
+/// A search of all workers that found none for a step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Searched {
     pub(crate) at: Time,
-    /// How many times workers had been heard of.
+    /// Number of worker contacts at that time.
     pub(crate) contacts: u64,
 }
 
@@ -97,7 +98,7 @@
     }
 }
 
-/// An occurrence that is due.
+/// A due occurrence of a workflow.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Occurrence {
     pub(crate) steps: Vec<StepState>,
@@ -109,26 +110,26 @@
     pub(crate) submission: Arc<Submission>,
     pub(crate) outcome: Option<Outcome>,
     pub(crate) started: bool,
-    /// It was accepted before this leader's term: a predecessor may have started any of its tasks.
+    /// Accepted before this leader's term: a predecessor may have started any of its tasks.
     pub(crate) inherited: bool,
     pub(crate) complete_below: u32,
     pub(crate) complete: BTreeSet<u32>,
     pub(crate) occurrences: BTreeMap<u32, Occurrence>,
-    /// The first occurrence that isn't due yet.
+    /// Number of the first occurrence that isn't due yet.
     pub(crate) next: u32,
-    /// When it should be complete, by the time of day in milliseconds since 1970.
+    /// Completion target, in milliseconds since 1970.
     pub(crate) due_ms: u64,
 }
 
 impl ActiveWorkflow {
-    /// The workflow as the records have it; none if its submission isn't held any more.
+    /// Restores a workflow from its records; `None` if its submission isn't stored any more.
     pub(crate) fn new(entry: &Entry, inherited: bool) -> Option<ActiveWorkflow> {
         let submission = Arc::clone(entry.submission.as_ref()?);
         let Progress { started, complete_below, complete, occurrences, .. } = &entry.progress;
         let objective =
             submission.workflow.critical_path_ms() * u64::from(submission.stretch_permille) / 1_000
                 + u64::from(submission.slack_ms);
-        let mut flow = ActiveWorkflow {
+        let mut active = ActiveWorkflow {
             due_ms: submission.accepted_ms + objective,
             submission,
             outcome: None,
@@ -140,13 +141,13 @@
             next: *complete_below,
         };
         for progress in occurrences {
-            let occurrence = flow.new_occurrence(Some(progress));
-            flow.occurrences.insert(progress.number, occurrence);
+            let occurrence = active.new_occurrence(Some(progress));
+            active.occurrences.insert(progress.number, occurrence);
         }
-        Some(flow)
+        Some(active)
     }
 
-    /// The state of an occurrence, as recorded or at its beginning.
+    /// Creates the state of an occurrence, from its record if there is one.
     pub(crate) fn new_occurrence(&self, progress: Option<&OccurrenceProgress>) -> Occurrence {
         let mut occurrence = Occurrence::default();
         for (number, step) in self.submission.workflow.steps.iter().enumerate() {
@@ -162,7 +163,7 @@
         occurrence
     }
 
-    /// When occurrence `number` is due, by the time of day in milliseconds since 1970.
+    /// When occurrence `number` is due, in milliseconds since 1970.
     pub(crate) fn due_at(&self, number: u32) -> u64 {
         match self.submission.workflow.repeat {
             Some(repeat) => repeat.first_ms + u64::from(number) * repeat.every_ms,
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Notes that an occurrence is complete.
+    /// Marks an occurrence as complete.
     pub(crate) fn complete(&mut self, number: u32) {
         self.occurrences.remove(&number);
         self.complete.insert(number);
@@ -182,7 +183,7 @@
         }
     }
 
-    /// What is to be recorded.
+    /// The progress to record.
     pub(crate) fn progress(&self) -> Progress {
         if self.outcome.is_some() {
             return Progress {
--- a/crates/workflow/src/scheduler/audit.rs
+++ b/crates/workflow/src/scheduler/audit.rs
@@ -1,8 +1,8 @@
-//! Whether the scheduler has lost sight of a task.
+//! Detects tasks that the scheduler has lost track of.
 //!
-//! Each task whose turn has come waits in its step's queue, with the step in the order, or is held by runs
-//! that are known at workers, where an answer or the end of a lease settles them. A task for which neither
-//! holds would never be started again: its workflow stands still while all else looks well.
+//! A task whose step is open is queued, with its step in the ready set, or held by runs that are
+//! known at their workers, where an answer or the end of a lease settles them. A task in neither
+//! state would never be started again.
 
 use {
     super::{
@@ -13,18 +13,18 @@
 };
 
 impl Scheduler {
-    /// Tasks whose turn has come and that nothing would ever start or settle. There is none unless the
-    /// scheduler has a fault.
+    /// Returns tasks that are due and that nothing would ever start or settle. Not empty only if
+    /// the scheduler has a fault.
     pub fn stranded(&self) -> Vec<TaskId> {
         let mut stranded = Vec::new();
-        for (id, flow) in self.workflows.iter().filter(|(_, flow)| flow.outcome.is_none()) {
-            for (number, occurrence) in &flow.occurrences {
+        for (id, active) in self.workflows.iter().filter(|(_, active)| active.outcome.is_none()) {
+            for (number, occurrence) in &active.occurrences {
                 for (step, state) in (0u16..).zip(&occurrence.steps) {
                     let id = StepId { workflow: *id, occurrence: *number, step };
-                    let turn = state.open || has_turn(flow, &occurrence.steps, step);
-                    // One that is spent ends with the next tick.
-                    if turn && !self.exhausted.contains(&id.workflow) {
-                        stranded.extend(self.stranded_of(flow, id, state));
+                    let due = state.open || is_due(active, &occurrence.steps, step);
+                    // An exhausted workflow ends with the next tick.
+                    if due && !self.exhausted.contains(&id.workflow) {
+                        stranded.extend(self.stranded_of(active, id, state));
                     }
                 }
             }
@@ -34,14 +34,14 @@
 
     fn stranded_of<'a>(
         &'a self,
-        flow: &ActiveWorkflow,
+        active: &ActiveWorkflow,
         id: StepId,
         state: &'a StepState,
     ) -> impl Iterator<Item = TaskId> + 'a {
         let key = Ready {
-            priority: flow.submission.priority,
-            long_running: flow.submission.workflow.steps[usize::from(id.step)].long_running,
-            due_ms: flow.due_ms,
+            priority: active.submission.priority,
+            long_running: active.submission.workflow.steps[usize::from(id.step)].long_running,
+            due_ms: active.due_ms,
             workflow: id.workflow,
             occurrence: id.occurrence,
             step: id.step,
@@ -51,9 +51,9 @@
         (0u32..).zip(&state.tasks).filter_map(move |(index, task)| {
             let id = TaskId { workflow, occurrence, step, index };
             let queued = ready && state.queue.contains(&index);
-            let settles =
+            let tracked =
                 if task.is_pending() { queued } else { task.done || self.is_held_by(id, task) };
-            (!settles).then_some(id)
+            (!tracked).then_some(id)
         })
     }
 
@@ -66,7 +66,7 @@
 }
 
 /// Whether all steps before this one are done.
-fn has_turn(flow: &ActiveWorkflow, states: &[StepState], step: u16) -> bool {
-    let after = &flow.submission.workflow.steps[usize::from(step)].after;
+fn is_due(active: &ActiveWorkflow, states: &[StepState], step: u16) -> bool {
+    let after = &active.submission.workflow.steps[usize::from(step)].after;
     after.iter().all(|after| states[usize::from(*after)].is_done())
 }
--- a/crates/workflow/src/scheduler/effect.rs
+++ b/crates/workflow/src/scheduler/effect.rs
@@ -1,4 +1,4 @@
-//! What the scheduler decides, as data.
+//! The scheduler's decisions, as data.
 
 use {
     crate::{Record, RunId, StepId, Submission, TaskId, VmId, WaveState, WorkerId},
@@ -7,74 +7,74 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Ask a worker what runs and what ended there, and renew the leases there.
+    /// Poll a worker for its runs and ends, and renew its leases.
     Poll {
         /// The worker.
         worker: WorkerId,
-        /// Where it takes orders.
+        /// Address of its command endpoint.
         addr: SocketAddr,
         /// The fencing token.
         epoch: Epoch,
-        /// Ends up to here may be forgotten.
+        /// The worker may forget ends up to this number.
         recorded: u64,
-        /// The end of the leases on the worker's clock; none leaves them as they are.
+        /// New end of the leases, on the worker's clock; `None` leaves them as they are.
         until_ms: Option<u64>,
-        /// How long the answer may wait for the next end, in milliseconds.
+        /// How long the worker may delay its answer until the next end, in milliseconds.
         wait_ms: u64,
     },
     /// Start a task.
     Start {
         /// The worker.
         worker: WorkerId,
-        /// Where it takes orders.
+        /// Address of its command endpoint.
         addr: SocketAddr,
         /// The fencing token.
         epoch: Epoch,
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// The run.
         run: RunId,
-        /// Holds the payload.
+        /// The submission with the payload.
         submission: Arc<Submission>,
         /// The end of the lease on the worker's clock.
         until_ms: u64,
-        /// The checkpoint to resume from; empty for none.
+        /// Checkpoint to resume from; empty for none.
         saved: CompactString,
-        /// Says that the worker may run it; empty if that needs no ticket.
+        /// Ticket that permits the worker to run it; empty if none is needed.
         ticket: CompactString,
     },
-    /// Stop a run, or keep it from starting if it hasn't arrived.
+    /// Stop a run, or prevent it from starting if it hasn't arrived.
     Stop {
         /// The worker.
         worker: WorkerId,
-        /// Where it takes orders.
+        /// Address of its command endpoint.
         addr: SocketAddr,
         /// The fencing token.
         epoch: Epoch,
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// The run.
         run: RunId,
     },
-    /// Let a filler work, and disturb, at this share of its pace.
+    /// Limit a best-effort task to a share of its CPU.
     Pace {
         /// The worker.
         worker: WorkerId,
-        /// Where it takes orders.
+        /// Address of its command endpoint.
         addr: SocketAddr,
         /// The fencing token.
         epoch: Epoch,
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// The run.
         run: RunId,
-        /// The share, from 0 to 100.
+        /// The share in percent, 0 to 100.
         percent: u32,
     },
-    /// Ask which of these workers may run a step.
+    /// Ask the policy which of these workers may run a step.
     Advise {
         /// The step.
         step: StepId,
@@ -83,7 +83,7 @@
     },
     /// List the platform's VMs.
     ListVms,
-    /// Begin a VM's upkeep.
+    /// Begin a VM's maintenance.
     BeginMaintenance {
         /// The VM.
         vm: VmId,
@@ -92,18 +92,18 @@
         /// The fencing token.
         epoch: Epoch,
     },
-    /// Tell the operator how far a wave is.
+    /// Report the progress of a wave to the operator.
     ReportWave {
         /// The wave.
         wave: u64,
-        /// How far it is.
+        /// Its state.
         state: WaveState,
     },
-    /// Append these records under the leader's epoch, repeating it until it is settled.
+    /// Append records under the leader's epoch, retrying until the outcome is known.
     Record {
-        /// The records, perhaps none besides the leader's sign of life.
+        /// The records; may be empty, which makes it a heartbeat.
         records: Vec<Record>,
     },
-    /// A worker obeys a higher epoch: this process leads no longer.
+    /// A worker obeys a higher epoch: this process is no longer the leader.
     Outranked,
 }
--- a/crates/workflow/src/scheduler/lists.rs
+++ b/crates/workflow/src/scheduler/lists.rs
@@ -1,4 +1,4 @@
-//! A worker's lists: what runs there, and how runs ended.
+//! A worker's lists of running and ended runs.
 
 use {
     crate::{RunId, TaskId},
@@ -6,7 +6,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The most ends in one answer of a worker; a list of that length may go on.
+/// Maximum number of ends in one answer; an answer with this many may be incomplete.
 const ENDS_PER_ANSWER: usize = 500;
 
 /// How a run ended.
@@ -24,20 +24,20 @@
     GangBroken,
     /// It waited too long for the other members of its gang.
     GangTimedOut,
-    /// In a way that isn't known here: not with success, as far as anybody can say.
+    /// Unknown here, but not success.
     Unknown,
 }
 
-/// An end, as the worker lists it until it is acknowledged.
+/// The end of a run, listed by the worker until it is acknowledged.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct End {
-    /// Its number at this worker, from 1.
+    /// Its sequence number at this worker, from 1.
     pub number: u64,
     /// The task.
     pub task: TaskId,
     /// The run.
     pub run: RunId,
-    /// How it ended.
+    /// How the run ended.
     pub kind: EndKind,
     /// Its last checkpoint; empty for none.
     pub saved: CompactString,
@@ -52,9 +52,10 @@
     pub run: RunId,
     /// Its last checkpoint; empty for none.
     pub saved: CompactString,
-    /// How far it is; 100 for a lasting task at work.
+    /// Progress in percent; 100 for a long-running task at work.
     pub percent: u32,
-    /// A task that serves: its tail latency in milliseconds. Another one: thousandths of a core in use.
+    /// For a latency-critical task its tail latency in milliseconds, otherwise its CPU use in
+    /// millicores.
     pub figure: u32,
 }
 
@@ -63,38 +64,39 @@
 pub struct PollReply {
     /// The worker's clock in milliseconds.
     pub clock_ms: u64,
-    /// What runs.
+    /// Runs under way.
     pub running: Vec<RunningTask>,
-    /// Ends that aren't acknowledged, in order.
+    /// Unacknowledged ends, in order.
     pub ended: Vec<End>,
-    /// What else stands in the two lists.
+    /// Rows of the two lists that can't be read in full.
     pub unreadable: UnreadableRows,
 }
 
 impl PollReply {
-    /// Whether more ends may follow than fit into one answer.
+    /// Whether the worker may have more ends than fit into one answer.
     pub(super) fn is_full(&self) -> bool {
         let rows =
             self.ended.len() + self.unreadable.ends.len() + self.unreadable.foreign_ends.len();
         rows >= ENDS_PER_ANSWER
     }
 
-    /// Whether a run may get on without this answer showing it: its row can't be read.
+    /// Whether a run may be under way although it isn't listed, because its row can't be read.
     pub(super) fn may_omit(&self, task: TaskId, run: RunId) -> bool {
-        let odd = self.unreadable.unidentified_runs > 0 || !self.unreadable.partial_runs.is_empty();
-        odd && !self.running.iter().any(|running| (running.task, running.run) == (task, run))
+        let incomplete =
+            self.unreadable.unidentified_runs > 0 || !self.unreadable.partial_runs.is_empty();
+        incomplete && !self.running.iter().any(|running| (running.task, running.run) == (task, run))
     }
 }
 
-/// Rows of a worker's lists that aren't whole.
+/// Rows of a worker's lists that can't be read in full.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct UnreadableRows {
-    /// Runs of which no more can be read than that they are under way.
+    /// Runs of which only the ids can be read.
     pub partial_runs: Vec<(TaskId, RunId)>,
-    /// How many rows stand for runs that can't be told.
+    /// Number of rows whose runs can't be identified.
     pub unidentified_runs: u32,
-    /// Numbers of ends that can't be read, in order.
+    /// Sequence numbers of ends that can't be read, in order.
     pub ends: Vec<u64>,
-    /// Numbers of ends of tasks that aren't this system's.
+    /// Sequence numbers of ends of tasks of other systems.
     pub foreign_ends: Vec<u64>,
 }
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -1,13 +1,12 @@
-//! What the leader does: it surveys the workers, places tasks, renews leases, takes ends in and
-//! records them.
+//! The leader's scheduler: reconciles with the workers, places tasks, renews leases, and processes
+//! and records the ends of runs.
 //!
-//! The workers are the journal of what runs: each lists what runs there and every end until that is
-//! acknowledged. So a start needs no record. A new leader asks every worker on the roster, which
-//! fences its predecessor there and returns all that the leader needs. Of what it inherits it starts
-//! nothing while a worker on the roster may still run it: until that worker answers, or until the
-//! predecessor's authority and its longest lease there must have lapsed.
+//! A worker lists its runs, and each end until the end is acknowledged, so a start needs no record.
+//! A new leader polls every worker on the roster: that fences its predecessor there and returns all
+//! runs. A task that the predecessor may have started is started again only once each worker on the
+//! roster has answered, or the predecessor's authority and longest lease there have expired.
 //!
-//! An end is acknowledged to the worker after it is recorded, so that it can't be lost between the two.
+//! An end is acknowledged to the worker only after it is recorded, so it can't be lost in between.
 
 mod active_workflow;
 mod advice;
@@ -69,15 +68,14 @@
     waits::{Reason, ServiceWorkers, WaitingStep},
 };
 
-/// The pause between two looks through all workers for leases that have lapsed, stops that aren't confirmed and
-/// workers that leave. A pass over what waits follows each event, hundreds of times a second.
-const KEEP_GAP: Duration = Duration::from_millis(20);
+/// Interval between scans of all workers for lapsed leases, unconfirmed stops and draining workers.
+const SCAN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A step that has tasks to start. The order is that of the queue.
+/// A step with tasks to start. The order of the fields is the order of the queue.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Ready {
     priority: u8,
-    /// Tasks that last go behind those that end soon: they would hold the room for minutes.
+    /// Long-running tasks come after batch tasks: they occupy capacity for minutes.
     long_running: bool,
     due_ms: u64,
     workflow: WorkflowId,
@@ -94,81 +92,81 @@
     workers: BTreeMap<WorkerId, Worker>,
     workflows: BTreeMap<WorkflowId, ActiveWorkflow>,
     ready: BTreeSet<Ready>,
-    /// Workers of the predecessor that haven't answered, and when all that runs there has lapsed.
+    /// Workers of the predecessor that haven't answered, and when all runs there have lapsed.
     unreconciled: BTreeMap<WorkerId, Time>,
     dirty: BTreeSet<WorkflowId>,
-    /// Workflows of which a task has no attempt left and none under way.
+    /// Workflows with a task that has no attempts left and none under way.
     exhausted: BTreeSet<WorkflowId>,
     roster_dirty: bool,
-    /// Records that another writer replaced, to be recorded anew.
+    /// Records that another writer replaced, to be written again.
     records_to_rewrite: Vec<Record>,
     append_requested: bool,
     pending_append: Option<recording::PendingAppend>,
     append_sent_at: Time,
-    /// When the last append that was acknowledged had been sent.
+    /// When the last acknowledged append was sent.
     last_acked_append: Option<Time>,
     ended: Vec<(Time, WorkflowId)>,
-    /// What is believed of tasks that share workers.
+    /// Estimated interference between tasks that share workers.
     colocation: Colocation,
-    /// When what was learned was last recorded, and whether there is more.
+    /// When the learned model was last recorded, and whether it has changed since.
     learned_recorded_at: Time,
     learned_dirty: bool,
-    /// When a task that ends soon last found no room.
+    /// When a batch task last found no free capacity.
     batch_blocked_at: Option<Time>,
-    /// Workers under quarantine, and maybe some that have just left it.
+    /// Quarantined workers; may include some whose quarantine has just ended.
     quarantined: Vec<WorkerId>,
-    /// Workers kept for trials, and maybe some that have just been released.
+    /// Workers reserved for isolated starts; may include some just released.
     reserved: Vec<WorkerId>,
     advice: advice::Advice,
     maintenance: maintenance::Maintenance,
-    /// How long the filler that waits longest has waited, as of the last pass over what waits.
+    /// Longest current wait of a best-effort task, as of the last placement pass.
     best_effort_wait: Duration,
-    /// When serving tasks were last considered for a better place.
+    /// When latency-critical tasks were last considered for a better worker.
     regrouped_at: Time,
-    /// Which of the workers were considered then.
+    /// Index of the first worker considered next time.
     regroup_turn: usize,
     start_window: StartWindow,
-    /// Workers of which something was heard, for steps that found no place.
+    /// Workers contacted recently; a step that found no worker retries only these.
     contacts: candidates::UpdatedWorkers,
     failed_searches: candidates::UnplaceableDemands,
-    /// Processor time, in thousandths of a core, that stops will free, by service; summed up once in a pass.
+    /// CPU that pending stops will free, in millicores, by service; computed once per pass.
     cpu_being_freed: Vec<(CompactString, u64)>,
-    /// When workers were last looked through for what time alone changes.
-    swept_at: Time,
-    /// The records are read too late to start anything.
+    /// When workers were last scanned for what time alone changes.
+    scanned_at: Time,
+    /// Reading of the records lags too much to start anything.
     lagging: bool,
     lost_workers: lost_workers::LostWorkers,
-    /// Whether this pass looks for workers for suspected tasks: each takes a look at all of them.
+    /// Whether this pass searches workers for suspected tasks; each search scans all of them.
     isolated_starts_due: bool,
     stats: SchedulerStats,
     waits: waits::Waits,
     wall_ms: u64,
 }
 
-/// What happened since it was last asked for, for metrics.
+/// Counts since the previous call of [`Scheduler::take_stats`], for metrics.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SchedulerStats {
-    /// How long the tasks that were started had waited.
+    /// Waiting times of the tasks that were started.
     pub start_waits: Vec<Duration>,
-    /// Runs that were done.
+    /// Runs that succeeded.
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
     /// Runs that were stopped or lapsed.
     pub stopped: u64,
-    /// Runs that were lost with their worker.
+    /// Runs lost with their worker.
     pub lost: u64,
-    /// Tasks given up since they crash their workers.
+    /// Tasks given up because they crash their workers.
     pub given_up: u64,
-    /// Lasting tasks stopped for tasks that end soon.
+    /// Long-running tasks stopped for batch tasks.
     pub preempted: u64,
-    /// Fillers stopped for a serving task over its target.
+    /// Best-effort tasks stopped for a latency-critical task over its target.
     pub evicted: u64,
-    /// Changes of fillers' paces.
+    /// Changes of pace of best-effort tasks.
     pub paced: u64,
-    /// Serving tasks moved to better company.
+    /// Latency-critical tasks moved to a better colocation group.
     pub regrouped: u64,
-    /// Workers looked at to place tasks.
+    /// Workers scanned to place tasks.
     pub workers_scanned: u64,
 }
 
@@ -185,7 +183,7 @@
 }
 
 impl Scheduler {
-    /// The leader's state at the beginning of its term.
+    /// Builds the leader's state at the beginning of its term.
     pub fn new(
         now: Time,
         wall_ms: u64,
@@ -229,7 +227,7 @@
             contacts: candidates::UpdatedWorkers::default(),
             failed_searches: candidates::UnplaceableDemands::default(),
             cpu_being_freed: Vec::new(),
-            swept_at: Time::ZERO,
+            scanned_at: Time::ZERO,
             lagging: false,
             lost_workers: lost_workers::LostWorkers::default(),
             isolated_starts_due: false,
@@ -249,7 +247,7 @@
         scheduler
     }
 
-    /// The worker's directory entry changed.
+    /// Handles a change of a worker's directory entry.
     pub fn on_directory(&mut self, now: Time, change: DirectoryChange) {
         self.contacts.note(change.worker());
         match change {
@@ -269,9 +267,9 @@
     }
 
     fn on_present(&mut self, now: Time, info: WorkerInfo) {
-        let drains = info.state == WorkerState::Draining;
+        let draining = info.state == WorkerState::Draining;
         let id = info.id.clone();
-        // Nothing of ours runs there and nothing will be started, so it isn't called.
+        // Nothing runs there and nothing will be started, so it isn't polled.
         if info.state == WorkerState::Other && !self.workers.contains_key(&id) {
             return;
         }
@@ -279,14 +277,14 @@
             self.workers.entry(id.clone()).or_insert_with(|| Worker::new(now, info.clone()));
         let was_ready = worker.info.state == WorkerState::Ready;
         worker.set_info(info);
-        if drains && was_ready {
-            // A successor needn't wait for it: nothing else will be started there.
+        if draining && was_ready {
+            // A successor needn't wait for it: nothing more is started there.
             self.roster_dirty = true;
             log::info!(worker:% = id; "worker_drains");
         }
     }
 
-    /// A record changed the ledger.
+    /// Handles a record that changed the ledger.
     pub fn on_change(
         &mut self,
         now: Time,
@@ -308,23 +306,23 @@
         }
     }
 
-    /// Time has passed: begins what is due, places tasks, polls workers, records.
+    /// Advances to `now`: begins due occurrences, places tasks, polls workers, records.
     pub fn tick(&mut self, now: Time, wall_ms: u64, out: &mut Vec<Effect>) {
         self.wall_ms = wall_ms;
         self.start_window.update_limit(now);
-        let keeps = now.since(self.swept_at) >= KEEP_GAP;
-        if keeps {
-            self.swept_at = now;
+        let scan_due = now.since(self.scanned_at) >= SCAN_INTERVAL;
+        if scan_due {
+            self.scanned_at = now;
             self.expire(now);
             self.announce_unresponsive(now);
         }
-        self.isolated_starts_due = keeps;
+        self.isolated_starts_due = scan_due;
         while let Some(id) = self.exhausted.pop_first() {
             self.log_given_up(id);
             self.end_workflow(now, id, Outcome::Failed, out);
         }
         self.begin_due(now);
-        if keeps {
+        if scan_due {
             self.evacuate(now, out);
             self.resend_stops(now, out);
             self.advance_waves(now, out);
@@ -339,44 +337,45 @@
         self.lost_workers.log_suppressed_lines(now);
     }
 
-    /// Stops what can go on elsewhere on workers that are about to leave: when they go, all that still
-    /// runs there is lost, and is found missing only after its lease.
+    /// Stops movable tasks on draining workers. A run that is still there when its worker leaves is
+    /// lost, and that is noticed only when its lease has lapsed.
     fn evacuate(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let moves = |copy: &Attempt| copy.movable && matches!(copy.phase, Phase::Running { .. });
-        let mut leaving: Vec<(WorkerId, Vec<(TaskId, RunId)>)> = Vec::new();
+        let is_movable =
+            |attempt: &Attempt| attempt.movable && matches!(attempt.phase, Phase::Running { .. });
+        let mut movable_by_worker: Vec<(WorkerId, Vec<(TaskId, RunId)>)> = Vec::new();
         for (id, worker) in &self.workers {
             if worker.info.state != WorkerState::Draining || !worker.in_directory {
                 continue;
             }
-            let moving = worker.attempts.iter().filter(|(_, copy)| moves(copy));
-            let moving: Vec<(TaskId, RunId)> = moving.map(|(key, _)| *key).collect();
-            if !moving.is_empty() {
-                leaving.push((id.clone(), moving));
+            let movable = worker.attempts.iter().filter(|(_, attempt)| is_movable(attempt));
+            let movable: Vec<(TaskId, RunId)> = movable.map(|(key, _)| *key).collect();
+            if !movable.is_empty() {
+                movable_by_worker.push((id.clone(), movable));
             }
         }
-        for (id, moving) in leaving {
-            log::info!(worker:% = id, runs = moving.len(); "worker_evacuated");
-            let why = StopReason::Evacuated;
-            self.stop_runs(now, &id, why, out, |task, run| moving.contains(&(task, run)));
+        for (id, movable) in movable_by_worker {
+            log::info!(worker:% = id, runs = movable.len(); "worker_evacuated");
+            let reason = StopReason::Evacuated;
+            self.stop_runs(now, &id, reason, out, |task, run| movable.contains(&(task, run)));
         }
     }
 
-    /// What happened since the last call.
+    /// Returns the counts since the last call and resets them.
     pub fn take_stats(&mut self) -> SchedulerStats {
         std::mem::take(&mut self.stats)
     }
 
-    /// How many workflows haven't ended.
+    /// Number of workflows that haven't ended.
     pub fn active_workflow_count(&self) -> usize {
         self.workflows.len()
     }
 
-    /// How many steps have tasks that wait for a worker.
+    /// Number of steps with tasks that wait for a worker.
     pub fn waiting_step_count(&self) -> usize {
         self.ready.len()
     }
 
-    /// How many workers of the predecessor haven't answered yet.
+    /// Number of the predecessor's workers that haven't answered yet.
     pub fn unreconciled_count(&self) -> usize {
         self.unreconciled.len()
     }
