--- a/crates/workflow/src/scheduler/commands.rs
+++ b/crates/workflow/src/scheduler/commands.rs
@@ -1,4 +1,4 @@
-//! Starts and stops, and what became of them.
+//! Start and stop commands and their results.
 
 use {
     super::{
@@ -12,10 +12,10 @@
     std::time::Duration,
 };
 
-/// What became of a start.
+/// Result of a start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum StartResult {
-    /// It runs.
+    /// The task runs.
     Started {
         /// The worker's clock in milliseconds.
         clock_ms: u64,
@@ -26,28 +26,28 @@
     OldRun,
     /// Not run: it arrived after its lease had ended.
     Late,
-    /// Not run: the worker has no room for it.
+    /// Not run: the worker lacks free capacity.
     NoCapacity,
     /// Not run: its ticket isn't valid.
     BadTicket,
-    /// Not run: the worker is unwell or overloaded.
+    /// Not run: the worker is unhealthy or overloaded.
     Unhealthy,
-    /// Not run: the worker can't read it.
+    /// Not run: the worker can't decode it.
     Invalid,
     /// Not run: another incarnation answers at this address.
     OtherIncarnation,
     /// Not run: nothing was sent.
     NotSent,
-    /// Not run: it wasn't wanted any more when its turn came.
+    /// Not run: it was no longer wanted when its turn to be sent came.
     Withheld,
-    /// It may run, now or later.
+    /// No answer: it may run, now or later.
     Unknown,
 }
 
-/// What became of a stop.
+/// Result of a stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum StopResult {
-    /// It ends soon, or will never begin.
+    /// The run ends soon, or will never begin.
     Confirmed {
         /// The worker's clock in milliseconds.
         clock_ms: u64,
@@ -56,36 +56,37 @@
     Outranked,
     /// Another incarnation answers at this address.
     OtherIncarnation,
-    /// It may have had no effect.
+    /// No answer: it may have had no effect.
     Unknown,
 }
 
-/// A worker that says it has no room, although it should have, gets nothing for so long: time for a
-/// stopped task to go (400 ms) and for its list to show what else it holds.
-const NO_ROOM_PAUSE: Duration = Duration::from_millis(500);
+/// How long a worker that rejected a start for lack of capacity gets no starts: enough for a
+/// stopped task to end and for the next poll to list what else runs there.
+const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(500);
 
-/// An unwell worker gets nothing for so long.
-const UNWELL_PAUSE: Duration = Duration::from_secs(1);
+/// How long an unhealthy worker gets no starts.
+const UNHEALTHY_PAUSE: Duration = Duration::from_secs(1);
 
-/// A worker that left a start unanswered is tried with another one after this long, and with one at a time
-/// until it answers. Orders wait at a worker for the unanswered ones before them, half a second each; were
-/// more decided for it meanwhile, all starts under way would soon wait there, and workers that are well would
-/// stand idle (no start in 3 s with 4 mute workers beside 24 others).
-const DOUBT_PAUSE: Duration = Duration::from_secs(1);
+/// Pause after an unanswered start; then the worker gets one start at a time until it answers.
+/// Commands to a worker queue behind unanswered ones, so starts for unresponsive workers would use
+/// up the start window and leave healthy workers idle.
+const UNANSWERED_START_PAUSE: Duration = Duration::from_secs(1);
 
-/// A stop that isn't confirmed is sent again after this.
-const STOP_AGAIN: Duration = Duration::from_millis(700);
+/// Interval after which an unconfirmed stop is sent again.
+const STOP_RETRY: Duration = Duration::from_millis(700);
 
 impl Worker {
-    /// Whether it gets no start since it has left one unanswered.
+    /// Whether it gets no starts because it left one unanswered.
     pub(super) fn is_backing_off(&self, now: Time) -> bool {
-        let tried = || self.attempts.values().any(|copy| copy.phase == Phase::Starting);
-        self.unconfirmed_start.is_some_and(|since| now.since(since) < DOUBT_PAUSE || tried())
+        let start_under_way =
+            || self.attempts.values().any(|attempt| attempt.phase == Phase::Starting);
+        self.unconfirmed_start
+            .is_some_and(|since| now.since(since) < UNANSWERED_START_PAUSE || start_under_way())
     }
 
     /// Whether a start was decided before the worker left another one unanswered.
-    fn is_outdated(&self, copy: &Attempt) -> bool {
-        self.unconfirmed_start.is_some_and(|since| copy.placed_at <= since)
+    fn is_outdated(&self, attempt: &Attempt) -> bool {
+        self.unconfirmed_start.is_some_and(|since| attempt.placed_at <= since)
     }
 }
 
@@ -95,20 +96,21 @@
     /// done, or the worker may have stopped answering.
     pub fn wants_start(&self, now: Time, id: &WorkerId, task: TaskId, run: RunId) -> bool {
         let Some(worker) = self.workers.get(id) else { return false };
-        let Some(copy) = worker.attempts.get(&(task, run)) else { return false };
-        // A gang without one of its members does nothing, so all of them are tried.
+        let Some(attempt) = worker.attempts.get(&(task, run)) else { return false };
+        // A gang makes no progress without one of its members, so all of them are tried.
         let gang = self.step(task).is_some_and(|step| step.gang);
-        let goes_elsewhere = worker.is_outdated(copy) && !gang;
-        let timely = !copy.is_restart || self.may_restart(now);
-        !self.lagging && copy.phase == Phase::Starting && !goes_elsewhere && timely
+        let outdated = worker.is_outdated(attempt) && !gang;
+        let restart_allowed = !attempt.is_restart || self.may_restart(now);
+        !self.lagging && attempt.phase == Phase::Starting && !outdated && restart_allowed
     }
 
-    /// Whether a task may be started that was started before.
+    /// Whether a task that was started before may be started again.
     ///
-    /// A leader that has been paused, or cut from the store, may have a successor while its own authority
-    /// lasts. The successor renews runs that this leader takes for lapsed, and notes ends that it hasn't
-    /// heard of; started again at a worker that the successor hasn't reached yet, such tasks would run twice.
-    /// Nobody takes over before [`crate::Limits::takeover_after`] has passed since the last sign of life.
+    /// A leader that was paused or cut off from the store may have a successor while its own
+    /// authority lasts. The successor renews runs that this leader takes for lapsed and records
+    /// ends that it doesn't know of. If this leader restarted such tasks at a worker that the
+    /// successor hasn't reached yet, they would run twice. Nobody takes over before
+    /// [`crate::Limits::takeover_after`] has passed since the last heartbeat.
     pub(super) fn may_restart(&self, now: Time) -> bool {
         self.last_acked_append.is_some_and(|sent| now < sent + self.limits.takeover_after)
     }
@@ -118,15 +120,15 @@
         !self.lagging && self.start_window.is_open()
     }
 
-    /// Tells whether the records are read too late to start anything: what was cancelled since isn't
-    /// known.
+    /// Sets whether reading of the records lags too much to start anything: cancellations since
+    /// then aren't known.
     pub fn set_lagging(&mut self, behind: bool) {
         if std::mem::replace(&mut self.lagging, behind) != behind {
             log::warn!(behind; "records_read_late");
         }
     }
 
-    /// What became of a start. Each start is answered once.
+    /// Handles the result of a start. Each start is answered exactly once.
     pub fn on_start(
         &mut self,
         now: Time,
@@ -141,7 +143,7 @@
         self.start_window.on_settled(now, answered);
         self.contacts.note(id);
         if answered {
-            self.on_answered(id);
+            self.on_command_answered(id);
         }
         match result {
             StartResult::Started { clock_ms } => self.on_started(now, id, task, run, clock_ms),
@@ -151,9 +153,9 @@
                 self.on_other_incarnation(now, id);
             }
             StartResult::Unknown => self.on_start_unknown(now, id, task, run),
-            StartResult::NoCapacity => self.reject_start(now, id, task, run, NO_ROOM_PAUSE),
+            StartResult::NoCapacity => self.reject_start(now, id, task, run, NO_CAPACITY_PAUSE),
             StartResult::Unhealthy | StartResult::NotSent => {
-                self.reject_start(now, id, task, run, UNWELL_PAUSE);
+                self.reject_start(now, id, task, run, UNHEALTHY_PAUSE);
             }
             StartResult::BadTicket => {
                 log::info!(task:%, run:%, worker:% = id; "ticket_rejected");
@@ -171,15 +173,15 @@
     fn on_started(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId, clock_ms: u64) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.note_contact(now, clock_ms);
-        if let Some(copy) = worker.attempts.get_mut(&(task, run))
-            && matches!(copy.phase, Phase::Starting | Phase::Unconfirmed { .. })
+        if let Some(attempt) = worker.attempts.get_mut(&(task, run))
+            && matches!(attempt.phase, Phase::Starting | Phase::Unconfirmed { .. })
         {
-            copy.set_running(now, clock_ms);
+            attempt.set_running(now, clock_ms);
         }
     }
 
-    /// The worker has answered an order.
-    fn on_answered(&mut self, id: &WorkerId) {
+    /// The worker has answered a command.
+    fn on_command_answered(&mut self, id: &WorkerId) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.unconfirmed_start = None;
         }
@@ -189,39 +191,47 @@
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.next_poll_at = now;
         worker.unconfirmed_start = Some(now);
-        if let Some(copy) = worker.attempts.get_mut(&(task, run))
-            && copy.phase == Phase::Starting
+        if let Some(attempt) = worker.attempts.get_mut(&(task, run))
+            && attempt.phase == Phase::Starting
         {
-            copy.phase = Phase::Unconfirmed { since: now };
+            attempt.phase = Phase::Unconfirmed { since: now };
             log::info!(task:%, run:%, worker:% = id; "start_in_doubt");
         }
     }
 
-    fn reject_start(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId, bar: Duration) {
+    fn reject_start(
+        &mut self,
+        now: Time,
+        id: &WorkerId,
+        task: TaskId,
+        run: RunId,
+        pause: Duration,
+    ) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.backoff_until = worker.backoff_until.max(now + bar);
+            worker.backoff_until = worker.backoff_until.max(now + pause);
         }
         self.drop_attempt(now, id, task, run);
     }
 
-    /// Stops the runs at a worker that `chosen` picks, and keeps why for whoever misses them.
+    /// Stops the runs at a worker that `selects` matches, and stores the reason for later log
+    /// lines.
     pub(super) fn stop_runs(
         &mut self,
         now: Time,
         id: &WorkerId,
         reason: StopReason,
         out: &mut Vec<Effect>,
-        chosen: impl Fn(TaskId, RunId) -> bool,
+        selects: impl Fn(TaskId, RunId) -> bool,
     ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let addr = worker.info.addr;
         worker.next_poll_at = worker.next_poll_at.min(now + self.limits.poll_gap);
-        for ((task, run), copy) in &mut worker.attempts {
-            if !chosen(*task, *run) {
+        for ((task, run), attempt) in &mut worker.attempts {
+            if !selects(*task, *run) {
                 continue;
             }
-            copy.phase = Phase::Stopping { sent: now, confirmed_ms: None };
-            copy.stop.get_or_insert(Stop { reason, since: now });
+            attempt.phase = Phase::Stopping { sent: now, confirmed_ms: None };
+            attempt.stop.get_or_insert(Stop { reason, since: now });
             out.push(Effect::Stop {
                 worker: id.clone(),
                 addr,
@@ -232,7 +242,7 @@
         }
     }
 
-    /// What became of a stop.
+    /// Handles the result of a stop.
     pub fn on_stop(
         &mut self,
         now: Time,
@@ -244,11 +254,11 @@
     ) {
         match result {
             StopResult::Confirmed { clock_ms } => {
-                self.on_answered(id);
+                self.on_command_answered(id);
                 let Some(worker) = self.workers.get_mut(id) else { return };
                 worker.note_contact(now, clock_ms);
-                if let Some(copy) = worker.attempts.get_mut(&(task, run))
-                    && let Phase::Stopping { confirmed_ms, .. } = &mut copy.phase
+                if let Some(attempt) = worker.attempts.get_mut(&(task, run))
+                    && let Phase::Stopping { confirmed_ms, .. } = &mut attempt.phase
                 {
                     *confirmed_ms = Some(clock_ms);
                 }
@@ -259,16 +269,16 @@
         }
     }
 
-    /// Sends stops again that weren't confirmed.
+    /// Sends unconfirmed stops again.
     pub(super) fn resend_stops(&mut self, now: Time, out: &mut Vec<Effect>) {
         let epoch = self.epoch;
         for (id, worker) in &mut self.workers {
             let addr = worker.info.addr;
-            for ((task, run), copy) in &mut worker.attempts {
-                let Phase::Stopping { sent, confirmed_ms: None } = &mut copy.phase else {
+            for ((task, run), attempt) in &mut worker.attempts {
+                let Phase::Stopping { sent, confirmed_ms: None } = &mut attempt.phase else {
                     continue;
                 };
-                if now.since(*sent) < STOP_AGAIN {
+                if now.since(*sent) < STOP_RETRY {
                     continue;
                 }
                 *sent = now;
@@ -278,13 +288,13 @@
         }
     }
 
-    /// The worker has left: all that ran there has ended.
+    /// Handles a worker that has left: all its runs have ended.
     pub(super) fn on_left(&mut self, now: Time, id: &WorkerId) {
         log::info!(worker:% = id; "worker_left");
         self.forget_worker(now, id, WorkerLoss::Left);
     }
 
-    /// The address answers for another incarnation: all that ran under this one has ended.
+    /// Handles another incarnation at the worker's address: all runs of this one have ended.
     pub(super) fn on_other_incarnation(&mut self, now: Time, id: &WorkerId) {
         log::info!(worker:% = id; "worker_replaced");
         self.forget_worker(now, id, WorkerLoss::Replaced);
--- a/crates/workflow/src/scheduler/pacing.rs
+++ b/crates/workflow/src/scheduler/pacing.rs
@@ -1,12 +1,13 @@
-//! The pace of fillers beside serving tasks.
+//! Paces of best-effort tasks that share a worker with latency-critical tasks.
 //!
-//! Load: the own load of serving tasks swings threefold within 14 to 20 s, and fillers that press a little
-//! do no harm in its valleys and much at its peaks. Keeping to what the peak allows leaves whole images
-//! of fillers without a worker; stopping fillers when a target is missed throws their work away, and takes
-//! a second in all. A change of pace works within a tenth of a second and loses nothing.
+//! The load of latency-critical tasks swings within seconds, and a best-effort task that does no
+//! harm at low load does much at the peak. Admitting only what the peak tolerates leaves
+//! best-effort tasks unplaced, and stopping them when a target is missed loses their work. A change
+//! of pace takes effect within a tenth of a second and loses nothing.
 //!
-//! Each answer of a worker tells what headroom its serving tasks would have without fillers. What is left up to
-//! the target is shared by the fillers that press, each at the pace that fits.
+//! Each answer of a worker gives the headroom that its latency-critical tasks would have without
+//! best-effort tasks. What is left below the target is divided among the interfering best-effort
+//! tasks.
 
 use {
     super::{
@@ -18,37 +19,37 @@
     std::time::Duration,
 };
 
-/// What became of a change of pace.
+/// Result of a change of pace.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum PaceResult {
-    /// It is in force.
+    /// The pace is in force.
     Paced,
     /// The worker obeys a higher epoch.
     Outranked,
     /// Another incarnation answers at this address.
     OtherIncarnation,
-    /// It may have had no effect.
+    /// No answer: it may have had no effect.
     Unknown,
 }
 
-/// Paces are set in steps of this many percent: finer ones change less than figures stray.
+/// Paces are multiples of this many percent; finer steps are within the noise of the measurements.
 const PACE_STEP: f32 = 10.0;
 
-/// A change of less than this, in percent, isn't worth a call, unless it holds a filler back wholly or lets it
-/// go: it takes less than a figure strays.
-const LEAST_CHANGE: u32 = 20;
+/// A smaller change, in percentage points, is only sent if it stops a task entirely or restores its
+/// full pace.
+const MIN_PACE_CHANGE: u32 = 20;
 
-/// A filler at this pace or below, in percent, is better off elsewhere if there is such a place.
-const SLOWED: u32 = 30;
+/// A best-effort task at or below this pace, in percent, is moved if another worker fits it.
+const SLOW_PACE: u32 = 30;
 
-/// A filler that was slowed for so long is moved.
-const SLOWED_FOR: Duration = Duration::from_millis(1_200);
+/// How long a task must be at or below [`SLOW_PACE`] before it is moved.
+const MOVE_SLOW_AFTER: Duration = Duration::from_millis(1_200);
 
-/// A filler that doesn't save its progress isn't moved once it is this far, in percent.
-const WORTH_MOVING_PERCENT: u32 = 30;
+/// A task without checkpoints isn't moved once its progress, in percent, has reached this.
+const MAX_MOVED_PROGRESS: u32 = 30;
 
 impl Scheduler {
-    /// What became of a change of pace.
+    /// Handles the result of a change of pace.
     pub fn on_pace(
         &mut self,
         now: Time,
@@ -64,32 +65,33 @@
             PaceResult::OtherIncarnation => self.on_other_incarnation(now, id),
             PaceResult::Unknown => {
                 let worker = self.workers.get_mut(id);
-                if let Some(copy) = worker.and_then(|worker| worker.attempts.get_mut(&(task, run)))
+                if let Some(attempt) =
+                    worker.and_then(|worker| worker.attempts.get_mut(&(task, run)))
                 {
-                    copy.pace_sent = None;
+                    attempt.pace_sent = None;
                 }
             }
         }
     }
 
-    /// Sets the paces of a worker's fillers by what its serving tasks can bear.
+    /// Sets the paces of a worker's best-effort tasks to what its latency-critical tasks tolerate.
     pub(super) fn pace_best_effort(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
-        self.note_own_headrooms(id);
+        self.update_own_headrooms(id);
         let Some(worker) = self.workers.get(id) else { return };
         if worker.best_effort == 0 {
             return;
         }
-        let changes = self.changes_of_pace(worker);
+        let changes = self.pace_changes(worker);
         let (epoch, addr) = (self.epoch, worker.info.addr);
         self.stats.paced += changes.len() as u64;
         let Some(worker) = self.workers.get_mut(id) else { return };
         for (task, run, percent) in changes {
             worker.set_pace(task, run, percent);
-            if let Some(copy) = worker.attempts.get_mut(&(task, run)) {
-                copy.pace_sent = Some(percent);
-                copy.progressed_at = now;
-                let slowed = percent <= SLOWED;
-                copy.throttled_since = slowed.then(|| copy.throttled_since.unwrap_or(now));
+            if let Some(attempt) = worker.attempts.get_mut(&(task, run)) {
+                attempt.pace_sent = Some(percent);
+                attempt.progressed_at = now;
+                let slow = percent <= SLOW_PACE;
+                attempt.throttled_since = slow.then(|| attempt.throttled_since.unwrap_or(now));
             }
             log::debug!(task:%, run:%, worker:% = id, percent; "filler_paced");
             out.push(Effect::Pace { worker: id.clone(), addr, epoch, task, run, percent });
@@ -97,32 +99,33 @@
         self.move_slowed(now, id, out);
     }
 
-    /// Notes at a worker the own headrooms of the tasks that serve there.
-    fn note_own_headrooms(&mut self, id: &WorkerId) {
+    /// Records the headrooms of a worker's latency-critical tasks without best-effort tasks.
+    fn update_own_headrooms(&mut self, id: &WorkerId) {
         let Some(Worker { attempts, neighbours, .. }) = self.workers.get_mut(id) else { return };
-        let serving = attempts.iter().filter(|(_, copy)| copy.latency_critical);
-        let serving = serving.map(|((task, _), copy)| (task.workflow, copy.image));
-        self.colocation.update_own_headroom(neighbours, serving);
+        let latency_critical = attempts.iter().filter(|(_, attempt)| attempt.latency_critical);
+        let latency_critical =
+            latency_critical.map(|((task, _), attempt)| (task.workflow, attempt.image));
+        self.colocation.update_own_headroom(neighbours, latency_critical);
     }
 
-    /// The fillers of a worker that are to work at another pace, in percent.
-    fn changes_of_pace(&self, worker: &Worker) -> Vec<(TaskId, RunId, u32)> {
-        let fillers = worker
+    /// Returns a worker's best-effort tasks whose pace is to change, with the new paces in percent.
+    fn pace_changes(&self, worker: &Worker) -> Vec<(TaskId, RunId, u32)> {
+        let best_effort = worker
             .attempts
             .values()
-            .filter(|copy| copy.best_effort)
+            .filter(|attempt| attempt.best_effort)
             .map(Attempt::best_effort_demand);
-        let bearable = self.colocation.tolerated_paces(&worker.neighbours, fillers);
+        let bearable = self.colocation.tolerated_paces(&worker.neighbours, best_effort);
         let mut changes: Vec<(TaskId, RunId, u32)> = Vec::new();
-        for ((task, run), copy) in &worker.attempts {
-            if copy.best_effort && matches!(copy.phase, Phase::Running { .. }) {
+        for ((task, run), attempt) in &worker.attempts {
+            if attempt.best_effort && matches!(attempt.phase, Phase::Running { .. }) {
                 let share = self.colocation.allowed_pace(
                     &worker.neighbours,
                     &bearable,
-                    copy.best_effort_demand(),
+                    attempt.best_effort_demand(),
                 );
-                let pace = pace_of(share);
-                if worth_telling(copy, pace) {
+                let pace = pace_from_share(share);
+                if is_worth_sending(attempt, pace) {
                     changes.push((*task, *run, pace));
                 }
             }
@@ -130,16 +133,22 @@
         changes
     }
 
-    /// Moves fillers that were slowed down for long and find a better place.
+    /// Moves best-effort tasks that have been slow for long and fit another worker.
     fn move_slowed(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
         let Some(worker) = self.workers.get(id) else { return };
-        let long = |copy: &Attempt| {
-            let running = matches!(copy.phase, Phase::Running { .. });
-            let worth = copy.movable || copy.percent < WORTH_MOVING_PERCENT;
-            running && worth && copy.throttled_since.is_some_and(|at| now.since(at) >= SLOWED_FOR)
+        let is_long_slow = |attempt: &Attempt| {
+            let running = matches!(attempt.phase, Phase::Running { .. });
+            let worth_moving = attempt.movable || attempt.percent < MAX_MOVED_PROGRESS;
+            running
+                && worth_moving
+                && attempt.throttled_since.is_some_and(|at| now.since(at) >= MOVE_SLOW_AFTER)
         };
-        let slowed: Vec<(TaskId, RunId)> =
-            worker.attempts.iter().filter(|(_, copy)| long(copy)).map(|(key, _)| *key).collect();
+        let slowed: Vec<(TaskId, RunId)> = worker
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| is_long_slow(attempt))
+            .map(|(key, _)| *key)
+            .collect();
         for (task, run) in slowed {
             if self.fits_elsewhere(now, id, task) {
                 self.stats.evicted += 1;
@@ -152,19 +161,19 @@
     }
 }
 
-/// A pace in percent, in whole steps.
-fn pace_of(share: f32) -> u32 {
+/// Converts a share to a pace in percent, rounded down to a whole step.
+fn pace_from_share(share: f32) -> u32 {
     let steps = (share * FULL_PACE_PERCENT as f32 / PACE_STEP).floor();
     (steps * PACE_STEP) as u32
 }
 
-/// Whether a change of pace is worth a call.
-fn worth_telling(copy: &Attempt, pace: u32) -> bool {
-    match copy.pace_sent {
+/// Whether a change of pace is large enough to be sent.
+fn is_worth_sending(attempt: &Attempt, pace: u32) -> bool {
+    match attempt.pace_sent {
         None => true,
-        Some(told) => {
-            told.abs_diff(pace) >= LEAST_CHANGE
-                || (told != pace && (pace == 0 || pace == FULL_PACE_PERCENT))
+        Some(sent) => {
+            sent.abs_diff(pace) >= MIN_PACE_CHANGE
+                || (sent != pace && (pace == 0 || pace == FULL_PACE_PERCENT))
         }
     }
 }
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -1,5 +1,5 @@
-//! Polls of the workers: each renews the leases at a worker, returns what ended, and shows that the
-//! worker lives.
+//! Polls of the workers. A poll renews the leases at a worker, returns its runs and ends, and
+//! serves as a health check.
 
 use {
     super::{Effect, Phase, PollReply, Scheduler, lost_workers::WorkerLoss},
@@ -8,7 +8,7 @@
     std::time::Duration,
 };
 
-/// What became of a poll.
+/// Result of a poll.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PollResult {
     /// The worker's lists.
@@ -19,29 +19,29 @@
     OtherIncarnation,
     /// Nothing listens at the worker's address.
     Refused,
-    /// The worker can't be reached, or gave no answer, or not this one.
+    /// The worker can't be reached, or gave no valid answer.
     Failed,
 }
 
-/// The lease at a worker that is about to leave. It outlasts the poll after next.
-const LEAVING_LEASE: Duration = Duration::from_secs(2);
+/// Lease at a draining worker. It covers the next two polls.
+const DRAINING_LEASE: Duration = Duration::from_secs(2);
 
-/// The pause after a poll that failed.
+/// Pause after a failed poll.
 pub(super) const POLL_RETRY: Duration = Duration::from_millis(200);
 
-/// A worker that runs nothing is asked this seldom; its heartbeats in the directory show that it lives.
-const IDLE_POLL: Duration = Duration::from_millis(1_500);
+/// Poll interval of an idle worker; its directory entry shows that it is alive.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Where fillers run beside serving tasks each of the worker's figures is wanted; a new one comes every
-/// half second.
-const FIGURE_WAIT: Duration = Duration::from_millis(450);
+/// Maximum wait of a poll where best-effort and latency-critical tasks share the worker: each
+/// sample is wanted, and a new one comes every half second.
+const SAMPLE_WAIT: Duration = Duration::from_millis(450);
 
-/// A worker with a task that has just begun is asked this soon how it gets on: a slow worker is found out
-/// by then, and the task may yet be done in time elsewhere.
-const FRESH_WAIT: Duration = Duration::from_millis(230);
+/// Maximum wait of a poll of a worker with a new task: early enough to detect a slow worker and to
+/// finish the task in time elsewhere.
+const NEW_TASK_WAIT: Duration = Duration::from_millis(230);
 
 impl Scheduler {
-    /// What became of the poll that was sent at `sent`.
+    /// Handles the result of the poll sent at `sent`.
     pub fn on_poll(
         &mut self,
         now: Time,
@@ -78,36 +78,38 @@
                 continue;
             }
             let busy = !worker.attempts.is_empty() || worker.ends_processed > worker.ends_recorded;
-            let leaving = worker.info.state == WorkerState::Draining && !worker.in_directory;
-            let idle_due = worker.last_contact.is_none_or(|heard| now.since(heard) >= IDLE_POLL);
-            if worker.reconciled && !busy && !(idle_due && (worker.in_directory || leaving)) {
+            let left_directory = worker.info.state == WorkerState::Draining && !worker.in_directory;
+            let idle_due = worker.last_contact.is_none_or(|at| now.since(at) >= IDLE_POLL_INTERVAL);
+            if worker.reconciled && !busy && !(idle_due && (worker.in_directory || left_directory))
+            {
                 continue;
             }
-            // While a worker is silent its leases aren't extended: otherwise polls that arrive without
-            // being answered would put off the time at which its tasks have certainly lapsed.
+            // Leases at an unresponsive worker aren't extended: polls that arrive without being
+            // answered would otherwise postpone the time at which its tasks have certainly lapsed.
             let renews = worker.reconciled
                 && !worker.listed_unresponsive
                 && worker.is_responsive(now, &limits);
             let until_ms = if renews && busy {
-                // What is left on a leaving worker ends with it, and is started again that much sooner.
-                let leaves = worker.info.state == WorkerState::Draining;
-                let span = if leaves { LEAVING_LEASE } else { limits.lease };
+                // A short lease: what is left on a draining worker ends with it and can be
+                // restarted sooner.
+                let draining = worker.info.state == WorkerState::Draining;
+                let span = if draining { DRAINING_LEASE } else { limits.lease };
                 worker.lease_until(now, span, limits.lease_bound_for(span))
             } else {
                 None
             };
-            // In the survey the answer is wanted at once, and so is one that settles an order.
+            // Reconciliation and unsettled commands need an immediate answer.
             let unsettled = |phase: &Phase| !matches!(phase, Phase::Running { .. });
-            let hurried =
-                !worker.reconciled || worker.attempts.values().any(|c| unsettled(&c.phase));
-            let pressed =
+            let urgent = !worker.reconciled
+                || worker.attempts.values().any(|attempt| unsettled(&attempt.phase));
+            let colocated =
                 worker.latency_critical > 0 && (worker.best_effort > 0 || worker.over_target);
             let fresh = worker.is_reserved(now)
-                || worker.attempts.values().any(|copy| copy.is_too_recent_to_judge(now));
-            let wait = match (hurried, busy, fresh, pressed) {
+                || worker.attempts.values().any(|attempt| attempt.is_too_recent_to_judge(now));
+            let wait = match (urgent, busy, fresh, colocated) {
                 (true, ..) | (_, false, ..) => Duration::ZERO,
-                (false, true, true, _) => FRESH_WAIT,
-                (false, true, false, true) => FIGURE_WAIT,
+                (false, true, true, _) => NEW_TASK_WAIT,
+                (false, true, false, true) => SAMPLE_WAIT,
                 (false, true, false, false) => limits.poll_wait,
             };
             worker.poll_sent = Some(now);
@@ -122,27 +124,28 @@
         }
     }
 
-    /// Gives up what must have lapsed at workers that don't answer, and forgets workers that are gone.
+    /// Gives up runs that must have lapsed at unresponsive workers, and forgets workers that are
+    /// gone.
     pub(super) fn expire(&mut self, now: Time) {
         let limits = self.limits;
         let lapsed = |worker: &super::Worker| {
             now >= worker.lease_bound && !worker.is_responsive(now, &limits)
         };
-        let silent: Vec<WorkerId> = self
+        let lapsed_workers: Vec<WorkerId> = self
             .workers
             .iter()
             .filter(|(_, worker)| lapsed(worker))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in silent {
+        for id in lapsed_workers {
             self.drop_lapsed(now, &id);
         }
-        // A worker that has fallen silent, is heard again, or leaves or stays after all, changes the roster.
+        // A worker whose responsiveness or draining state has changed must be listed differently.
         let changed = |worker: &super::Worker| {
-            // What it ran has been moved: a successor that reads so holds nothing back.
-            let emptied =
+            // All its runs have been moved: a successor that knows this needn't wait for it.
+            let drained =
                 worker.listed_draining && worker.listed_runs > 0 && worker.attempts.is_empty();
-            worker.differs_from_roster(now, &limits) || (worker.in_roster && emptied)
+            worker.differs_from_roster(now, &limits) || (worker.in_roster && drained)
         };
         self.roster_dirty |= self.workers.values().any(changed);
         self.unreconciled.retain(|_, until| now < *until);
--- a/crates/workflow/src/scheduler/queue.rs
+++ b/crates/workflow/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! Workflows from their acceptance to their end: which steps are open, which tasks wait.
+//! The life of a workflow: its occurrences, its open steps and the queues of their tasks.
 
 use {
     super::{
@@ -25,68 +25,68 @@
         if self.workflows.contains_key(&id) {
             return;
         }
-        let Some(mut flow) = ActiveWorkflow::new(entry, inherited) else { return };
+        let Some(mut active) = ActiveWorkflow::new(entry, inherited) else { return };
         if entry.cancelled {
-            // Nothing of it is wanted any more: what is found running is stopped.
-            flow.outcome = Some(Outcome::Cancelled);
-            flow.occurrences.clear();
+            // Nothing of it is wanted any more; runs that are found are stopped.
+            active.outcome = Some(Outcome::Cancelled);
+            active.occurrences.clear();
             self.dirty.insert(id);
         }
-        let begun: Vec<u32> = flow.occurrences.keys().copied().collect();
-        self.workflows.insert(id, flow);
-        for number in begun {
+        let occurrences: Vec<u32> = active.occurrences.keys().copied().collect();
+        self.workflows.insert(id, active);
+        for number in occurrences {
             self.open_steps(now, id, number);
         }
         self.begin_occurrences(now, id);
     }
 
     pub(super) fn begin_due(&mut self, now: Time) {
-        let due = |flow: &ActiveWorkflow| flow.next < flow.submission.workflow.occurrences();
+        let due = |active: &ActiveWorkflow| active.next < active.submission.workflow.occurrences();
         let ids: Vec<WorkflowId> =
-            self.workflows.iter().filter(|(_, flow)| due(flow)).map(|(id, _)| *id).collect();
+            self.workflows.iter().filter(|(_, active)| due(active)).map(|(id, _)| *id).collect();
         for id in ids {
             self.begin_occurrences(now, id);
         }
     }
 
-    /// Begins the occurrences of a workflow that are due by the time of day.
+    /// Begins the occurrences of a workflow that are due by wall-clock time.
     pub(super) fn begin_occurrences(&mut self, now: Time, id: WorkflowId) {
-        while let Some(flow) = self.workflows.get_mut(&id) {
-            let number = flow.next;
-            let more = number < flow.submission.workflow.occurrences();
-            if flow.outcome.is_some() || !more || flow.due_at(number) > self.wall_ms {
+        while let Some(active) = self.workflows.get_mut(&id) {
+            let number = active.next;
+            let more = number < active.submission.workflow.occurrences();
+            if active.outcome.is_some() || !more || active.due_at(number) > self.wall_ms {
                 return;
             }
-            flow.next += 1;
-            if flow.complete.contains(&number) || flow.occurrences.contains_key(&number) {
+            active.next += 1;
+            if active.complete.contains(&number) || active.occurrences.contains_key(&number) {
                 continue;
             }
-            let occurrence = flow.new_occurrence(None);
-            flow.occurrences.insert(number, occurrence);
+            let occurrence = active.new_occurrence(None);
+            active.occurrences.insert(number, occurrence);
             self.open_steps(now, id, number);
         }
     }
 
-    /// Opens the steps of an occurrence for which all earlier ones are done, and queues their tasks.
+    /// Opens the steps of an occurrence whose predecessors are all done, and queues their tasks.
     pub(super) fn open_steps(&mut self, now: Time, id: WorkflowId, number: u32) {
-        let Some(flow) = self.workflows.get_mut(&id) else { return };
-        let steps = &flow.submission.workflow.steps;
-        let (priority, due_ms) = (flow.submission.priority, flow.due_ms);
-        let attempts = flow.submission.max_attempts;
-        let Some(occurrence) = flow.occurrences.get_mut(&number) else { return };
+        let Some(active) = self.workflows.get_mut(&id) else { return };
+        let steps = &active.submission.workflow.steps;
+        let (priority, due_ms) = (active.submission.priority, active.due_ms);
+        let max_attempts = active.submission.max_attempts;
+        let Some(occurrence) = active.occurrences.get_mut(&number) else { return };
         let done: Vec<bool> = occurrence.steps.iter().map(StepState::is_done).collect();
         for (step_no, state) in (0u16..).zip(&mut occurrence.steps) {
-            let waits =
+            let blocked =
                 steps[usize::from(step_no)].after.iter().any(|after| !done[usize::from(*after)]);
-            if state.open || waits {
+            if state.open || blocked {
                 continue;
             }
             state.open = true;
-            if state.tasks.iter().any(|task| task.is_pending() && task.is_exhausted(attempts)) {
+            if state.tasks.iter().any(|task| task.is_pending() && task.is_exhausted(max_attempts)) {
                 self.exhausted.insert(id);
             }
-            let waiting = (0u32..).zip(&state.tasks).filter(|(_, task)| task.is_pending());
-            state.queue = waiting.map(|(index, _)| index).collect();
+            let pending = (0u32..).zip(&state.tasks).filter(|(_, task)| task.is_pending());
+            state.queue = pending.map(|(index, _)| index).collect();
             if !state.queue.is_empty() {
                 let long_running = steps[usize::from(step_no)].long_running;
                 state.since = now;
@@ -106,7 +106,7 @@
         self.end_workflow(now, id, Outcome::Cancelled, out);
     }
 
-    /// Ends a workflow: what of it runs is stopped, the outcome is recorded.
+    /// Ends a workflow: stops its runs and schedules the recording of its outcome.
     pub(super) fn end_workflow(
         &mut self,
         now: Time,
@@ -114,21 +114,21 @@
         outcome: Outcome,
         out: &mut Vec<Effect>,
     ) {
-        let Some(flow) = self.workflows.get_mut(&id) else { return };
-        if flow.outcome.is_some() {
+        let Some(active) = self.workflows.get_mut(&id) else { return };
+        if active.outcome.is_some() {
             return;
         }
-        flow.outcome = Some(outcome);
+        active.outcome = Some(outcome);
         self.dirty.insert(id);
         self.ready.retain(|ready| ready.workflow != id);
-        let tasks = flow.occurrences.values().flat_map(|occurrence| &occurrence.steps);
-        let copies: Vec<(WorkerId, RunId)> =
+        let tasks = active.occurrences.values().flat_map(|occurrence| &occurrence.steps);
+        let attempts: Vec<(WorkerId, RunId)> =
             tasks.flat_map(|step| &step.tasks).flat_map(|task| task.attempts.clone()).collect();
-        flow.occurrences.clear();
+        active.occurrences.clear();
         self.colocation.forget(id);
         self.remove_advice(id);
-        log::info!(workflow:% = id, outcome:? = outcome, copies = copies.len(); "workflow_ended");
-        for (worker, run) in copies {
+        log::info!(workflow:% = id, outcome:? = outcome, copies = attempts.len(); "workflow_ended");
+        for (worker, run) in attempts {
             self.stop_runs(now, &worker, StopReason::WorkflowEnded, out, |task, of| {
                 task.workflow == id && of == run
             });
@@ -136,8 +136,8 @@
     }
 
     pub(super) fn step(&self, task: TaskId) -> Option<&Step> {
-        let flow = self.workflows.get(&task.workflow)?;
-        flow.submission.workflow.steps.get(usize::from(task.step))
+        let active = self.workflows.get(&task.workflow)?;
+        active.submission.workflow.steps.get(usize::from(task.step))
     }
 
     pub(super) fn task(&self, task: TaskId) -> Option<&TaskState> {
@@ -146,26 +146,26 @@
     }
 
     pub(super) fn task_mut(&mut self, task: TaskId) -> Option<&mut TaskState> {
-        let flow = self.workflows.get_mut(&task.workflow)?;
-        let occurrence = flow.occurrences.get_mut(&task.occurrence)?;
+        let active = self.workflows.get_mut(&task.workflow)?;
+        let occurrence = active.occurrences.get_mut(&task.occurrence)?;
         let step = occurrence.steps.get_mut(usize::from(task.step))?;
         step.tasks.get_mut(task.index as usize)
     }
 
-    /// Queues a task that isn't done and runs nowhere.
+    /// Queues a task that is neither done nor running.
     pub(super) fn enqueue(&mut self, now: Time, task: TaskId) {
-        let Some(flow) = self.workflows.get_mut(&task.workflow) else { return };
-        if flow.outcome.is_some() {
+        let Some(active) = self.workflows.get_mut(&task.workflow) else { return };
+        if active.outcome.is_some() {
             return;
         }
-        let (priority, due_ms) = (flow.submission.priority, flow.due_ms);
-        let Some(occurrence) = flow.occurrences.get_mut(&task.occurrence) else { return };
+        let (priority, due_ms) = (active.submission.priority, active.due_ms);
+        let Some(occurrence) = active.occurrences.get_mut(&task.occurrence) else { return };
         let Some(step) = occurrence.steps.get_mut(usize::from(task.step)) else { return };
         let Some(state) = step.tasks.get(task.index as usize) else { return };
         if !step.open || !state.is_pending() {
             return;
         }
-        if state.is_exhausted(flow.submission.max_attempts) {
+        if state.is_exhausted(active.submission.max_attempts) {
             self.exhausted.insert(task.workflow);
             return;
         }
@@ -176,7 +176,7 @@
             step.since = now;
         }
         step.queue.push_front(task.index);
-        let long_running = flow.submission.workflow.steps[usize::from(task.step)].long_running;
+        let long_running = active.submission.workflow.steps[usize::from(task.step)].long_running;
         self.ready.insert(Ready {
             priority,
             long_running,
