--- a/crates/workflow/src/scheduler/commands.rs
+++ b/crates/workflow/src/scheduler/commands.rs
@@ -91,9 +91,9 @@
 }
 
 impl Scheduler {
-    /// Whether a start that was decided is still wanted. It is asked right before the start is sent:
-    /// while it waited for its turn, its workflow may have been cancelled, another copy of its task may be
-    /// done, or the worker may have stopped answering.
+    /// Whether a start is still wanted, checked right before it is sent: meanwhile its workflow may
+    /// have been cancelled, another attempt of its task may be done, or the worker may have stopped
+    /// answering.
     pub fn wants_start(&self, now: Time, id: &WorkerId, task: TaskId, run: RunId) -> bool {
         let Some(worker) = self.workers.get(id) else { return false };
         let Some(attempt) = worker.attempts.get(&(task, run)) else { return false };
--- a/crates/workflow/src/scheduler/reconciliation.rs
+++ b/crates/workflow/src/scheduler/reconciliation.rs
@@ -1,11 +1,11 @@
-//! What a leader takes over from the one before it: the workers that may run something, and until when.
+//! Takes over the workers and runs of the previous leader.
 //!
-//! Nothing that a predecessor started is on record, so whatever is inherited waits until each worker has
-//! answered, or until what runs at it must have lapsed. Two things keep that wait short. A predecessor whose
-//! process has certainly ended, or which gave up its term, renews nothing any more. And a leader records which
-//! workers haven't answered it, and when what runs there must have lapsed: a successor waits only for what is
-//! left of that. Otherwise one lost worker would hold back all inherited work for nine seconds after each change
-//! of the leader, however long it has been lost.
+//! Starts aren't recorded, so an inherited task waits until each worker has answered or until all
+//! runs there must have lapsed. Two things shorten that wait. A predecessor whose process has
+//! certainly ended, or that gave up its term, renews nothing any more. And a leader records which
+//! workers haven't answered it and when their runs must have lapsed, so a successor waits only for
+//! the rest of that time. Otherwise one lost worker would hold back all inherited tasks for nine
+//! seconds after each change of leader.
 
 use {
     super::{
@@ -20,19 +20,20 @@
     std::time::Duration,
 };
 
-/// A leader writes no roster of its own for so long, unless all workers have answered before. An answer takes
-/// some 30 ms; a roster that lists workers as unanswered bars them until the next one is recorded.
-const SURVEY_GRACE: Duration = Duration::from_millis(400);
+/// How long a new leader waits for workers to answer before it writes a roster without them. A
+/// roster that lists workers as unanswered keeps tasks off them until the next one is recorded.
+const ROSTER_GRACE: Duration = Duration::from_millis(400);
 
 impl Scheduler {
-    /// Takes over the workers of the last roster: they are asked, and get no work before they answer.
+    /// Takes over the workers of the last roster: they are polled, and get no tasks before they
+    /// answer.
     pub(super) fn inherit_workers(&mut self, now: Time, ledger: &Ledger) {
         let Some(roster) = ledger.roster() else { return };
         for entry in &roster.entries {
             let mut worker = Worker::new(now, placeholder(entry));
             worker.in_directory = false;
             worker.in_roster = true;
-            worker.lease_bound = self.lapses_at(now, roster, &entry.state);
+            worker.lease_bound = self.lapse_bound(now, roster, &entry.state);
             worker.listed_draining = matches!(entry.state, RosterState::Draining { .. });
             worker.listed_unresponsive = matches!(
                 entry.state,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Takes the runs that the last roster lists as under way.
+    /// Takes over the runs that the last roster lists as under way.
     pub(super) fn inherit_runs(&mut self, now: Time, ledger: &Ledger) {
         let Some(roster) = ledger.roster() else { return };
         for entry in &roster.entries {
@@ -60,60 +61,61 @@
                 continue;
             };
             for (task, run) in runs {
-                self.suppose(now, &entry.id, *task, *run);
+                self.assume_running(now, &entry.id, *task, *run);
             }
             if let RosterState::Unresponsive { just_started, .. } = &entry.state {
-                just_started.iter().for_each(|key| self.suspect_inherited(&entry.id, *key));
+                just_started.iter().for_each(|key| self.mark_in_probation(&entry.id, *key));
             }
         }
     }
 
-    /// Takes runs that a predecessor announced as under way where they were to run, until that worker answers. If it is
-    /// gone, they may have crashed it.
+    /// Assumes that runs announced by a predecessor are under way at their workers until those
+    /// answer. If a worker is gone, they may have crashed it.
     pub(super) fn inherit_announced(&mut self, now: Time) {
         for (task, AnnouncedRun { run, worker: id }) in self.all_announced() {
-            let held = self.task(task).is_some_and(|state| !state.attempts.is_empty());
+            let assumed = self.task(task).is_some_and(|state| !state.attempts.is_empty());
             if !self.workers.contains_key(&id) {
                 self.add_crash(task, run, CrashEvidence::Unsure);
-            } else if !held {
-                self.suppose(now, &id, task, run);
+            } else if !assumed {
+                self.assume_running(now, &id, task, run);
             }
-            self.suspect_inherited(&id, (task, run));
+            self.mark_in_probation(&id, (task, run));
         }
     }
 
-    fn suspect_inherited(&mut self, id: &WorkerId, key: (TaskId, RunId)) {
-        let copy = self.workers.get_mut(id).and_then(|worker| worker.attempts.get_mut(&key));
-        if let Some(copy) = copy {
-            copy.inherited_in_probation = true;
+    fn mark_in_probation(&mut self, id: &WorkerId, key: (TaskId, RunId)) {
+        let attempt = self.workers.get_mut(id).and_then(|worker| worker.attempts.get_mut(&key));
+        if let Some(attempt) = attempt {
+            attempt.inherited_in_probation = true;
         }
     }
 
     fn all_announced(&self) -> Vec<(TaskId, AnnouncedRun)> {
         let mut found = Vec::new();
-        for (workflow, flow) in &self.workflows {
-            for (occurrence, steps) in &flow.occurrences {
+        for (workflow, active) in &self.workflows {
+            for (occurrence, steps) in &active.occurrences {
                 for (step, state) in (0u16..).zip(&steps.steps) {
-                    let of = |(index, task): (u32, &TaskState)| {
+                    let announced_of = |(index, task): (u32, &TaskState)| {
                         let (workflow, occurrence) = (*workflow, *occurrence);
                         let id = TaskId { workflow, occurrence, step, index };
                         Some((id, task.announced.clone()?))
                     };
-                    found.extend((0u32..).zip(&state.tasks).filter_map(of));
+                    found.extend((0u32..).zip(&state.tasks).filter_map(announced_of));
                 }
             }
         }
         found
     }
 
-    /// When all that leaders before this one started at a worker must have lapsed.
-    fn lapses_at(&self, now: Time, roster: &Roster, standing: &RosterState) -> Time {
+    /// When all runs that earlier leaders started at a worker must have lapsed.
+    fn lapse_bound(&self, now: Time, roster: &Roster, roster_state: &RosterState) -> Time {
         let lease = self.limits.lease_bound();
-        // The last leader wrote no roster, so who of its predecessors may still give orders isn't known. All
-        // of them had lost their authority so long after the last leader's claim at the latest.
+        // If the last leader wrote no roster, it is unknown which of its predecessors can still
+        // send commands. All of them lose their authority within this time after the last leader's
+        // claim.
         let latest = now + self.limits.authority + lease;
         let known = self.succession.follows(roster.epoch);
-        match standing {
+        match roster_state {
             RosterState::Open | RosterState::Draining { .. } if known => {
                 self.succession.commands_until() + lease
             }
@@ -123,14 +125,15 @@
             {
                 latest.min(self.succession.local_time(*lapses_ms))
             }
-            // The writer of the roster starts and renews nothing at a worker that it lists as silent. Had that one
-            // not answered it, though, a leader before it may still renew what runs there.
+            // A leader starts and renews nothing at a worker that it lists as unresponsive. If that
+            // worker never answered it, though, an earlier leader may still renew its runs.
             _ => latest,
         }
     }
 
-    /// Takes a run at a silent worker as under way, until the worker answers or its leases have lapsed.
-    fn suppose(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
+    /// Assumes that a run is under way at an unresponsive worker, until it answers or its leases
+    /// have lapsed.
+    fn assume_running(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
         let step = self.step(task).cloned().unwrap_or_default();
         let need = Requirements::new(&step, &mut self.colocation);
         if let Some(worker) = self.workers.get_mut(id) {
@@ -144,13 +147,14 @@
         }
     }
 
-    /// Whether the roster may be written: it must tell which workers haven't answered, and they get a moment.
+    /// Whether the roster may be written: it lists which workers haven't answered, and they get a
+    /// short time for it.
     pub(super) fn may_write_roster(&self, now: Time) -> bool {
-        self.unreconciled.is_empty() || now.since(self.succession.began) >= SURVEY_GRACE
+        self.unreconciled.is_empty() || now.since(self.succession.began) >= ROSTER_GRACE
     }
 
-    /// What the roster says of a worker.
-    pub(super) fn standing(&self, now: Time, worker: &Worker) -> RosterState {
+    /// Returns the standing of a worker for the roster.
+    pub(super) fn roster_state(&self, now: Time, worker: &Worker) -> RosterState {
         let runs = || worker.attempts.keys().copied().collect();
         let lapses_ms = self.succession.term_ms(worker.lease_bound);
         if worker.inherited == Some(Inherited::Unlisted) && !worker.reconciled {
@@ -167,12 +171,12 @@
     }
 }
 
-/// A worker of which only the roster's entry is known: it is asked, and gets no work while its own entry is
-/// missing. It counts as leaving only if the predecessor listed that. Entries also lapse while a worker or
-/// the store is cut off, and a worker that is well would be taken for one that left as soon as a connection is
-/// refused (its tasks would run twice), or be passed over for the whole term once its entry is back.
+/// Builds the state of a worker known only from the roster: it is polled, and gets no tasks while
+/// its directory entry is missing. It counts as draining only if the predecessor listed it so.
+/// Entries also lapse while a worker or the store is cut off; taking a healthy worker for one that
+/// left, as soon as a connection is refused, would run its tasks twice.
 fn placeholder(entry: &RosterEntry) -> WorkerInfo {
-    let leaves = matches!(entry.state, RosterState::Draining { .. });
+    let draining = matches!(entry.state, RosterState::Draining { .. });
     WorkerInfo {
         id: entry.id.clone(),
         addr: entry.addr,
@@ -180,6 +184,6 @@
         data_centre: CompactString::default(),
         capacity: Resources::default(),
         labels: smallvec::SmallVec::new(),
-        state: if leaves { WorkerState::Draining } else { WorkerState::Ready },
+        state: if draining { WorkerState::Draining } else { WorkerState::Ready },
     }
 }
--- a/crates/workflow/src/scheduler/restore.rs
+++ b/crates/workflow/src/scheduler/restore.rs
@@ -1,8 +1,8 @@
-//! Records of the system's own that another writer replaced by what can't be read.
+//! Rewrites records that another writer replaced by unreadable ones.
 //!
-//! Every process that read the former record still goes by it. One that starts later reads only the newest
-//! record of each key: it wouldn't know the workflow, or would run again what is done. So the leader, which has
-//! read the former one, records it anew.
+//! Running processes keep the former record, but one that starts later reads only the newest record
+//! of each key: it wouldn't know the workflow, or would run finished tasks again. So the leader,
+//! which has read the former record, writes it again.
 
 use {
     super::Scheduler,
@@ -10,10 +10,10 @@
 };
 
 impl Scheduler {
-    /// The newest record of `key` can't be read.
+    /// Handles an unreadable newest record of `key`.
     pub fn on_unreadable(&mut self, key: Key, ledger: &Ledger) {
         match key {
-            // A sign of life follows within a quarter of a second.
+            // The next heartbeat replaces it.
             Key::Leader => {}
             Key::Roster => self.roster_dirty = true,
             Key::InterferenceModel => self.learned_dirty = true,
@@ -23,7 +23,7 @@
                 let cancelled = ledger.get(id).is_some_and(|entry| entry.cancelled);
                 self.records_to_rewrite.extend(cancelled.then(|| Record::new(key, &true)));
             }
-            // What is under way may be further than what was read last.
+            // The scheduler's state may be newer than the ledger's.
             Key::Progress(id) if self.workflows.contains_key(&id) => {
                 self.dirty.insert(id);
             }
@@ -37,7 +37,7 @@
     Some(Record::new(Key::Submission(id), submission))
 }
 
-/// The progress of a workflow that has ended; it doesn't change any more.
+/// Returns the progress of a workflow that has ended; it doesn't change any more.
 fn final_progress(id: WorkflowId, ledger: &Ledger) -> Option<Record> {
     let progress = &ledger.get(id)?.progress;
     progress.outcome.map(|_| Record::new(Key::Progress(id), progress))
--- a/crates/workflow/src/scheduler/worker.rs
+++ b/crates/workflow/src/scheduler/worker.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of a worker.
+//! The leader's state of a worker.
 
 use {
     super::{attempt::Attempt, unreadable_rows::UnreadableRows},
@@ -7,7 +7,7 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// What is known of a worker that a predecessor's roster names.
+/// What is known of a worker on a predecessor's roster.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Inherited {
     /// The roster lists what may run there.
@@ -16,34 +16,35 @@
     Unlisted,
 }
 
-/// Serving tasks use about half of the processor time that they declare; the rest is left to fillers.
-const SERVING_USE_PERCENT: u32 = 50;
+/// Share of their declared CPU that latency-critical tasks use; the rest is left to best-effort
+/// tasks.
+const LATENCY_CRITICAL_USE_PERCENT: u32 = 50;
 
-/// A worker and what may run there by our orders.
+/// A worker and the runs that may be under way there by commands of the leaders.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) info: WorkerInfo,
-    /// Its entry is in the directory.
+    /// It has an entry in the directory.
     pub(crate) in_directory: bool,
-    /// The roster in the store names it, so a successor knows to ask it.
+    /// The recorded roster names it, so a successor polls it.
     pub(crate) in_roster: bool,
     /// Set if a predecessor's roster names it.
     pub(crate) inherited: Option<Inherited>,
-    /// The roster lists what may run there and nothing else; until a roster without that list is
-    /// recorded, it gets no order that starts or renews anything.
+    /// The roster lists it as unresponsive, with the runs that may be under way there. It gets no
+    /// starts or renewals until a roster that lists it otherwise is recorded.
     pub(crate) listed_unresponsive: bool,
-    /// The roster lists what may run there since it is about to leave: nothing is started there until a
-    /// roster without that list is recorded.
+    /// The roster lists it as draining, with its runs. Nothing is started there until a roster that
+    /// lists it otherwise is recorded.
     pub(crate) listed_draining: bool,
-    /// How many runs the roster lists there.
+    /// Number of runs that the roster lists there.
     pub(crate) listed_runs: usize,
     /// Its address refused a connection: no process listens there.
     pub(crate) connection_refused: bool,
-    /// It has answered under this epoch: what runs there is known, and no predecessor's order takes
+    /// It has answered under this epoch: its runs are known, and no command of a predecessor takes
     /// effect there any more.
     pub(crate) reconciled: bool,
     pub(crate) last_contact: Option<Time>,
-    /// By then all that runs there by orders of this leader has lapsed.
+    /// When all runs there must have lapsed.
     pub(crate) lease_bound: Time,
     /// The worker's clock in milliseconds, and when it was read.
     clock: Option<(u64, Time)>,
@@ -51,34 +52,35 @@
     pub(crate) next_poll_at: Time,
     /// Rows of its lists that can't be read.
     pub(super) unreadable_rows: UnreadableRows,
-    /// Ends up to here were taken in.
+    /// Ends up to this number are processed.
     pub(crate) ends_processed: u64,
-    /// Ends up to here are recorded, so the worker may forget them.
+    /// Ends up to this number are recorded, so the worker may forget them.
     pub(crate) ends_recorded: u64,
     pub(crate) attempts: BTreeMap<(TaskId, RunId), Attempt>,
     pub(crate) committed: Resources,
     pub(crate) best_effort_demand: u32,
     pub(crate) latency_critical: u32,
     pub(crate) best_effort: u32,
-    /// Runs on trial.
+    /// Number of runs in an isolated start.
     pub(crate) isolated_starts: u32,
-    /// Kept free of new starts until then, for a trial.
+    /// Reserved for an isolated start until then: gets no other starts.
     pub(crate) reserved_until: Time,
-    /// The tasks that share it, as far as they disturb each other.
+    /// The tasks that share it, for estimates of their interference.
     pub(crate) neighbours: Neighbours,
-    /// How fast tasks get on here, as a multiple of their estimates, and when that was last measured.
+    /// Speed of its tasks, as a multiple of their estimates, and when that was last measured.
     pub(crate) speed: Option<(f32, Time)>,
-    /// Runs that failed here since the last one that was done.
+    /// Number of runs that failed here since the last that succeeded.
     pub(crate) failures: u32,
-    /// It gets nothing new before.
+    /// It gets no starts before this time.
     pub(crate) backoff_until: Time,
-    /// It failed one run after another: before this it gets only what can't go elsewhere.
+    /// Quarantined after consecutive failures: before this time it gets only tasks that fit no
+    /// other worker.
     pub(crate) quarantined_until: Time,
-    /// When it last left a start unanswered; none once it has answered an order since.
+    /// When it last left a start unanswered; `None` if it has answered a command since.
     pub(crate) unconfirmed_start: Option<Time>,
-    /// A serving task is over its target: no filler is added.
+    /// A latency-critical task exceeds its target: no best-effort task is added.
     pub(crate) over_target: bool,
-    /// When fillers were last stopped for the sake of a serving task.
+    /// When best-effort tasks were last evicted for a latency-critical task.
     pub(crate) evicted_at: Time,
 }
 
@@ -121,64 +123,66 @@
         }
     }
 
-    pub(crate) fn insert(&mut self, task: TaskId, run: RunId, copy: Attempt) {
-        self.committed = self.committed.plus(&copy.reserved);
-        self.best_effort_demand += copy.best_effort_cpu.0;
-        self.latency_critical += u32::from(copy.latency_critical);
-        self.best_effort += u32::from(copy.best_effort);
-        self.isolated_starts += u32::from(copy.isolated);
-        if copy.latency_critical {
-            self.neighbours.add_latency_critical(copy.image);
+    pub(crate) fn insert(&mut self, task: TaskId, run: RunId, attempt: Attempt) {
+        self.committed = self.committed.plus(&attempt.reserved);
+        self.best_effort_demand += attempt.best_effort_cpu.0;
+        self.latency_critical += u32::from(attempt.latency_critical);
+        self.best_effort += u32::from(attempt.best_effort);
+        self.isolated_starts += u32::from(attempt.isolated);
+        if attempt.latency_critical {
+            self.neighbours.add_latency_critical(attempt.image);
         }
-        if copy.best_effort {
-            self.neighbours.add_best_effort(copy.image, copy.paced_cpu());
+        if attempt.best_effort {
+            self.neighbours.add_best_effort(attempt.image, attempt.paced_cpu());
         }
-        self.attempts.insert((task, run), copy);
+        self.attempts.insert((task, run), attempt);
     }
 
     pub(crate) fn remove(&mut self, task: TaskId, run: RunId) -> Option<Attempt> {
-        let copy = self.attempts.remove(&(task, run))?;
-        self.committed = self.committed.minus(&copy.reserved);
-        self.best_effort_demand -= copy.best_effort_cpu.0;
-        self.latency_critical -= u32::from(copy.latency_critical);
-        self.best_effort -= u32::from(copy.best_effort);
-        self.isolated_starts -= u32::from(copy.isolated);
-        if copy.latency_critical {
-            self.neighbours.remove_latency_critical(copy.image);
+        let attempt = self.attempts.remove(&(task, run))?;
+        self.committed = self.committed.minus(&attempt.reserved);
+        self.best_effort_demand -= attempt.best_effort_cpu.0;
+        self.latency_critical -= u32::from(attempt.latency_critical);
+        self.best_effort -= u32::from(attempt.best_effort);
+        self.isolated_starts -= u32::from(attempt.isolated);
+        if attempt.latency_critical {
+            self.neighbours.remove_latency_critical(attempt.image);
         }
-        if copy.best_effort {
-            self.neighbours.remove_best_effort(copy.image, copy.paced_cpu());
+        if attempt.best_effort {
+            self.neighbours.remove_best_effort(attempt.image, attempt.paced_cpu());
         }
-        Some(copy)
+        Some(attempt)
     }
 
-    /// Sets the pace of a filler.
+    /// Sets the pace of a best-effort task, in percent.
     pub(crate) fn set_pace(&mut self, task: TaskId, run: RunId, percent: u32) {
-        let Some(copy) = self.attempts.get_mut(&(task, run)) else { return };
-        self.neighbours.remove_best_effort(copy.image, copy.paced_cpu());
-        copy.pace = percent;
-        self.neighbours.add_best_effort(copy.image, copy.paced_cpu());
+        let Some(attempt) = self.attempts.get_mut(&(task, run)) else { return };
+        self.neighbours.remove_best_effort(attempt.image, attempt.paced_cpu());
+        attempt.pace = percent;
+        self.neighbours.add_best_effort(attempt.image, attempt.paced_cpu());
     }
 
-    /// Its own entry in the directory was read.
+    /// Applies its directory entry.
     pub(crate) fn set_info(&mut self, info: WorkerInfo) {
         self.neighbours.set_capacity(info.capacity.cpu);
         self.info = info;
         self.in_directory = true;
     }
 
-    /// Processor time, in thousandths of a core, that tasks which aren't fillers leave unused.
+    /// CPU available to best-effort tasks, in millicores: what the other tasks are expected to
+    /// leave unused.
     pub(crate) fn best_effort_capacity(&self) -> i64 {
-        let used = u64::from(self.committed.cpu.0) * u64::from(SERVING_USE_PERCENT) / 100;
+        let used = u64::from(self.committed.cpu.0) * u64::from(LATENCY_CRITICAL_USE_PERCENT) / 100;
         i64::from(self.info.capacity.cpu.0) - i64::try_from(used).unwrap_or(0)
     }
 
-    /// The same, as far as fillers don't ask for it already.
+    /// The part of [`Self::best_effort_capacity`] that best-effort tasks don't request yet, in
+    /// millicores.
     pub(crate) fn free_best_effort_cpu(&self) -> i64 {
         self.best_effort_capacity() - i64::from(self.best_effort_demand)
     }
 
-    /// What is left of its capacity.
+    /// Capacity that isn't reserved.
     pub(crate) fn free(&self) -> Resources {
         self.info.capacity.minus(&self.committed)
     }
@@ -186,61 +190,61 @@
     pub(crate) fn note_contact(&mut self, now: Time, clock_ms: u64) {
         self.last_contact = Some(now);
         self.connection_refused = false;
-        if self.clock.is_none_or(|(known, _)| clock_ms >= known) {
+        if self.clock.is_none_or(|(last, _)| clock_ms >= last) {
             self.clock = Some((clock_ms, now));
         }
     }
 
-    /// Whether it has answered lately.
+    /// Whether it has answered recently.
     pub(crate) fn is_responsive(&self, now: Time, limits: &Limits) -> bool {
-        // A poll may rightly wait at the worker before it is answered.
-        let patience = limits.poll_wait + limits.unresponsive_after;
-        self.last_contact.is_some_and(|heard| now.since(heard) < patience)
+        // A poll may wait at the worker for up to `poll_wait` before it is answered.
+        let timeout = limits.poll_wait + limits.unresponsive_after;
+        self.last_contact.is_some_and(|at| now.since(at) < timeout)
     }
 
-    /// Whether it was known and doesn't answer any more.
+    /// Whether it has answered this leader before but doesn't any more.
     pub(crate) fn is_unresponsive(&self, now: Time, limits: &Limits) -> bool {
         self.reconciled && !self.is_responsive(now, limits)
     }
 
-    /// Whether the roster lists it as one that gets no orders: it is silent, or was taken over from a
+    /// Whether the roster should list it as unresponsive: it is, or it was taken over from a
     /// predecessor and hasn't answered since.
     pub(crate) fn should_list_unresponsive(&self, now: Time, limits: &Limits) -> bool {
         self.is_unresponsive(now, limits) || (!self.reconciled && self.inherited.is_some())
     }
 
-    /// Whether it is about to leave, by its own word, and what may run there is known. Its entry may have
-    /// been missing for a while, or have been read late: what was once taken for leaving may turn out to
-    /// stay, and its room would be lost for good if that weren't taken back.
+    /// Whether it is draining, by its own directory entry, and its runs are known. An entry may
+    /// have been missing or read late, so a worker once listed as draining may turn out to stay;
+    /// then this is taken back.
     pub(crate) fn is_draining(&self) -> bool {
         self.info.state == WorkerState::Draining && (self.listed_draining || self.reconciled)
     }
 
-    /// Whether it has certainly left: it had announced that, its entry is gone, and nothing listens at
-    /// its address. Each alone may be something else: entries lapse by silence or are revoked, and a
-    /// draining worker works on for seconds.
+    /// Whether it has certainly left: it was draining, its entry is gone, and nothing listens at
+    /// its address. One alone doesn't show it: entries also lapse or are revoked, and a draining
+    /// worker runs on for seconds.
     pub(crate) fn has_left(&self) -> bool {
         self.info.state == WorkerState::Draining && !self.in_directory && self.connection_refused
     }
 
-    /// Whether it may get a new task.
+    /// Whether it accepts new tasks.
     pub(crate) fn accepts_work(&self, now: Time, limits: &Limits) -> bool {
         now >= self.quarantined_until
             && !self.is_reserved(now)
             && self.accepts_as_last_resort(now, limits)
     }
 
-    /// Whether it may get a new task that can't go elsewhere.
+    /// Whether it accepts new tasks that fit no other worker.
     pub(crate) fn accepts_as_last_resort(&self, now: Time, limits: &Limits) -> bool {
         self.is_eligible(now, limits) && now >= self.backoff_until && !self.is_backing_off(now)
     }
 
-    /// Until when what it did with the last tasks keeps new ones away.
+    /// Until when backoff or quarantine excludes it.
     pub(crate) fn excluded_until(&self) -> Time {
         self.backoff_until.max(self.quarantined_until)
     }
 
-    /// Whether it may get new tasks, but for what it did with the last ones.
+    /// Whether it accepts new tasks, apart from backoff and quarantine.
     pub(crate) fn is_eligible(&self, now: Time, limits: &Limits) -> bool {
         self.in_directory
             && self.in_roster
@@ -251,8 +255,8 @@
             && self.is_responsive(now, limits)
     }
 
-    /// The end of a lease of `span` from now on the worker's clock, if that is known. The caller must
-    /// send it, since from here on what runs there counts as renewed.
+    /// Returns the end of a lease of `span` from now on the worker's clock, or `None` if its clock
+    /// is unknown. The caller must send the lease, since from here on runs there count as renewed.
     pub(crate) fn lease_until(
         &mut self,
         now: Time,
