--- a/crates/workflow/src/scheduler/maintenance/stages.rs
+++ b/crates/workflow/src/scheduler/maintenance/stages.rs
@@ -1,4 +1,4 @@
-//! How far waves and their VMs are.
+//! Progress of waves and of their VMs.
 
 use {
     crate::{VmEntry, VmId, Wave, WaveProgress, WaveState, WorkerId},
@@ -6,38 +6,38 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How far a VM of a wave is.
+/// Stage of a VM in a wave.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
-    /// It gets no new work and is emptied.
+    /// Its worker gets no new tasks and is drained.
     Draining {
         /// The worker on it.
         worker: WorkerId,
-        /// Since when.
+        /// When draining began.
         since: Time,
     },
-    /// The order is to be recorded.
+    /// The request to take it down is to be recorded.
     Recording {
         /// The worker on it.
         worker: Option<WorkerId>,
     },
-    /// The order is recorded: it may be carried out at any time until it is confirmed.
-    Ordered {
+    /// The request is recorded: it may take effect at any time until it is confirmed.
+    Requested {
         /// The worker that was on it.
         worker: Option<WorkerId>,
-        /// When it was last sent, if it is under way.
+        /// When the request under way was sent, if one is.
         sent: Option<Time>,
-        /// Not again before.
-        again: Time,
+        /// Earliest time of the next request.
+        retry_at: Time,
     },
-    /// It has begun.
+    /// Its maintenance has begun.
     Down {
         /// The worker that was on it.
         worker: Option<WorkerId>,
-        /// Since when.
+        /// When it went down.
         since: Time,
     },
-    /// It has been through it, or it isn't there any more.
+    /// Its maintenance is over, or it no longer exists.
     Finished,
 }
 
@@ -45,19 +45,19 @@
 #[derive(Debug)]
 pub(super) struct WaveRun {
     pub(super) wave: Wave,
-    pub(super) due: Time,
+    pub(super) deadline: Time,
     pub(super) stages: BTreeMap<VmId, Stage>,
-    /// What the operator was last told, and whether that is stored.
+    /// The state last reported to the operator, and whether that is stored.
     pub(super) reported: Option<(WaveState, bool)>,
 }
 
 impl WaveRun {
-    /// VMs that are down, or may be.
+    /// Number of VMs that are down, or may be.
     pub(super) fn down(&self) -> usize {
-        let away = |stage: &&Stage| {
-            matches!(stage, Stage::Recording { .. } | Stage::Ordered { .. } | Stage::Down { .. })
+        let is_down = |stage: &&Stage| {
+            matches!(stage, Stage::Recording { .. } | Stage::Requested { .. } | Stage::Down { .. })
         };
-        self.stages.values().filter(away).count()
+        self.stages.values().filter(is_down).count()
     }
 
     pub(super) fn draining(&self) -> usize {
@@ -74,7 +74,7 @@
             match stage {
                 Stage::Draining { .. } => {}
                 Stage::Recording { worker }
-                | Stage::Ordered { worker, .. }
+                | Stage::Requested { worker, .. }
                 | Stage::Down { worker, .. } => {
                     progress.requested.push((vm.clone(), worker.clone()))
                 }
@@ -88,40 +88,40 @@
 /// All waves, and the VMs as last listed.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct Maintenance {
-    pub(super) runs: BTreeMap<u64, WaveRun>,
+    pub(super) waves: BTreeMap<u64, WaveRun>,
     pub(super) vms: BTreeMap<VmId, VmEntry>,
-    /// The last listing could be read as a whole: what isn't in it isn't there.
-    pub(super) whole: bool,
-    /// When the listing under way was asked for.
-    pub(super) listing: Option<Time>,
-    /// When the last complete listing was asked for.
-    pub(super) listed: Option<Time>,
+    /// The last listing could be read in full: a VM that isn't in it doesn't exist.
+    pub(super) listing_complete: bool,
+    /// When the listing under way was requested.
+    pub(super) listing_requested_at: Option<Time>,
+    /// When the last successful listing was requested.
+    pub(super) listed_at: Option<Time>,
     pub(super) dirty: BTreeSet<u64>,
 }
 
 impl Maintenance {
-    /// Workers that get no new work.
+    /// Whether a worker gets no new tasks.
     pub(super) fn is_in_maintenance(&self, id: &WorkerId) -> bool {
-        let held = |stage: &Stage| match stage {
+        let involves_worker = |stage: &Stage| match stage {
             Stage::Draining { worker, .. } => worker == id,
             Stage::Recording { worker }
-            | Stage::Ordered { worker, .. }
+            | Stage::Requested { worker, .. }
             | Stage::Down { worker, .. } => worker.as_ref() == Some(id),
             Stage::Finished => false,
         };
-        self.runs.values().any(|run| run.stages.values().any(held))
+        self.waves.values().any(|run| run.stages.values().any(involves_worker))
     }
 
-    /// What is to be recorded, with the waves that it is of.
+    /// Takes the progress to be recorded, by wave.
     pub(in crate::scheduler) fn take_dirty(&mut self) -> Vec<(u64, WaveProgress)> {
         let dirty = std::mem::take(&mut self.dirty);
-        let progress = |number: &u64| Some((*number, self.runs.get(number)?.progress()));
+        let progress = |number: &u64| Some((*number, self.waves.get(number)?.progress()));
         dirty.iter().filter_map(progress).collect()
     }
 
-    /// A wave's record was lost.
+    /// Marks a wave to be recorded again.
     pub(in crate::scheduler) fn record_again(&mut self, number: u64) {
-        if self.runs.contains_key(&number) {
+        if self.waves.contains_key(&number) {
             self.dirty.insert(number);
         }
     }
@@ -130,18 +130,18 @@
         !self.dirty.is_empty()
     }
 
-    /// The progress of these waves is recorded: what it orders may be ordered.
+    /// Handles recorded progress: the recorded requests may be sent.
     pub(in crate::scheduler) fn on_recorded(
         &mut self,
         now: Time,
         recorded: &[(u64, WaveProgress)],
     ) {
         for (number, progress) in recorded {
-            let Some(run) = self.runs.get_mut(number) else { continue };
+            let Some(run) = self.waves.get_mut(number) else { continue };
             for (vm, worker) in &progress.requested {
                 if let Some(stage @ Stage::Recording { .. }) = run.stages.get_mut(vm) {
                     let worker = worker.clone();
-                    *stage = Stage::Ordered { worker, sent: None, again: now };
+                    *stage = Stage::Requested { worker, sent: None, retry_at: now };
                 }
             }
         }
--- a/crates/workflow/src/scheduler/waits/budget.rs
+++ b/crates/workflow/src/scheduler/waits/budget.rs
@@ -1,22 +1,22 @@
-//! How many lines of a kind are written.
+//! Rate limit for log lines.
 
 use {egretlb_types::Time, std::time::Duration};
 
-/// How often it is told what was left out.
-const TOLD_EVERY: Duration = Duration::from_secs(1);
+/// Interval between lines on suppressed lines.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lines that may be written: so many at once, and so many each second in the long run. What is left out is
-/// counted and told afterwards, so that a reader knows that the lines aren't all.
+/// A token bucket of log lines. Suppressed lines are counted and reported afterwards, so that a
+/// reader knows that lines are missing.
 #[derive(Debug)]
 pub(in crate::scheduler) struct LineBudget {
     kind: &'static str,
     burst: u32,
     per_second: u32,
-    /// Thousandths of lines that may be written now.
-    left: u64,
-    filled_at: Time,
-    left_out: u64,
-    told_at: Time,
+    /// Tokens, in thousandths of a line.
+    milli_tokens: u64,
+    refilled_at: Time,
+    suppressed: u64,
+    reported_at: Time,
 }
 
 impl LineBudget {
@@ -25,43 +25,45 @@
             kind,
             burst,
             per_second,
-            left: u64::from(burst) * 1_000,
-            filled_at: Time::ZERO,
-            left_out: 0,
-            told_at: Time::ZERO,
+            milli_tokens: u64::from(burst) * 1_000,
+            refilled_at: Time::ZERO,
+            suppressed: 0,
+            reported_at: Time::ZERO,
         }
     }
 
-    /// Whether one more line may be written with `spare` left for others; otherwise it counts as left out.
-    pub(in crate::scheduler) fn take(&mut self, now: Time, spare: u32) -> bool {
-        self.fill(now);
-        if self.left >= u64::from(spare + 1) * 1_000 {
-            self.left -= 1_000;
+    /// Takes a token for one line if `reserve` tokens stay for others; otherwise the line counts as
+    /// suppressed.
+    pub(in crate::scheduler) fn take(&mut self, now: Time, reserve: u32) -> bool {
+        self.refill(now);
+        if self.milli_tokens >= u64::from(reserve + 1) * 1_000 {
+            self.milli_tokens -= 1_000;
             return true;
         }
-        self.left_out += 1;
+        self.suppressed += 1;
         false
     }
 
-    fn fill(&mut self, now: Time) {
-        let span = now.since(self.filled_at);
-        let more = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
-        // Below a millisecond the rest would be lost each time.
-        if more == 0 {
+    fn refill(&mut self, now: Time) {
+        let span = now.since(self.refilled_at);
+        let added = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+        // Keeps `refilled_at`, so that fractions of a millisecond add up.
+        if added == 0 {
             return;
         }
-        self.filled_at = now;
-        let more = more.saturating_mul(u64::from(self.per_second));
-        self.left = self.left.saturating_add(more).min(u64::from(self.burst) * 1_000);
+        self.refilled_at = now;
+        let added = added.saturating_mul(u64::from(self.per_second));
+        self.milli_tokens =
+            self.milli_tokens.saturating_add(added).min(u64::from(self.burst) * 1_000);
     }
 
-    /// Tells what was left out, if it is time.
+    /// Logs the number of suppressed lines, at most once per interval.
     pub(in crate::scheduler) fn log_suppressed(&mut self, now: Time) {
-        if self.left_out == 0 || now.since(self.told_at) < TOLD_EVERY {
+        if self.suppressed == 0 || now.since(self.reported_at) < REPORT_INTERVAL {
             return;
         }
-        self.told_at = now;
-        let lines = std::mem::take(&mut self.left_out);
+        self.reported_at = now;
+        let lines = std::mem::take(&mut self.suppressed);
         log::info!(kind = self.kind, lines; "lines_left_out");
     }
 }
--- a/crates/workflow/src/scheduler/waits/held.rs
+++ b/crates/workflow/src/scheduler/waits/held.rs
@@ -1,10 +1,10 @@
-//! Tasks that are in no queue although they don't run: an order for them is under way or in doubt, or
-//! their worker doesn't answer.
+//! Tasks that are neither queued nor running: a command for them is under way or unconfirmed, or
+//! their worker is unresponsive.
 
 use {
     super::{
         super::{Attempt, Phase, Scheduler, Worker},
-        HeldSteps, MOST_NAMED, Reason,
+        HeldSteps, MAX_NAMED, Reason,
     },
     crate::{RunId, StepId, TaskId, WorkerId},
     egretlb_types::Time,
@@ -12,9 +12,9 @@
     std::collections::BTreeSet,
 };
 
-/// Why a run isn't known to be at work, since when, and until when at most.
+/// Why a run isn't known to be running, since when, and until when at most.
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
+struct NotRunning {
     reason: Reason,
     since: Time,
     until: Option<Time>,
@@ -22,99 +22,108 @@
 
 /// Tasks of a step that are held for the same reason.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldTasks {
     pub(super) tasks: usize,
-    pub(super) indices: SmallVec<[u32; MOST_NAMED]>,
+    pub(super) indices: SmallVec<[u32; MAX_NAMED]>,
     pub(super) workers: SmallVec<[WorkerId; 2]>,
     pub(super) since: Time,
     pub(super) until: Option<Time>,
 }
 
-impl Held {
-    fn new(since: Time) -> Held {
+impl HeldTasks {
+    fn new(since: Time) -> HeldTasks {
         let (indices, workers) = (SmallVec::new(), SmallVec::new());
-        Held { tasks: 0, indices, workers, since, until: None }
+        HeldTasks { tasks: 0, indices, workers, since, until: None }
     }
 
-    fn add(&mut self, index: u32, id: &WorkerId, doubt: &Doubt) {
+    fn add(&mut self, index: u32, id: &WorkerId, not_running: &NotRunning) {
         self.tasks += 1;
-        self.since = self.since.min(doubt.since);
-        self.until = self.until.max(doubt.until);
-        if self.indices.len() < MOST_NAMED {
+        self.since = self.since.min(not_running.since);
+        self.until = self.until.max(not_running.until);
+        if self.indices.len() < MAX_NAMED {
             self.indices.push(index);
         }
-        if self.workers.len() < MOST_NAMED && !self.workers.contains(id) {
+        if self.workers.len() < MAX_NAMED && !self.workers.contains(id) {
             self.workers.push(id.clone());
         }
     }
 }
 
 impl Scheduler {
-    /// All held tasks. One pass over what may run at all workers, so it is called once a second at most.
+    /// Returns all held tasks. Scans all attempts, so it is called once a second at most.
     pub(super) fn held_steps(&self, now: Time) -> HeldSteps {
         let mut steps = HeldSteps::new();
         let mut counted: BTreeSet<TaskId> = BTreeSet::new();
         for (id, worker) in &self.workers {
-            for ((task, run), copy) in &worker.attempts {
-                let Some(mut doubt) = self.doubt(now, worker, copy) else { continue };
+            for ((task, run), attempt) in &worker.attempts {
+                let Some(mut not_running) = self.why_not_running(now, worker, attempt) else {
+                    continue;
+                };
                 if !self.is_wanted_and_down(now, *task, (id, *run)) || !counted.insert(*task) {
                     continue;
                 }
-                if matches!(doubt.reason, Reason::BeingStarted | Reason::StartInDoubt) {
-                    // It was down before that start.
+                if matches!(not_running.reason, Reason::BeingStarted | Reason::StartInDoubt) {
+                    // It was already down before that start.
                     let before = self.task(*task).and_then(|state| state.down_since);
-                    doubt.since = before.map_or(doubt.since, |before| before.min(doubt.since));
+                    not_running.since =
+                        before.map_or(not_running.since, |before| before.min(not_running.since));
                 }
-                let held = steps.entry((task.step_id(), doubt.reason));
-                held.or_insert_with(|| Held::new(doubt.since)).add(task.index, id, &doubt);
+                let held = steps.entry((task.step_id(), not_running.reason));
+                held.or_insert_with(|| HeldTasks::new(not_running.since)).add(
+                    task.index,
+                    id,
+                    &not_running,
+                );
             }
         }
         steps
     }
 
-    /// None if a run is at work for all that is known.
-    fn doubt(&self, now: Time, worker: &Worker, copy: &Attempt) -> Option<Doubt> {
+    /// Returns why a run isn't known to be running; `None` if it is.
+    fn why_not_running(&self, now: Time, worker: &Worker, attempt: &Attempt) -> Option<NotRunning> {
         if !worker.is_responsive(now, &self.limits) {
             let since =
-                worker.last_contact.map_or(copy.placed_at, |heard| heard.max(copy.placed_at));
+                worker.last_contact.map_or(attempt.placed_at, |at| at.max(attempt.placed_at));
             let until = Some(worker.lease_bound);
-            return Some(Doubt { reason: Reason::SilentWorker, since, until });
+            return Some(NotRunning { reason: Reason::SilentWorker, since, until });
         }
-        let (reason, since) = match copy.phase {
+        let (reason, since) = match attempt.phase {
             Phase::Running { .. } => return None,
-            Phase::Starting => (Reason::BeingStarted, copy.placed_at),
-            Phase::Unconfirmed { .. } => (Reason::StartInDoubt, copy.placed_at),
+            Phase::Starting => (Reason::BeingStarted, attempt.placed_at),
+            Phase::Unconfirmed { .. } => (Reason::StartInDoubt, attempt.placed_at),
             Phase::Stopping { .. } => {
-                (Reason::BeingStopped, copy.stop.map_or(copy.placed_at, |stop| stop.since))
+                (Reason::BeingStopped, attempt.stop.map_or(attempt.placed_at, |stop| stop.since))
             }
         };
-        Some(Doubt { reason, since, until: None })
+        Some(NotRunning { reason, since, until: None })
     }
 
-    /// Whether a task is to run and no other run of it is at work.
-    fn is_wanted_and_down(&self, now: Time, task: TaskId, but: (&WorkerId, RunId)) -> bool {
+    /// Whether a task should run and none of its other attempts is running.
+    fn is_wanted_and_down(&self, now: Time, task: TaskId, except: (&WorkerId, RunId)) -> bool {
         let Some(state) = self.task(task) else { return false };
-        let works = |(id, run): &(WorkerId, RunId)| {
+        let is_running = |(id, run): &(WorkerId, RunId)| {
             let worker = self.workers.get(id);
-            let copy =
+            let attempt =
                 worker.and_then(|worker| Some((worker, worker.attempts.get(&(task, *run))?)));
-            copy.is_some_and(|(worker, copy)| self.doubt(now, worker, copy).is_none())
+            attempt.is_some_and(|(worker, attempt)| {
+                self.why_not_running(now, worker, attempt).is_none()
+            })
         };
-        let mut others = state.attempts.iter().filter(|(id, run)| (id, *run) != but);
-        !state.done && !others.any(works)
+        let mut others = state.attempts.iter().filter(|(id, run)| (id, *run) != except);
+        !state.done && !others.any(is_running)
     }
 
-    /// Since when a task in a queue hasn't run.
+    /// Since when a queued task hasn't run.
     pub(in crate::scheduler) fn down_since(&self, task: TaskId) -> Option<Time> {
         let StepId { workflow, occurrence, step } = task.step_id();
         let occurrence = self.workflows.get(&workflow)?.occurrences.get(&occurrence)?;
         let step = occurrence.steps.get(usize::from(step))?;
-        // What has never run has waited since the queue was filled.
+        // A task that has never run has waited since its step was queued.
         Some(step.tasks.get(task.index as usize)?.down_since.unwrap_or(step.since))
     }
 
-    /// Why a run isn't known to be at work, and since when.
-    pub(super) fn doubt_of(
+    /// Returns why a run isn't known to be running, and since when.
+    pub(super) fn not_running_reason(
         &self,
         now: Time,
         id: &WorkerId,
@@ -122,12 +131,12 @@
         run: RunId,
     ) -> Option<(Reason, Time)> {
         let worker = self.workers.get(id)?;
-        let doubt = self.doubt(now, worker, worker.attempts.get(&(task, run))?)?;
-        Some((doubt.reason, doubt.since))
+        let not_running = self.why_not_running(now, worker, worker.attempts.get(&(task, run))?)?;
+        Some((not_running.reason, not_running.since))
     }
 
-    /// Notes since when a task is down whose run is over. A task that was down already stays so since
-    /// before.
+    /// Sets since when a task whose run is over is down; an earlier time is kept if it was already
+    /// down.
     pub(super) fn note_down(&mut self, task: TaskId, since: Time) {
         if let Some(state) = self.task_mut(task)
             && (!state.attempts.is_empty() || state.down_since.is_none())
@@ -136,7 +145,7 @@
         }
     }
 
-    /// Notes that a task whose run never began is down since before; `since` if that isn't known.
+    /// Marks a task whose run never began as down; `since` only applies if it wasn't already.
     pub(super) fn note_still_down(&mut self, task: TaskId, since: Time) {
         if let Some(state) = self.task_mut(task) {
             state.down_since.get_or_insert(since);
--- a/crates/workflow/src/scheduler/waits/mod.rs
+++ b/crates/workflow/src/scheduler/waits/mod.rs
@@ -1,9 +1,7 @@
-//! Why tasks aren't running, for log lines and the state dump.
+//! Reports why tasks aren't running, in log lines and the state dump.
 //!
-//! A lasting task's user sees it gone for seconds and asks why, long after the leader that knew is
-//! another one. Production writes no line for each start and end of all tasks; what is written here is
-//! bounded each second, whatever waits: each start and end of a lasting task's run, a line for a step
-//! that has waited for long, and a line for work that a new leader holds back.
+//! The lines are bounded per second: one for each start and end of a run of a long-running task,
+//! one for each step that has waited for long, and one for tasks that a new leader holds back.
 
 mod budget;
 mod held;
@@ -14,7 +12,7 @@
 mod term;
 
 use {
-    self::{held::Held, report::Reports, runs::RunLines, term::TermHold},
+    self::{held::HeldTasks, report::Reports, runs::RunLines, term::InheritedHold},
     super::{Ready, Scheduler},
     crate::{StepId, WorkerId},
     egretlb_types::Time,
@@ -26,36 +24,35 @@
 pub use self::reason::Reason;
 pub(super) use self::runs::{Stop, StopReason};
 
-/// The most tasks and workers that are named of a step. Those left out are counted; eight indices and
-/// eight workers' ids keep a line below 500 bytes.
-const MOST_NAMED: usize = 8;
+/// Maximum number of tasks and of workers named per step; keeps a line below 500 bytes.
+const MAX_NAMED: usize = 8;
 
-/// The most workers with room that are named: any of them shows what keeps the task off.
-const MOST_PLACES: usize = 3;
+/// Maximum number of workers with free capacity named per step.
+const MAX_NAMED_WITH_CAPACITY: usize = 3;
 
-/// A reason with what is known of it.
+/// A reason and its details.
 #[derive(Clone, Debug)]
 struct Cause {
     reason: Reason,
-    /// The workers that it is about, at most [`MOST_NAMED`].
+    /// The workers it concerns, at most [`MAX_NAMED`].
     workers: SmallVec<[WorkerId; 1]>,
-    /// When it ends at the latest, where that is known.
+    /// Latest time at which it ends, if known.
     until: Option<Time>,
-    /// The workers of its service, where room is what it waits for.
+    /// Workers of the service, if the wait is for capacity.
     service_workers: Option<ServiceWorkers>,
 }
 
-/// The workers of a service.
+/// Counts of the workers of a service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ServiceWorkers {
-    /// All that are known.
+    /// All known workers.
     pub all: usize,
-    /// Those that take work: heard lately, well and not about to leave.
+    /// Workers that accept tasks: responsive, healthy and not draining.
     pub eligible: usize,
 }
 
 impl Cause {
-    fn plain(reason: Reason) -> Cause {
+    fn from_reason(reason: Reason) -> Cause {
         Cause { reason, workers: SmallVec::new(), until: None, service_workers: None }
     }
 }
@@ -65,53 +62,60 @@
 pub struct WaitingStep {
     /// The step.
     pub step: StepId,
-    /// How many of its tasks wait.
+    /// Number of its tasks that wait.
     pub tasks: usize,
-    /// Some of them, by index.
+    /// Indices of some of them.
     pub indices: Vec<u32>,
-    /// Whether they run until their workflow is cancelled.
+    /// Whether they are long-running.
     pub long_running: bool,
     /// How long the first of them hasn't run, as far as this leader knows.
     pub waited: Duration,
-    /// Why; of tasks in a queue, why the next one isn't running.
+    /// Why they wait; for queued tasks, why the next one isn't running.
     pub reason: Reason,
-    /// Some of the workers that the reason is about.
+    /// Some of the workers that the reason concerns.
     pub workers: Vec<WorkerId>,
-    /// How long the reason lasts at most, where that is known.
+    /// Maximum remaining duration of the reason, if known.
     pub until: Option<Duration>,
-    /// The workers of its service, where room is what it waits for.
+    /// Workers of the service, if the wait is for capacity.
     pub service_workers: Option<ServiceWorkers>,
 }
 
-/// What was told of waits, and how many lines that took lately.
+/// State of the log lines on waits.
 #[derive(Debug, Default)]
 pub(super) struct Waits {
     reports: Reports,
     runs: RunLines,
-    term: TermHold,
+    term: InheritedHold,
 }
 
 impl Scheduler {
-    /// Steps with tasks that wait, at most `limit`: those in the queue, in its order, then those whose
-    /// tasks are held by a run.
+    /// Returns steps with waiting tasks, at most `limit`: queued ones in the order of the queue,
+    /// then those whose tasks are held by a run.
     pub fn waiting_steps(&mut self, now: Time, limit: usize) -> Vec<WaitingStep> {
         let keys: Vec<Ready> = self.ready.iter().take(limit).copied().collect();
         let mut rows: Vec<WaitingStep> =
             keys.into_iter().filter_map(|key| self.queued_row(now, key)).collect();
         let held = self.held_steps(now);
-        let room = limit.saturating_sub(rows.len());
-        rows.extend(held.into_iter().take(room).map(|(key, held)| self.held_row(now, key, held)));
+        let remaining = limit.saturating_sub(rows.len());
+        rows.extend(
+            held.into_iter().take(remaining).map(|(key, held)| self.held_row(now, key, held)),
+        );
         rows
     }
 
-    /// Writes the lines on waits that are due.
+    /// Writes the due log lines on waits.
     pub(super) fn log_waits(&mut self, now: Time) {
-        self.tell_term_hold(now);
-        self.tell_long_waits(now);
+        self.log_inherited_hold(now);
+        self.log_long_waits(now);
         self.waits.runs.log_suppressed(now);
     }
 
-    fn held_row(&self, now: Time, (step, reason): (StepId, Reason), held: Held) -> WaitingStep {
+    fn held_row(
+        &self,
+        now: Time,
+        (step, reason): (StepId, Reason),
+        held: HeldTasks,
+    ) -> WaitingStep {
         let task = crate::TaskId {
             workflow: step.workflow,
             occurrence: step.occurrence,
@@ -133,7 +137,7 @@
 }
 
 /// Steps with held tasks, by reason.
-type HeldSteps = BTreeMap<(StepId, Reason), Held>;
+type HeldSteps = BTreeMap<(StepId, Reason), HeldTasks>;
 
 /// Ids joined by commas, for a log line.
 struct Joined<'a, T>(&'a [T]);
--- a/crates/workflow/src/scheduler/waits/queued.rs
+++ b/crates/workflow/src/scheduler/waits/queued.rs
@@ -1,71 +1,72 @@
-//! Tasks in a queue, and why the first of a step isn't running.
+//! Queued tasks, and why the first of a step isn't running.
 
 use {
     super::{
         super::{Ready, Requirements, Scheduler, Worker, placement::has_capacity},
-        Cause, MOST_NAMED, MOST_PLACES, Reason, ServiceWorkers, WaitingStep,
+        Cause, MAX_NAMED, MAX_NAMED_WITH_CAPACITY, Reason, ServiceWorkers, WaitingStep,
     },
     crate::{Step, StepId, TaskId, WorkerId},
     egretlb_types::Time,
     smallvec::SmallVec,
 };
 
-/// How far a worker gets as the place of a task. What stops the one that gets furthest is the reason.
+/// How far a worker gets through the checks for a task, in their order. The furthest stage of all
+/// workers gives the reason.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Stage {
+enum CheckStage {
     NoWorkers,
     NoLabel,
-    NoRoom,
-    Barred,
+    NoCapacity,
+    BackingOff,
     AntiAffinity,
     FailedThere,
-    Upkeep,
+    Maintenance,
     NoTicket,
-    ServingTasks,
-    Company,
-    Takes,
+    Interference,
+    BetterWorkerExpected,
+    Accepts,
 }
 
-impl Stage {
+impl CheckStage {
     fn reason(self) -> Reason {
         match self {
-            Stage::NoWorkers => Reason::NoWorkers,
-            Stage::NoLabel => Reason::NoLabel,
-            Stage::NoRoom => Reason::NoRoom,
-            Stage::Barred => Reason::Barred,
-            Stage::AntiAffinity => Reason::AntiAffinity,
-            Stage::FailedThere => Reason::FailedThere,
-            Stage::Upkeep => Reason::Upkeep,
-            Stage::NoTicket => Reason::NoTicket,
-            Stage::ServingTasks => Reason::ServingTasks,
-            Stage::Company => Reason::Company,
-            Stage::Takes => Reason::Next,
+            CheckStage::NoWorkers => Reason::NoWorkers,
+            CheckStage::NoLabel => Reason::NoLabel,
+            CheckStage::NoCapacity => Reason::NoRoom,
+            CheckStage::BackingOff => Reason::Barred,
+            CheckStage::AntiAffinity => Reason::AntiAffinity,
+            CheckStage::FailedThere => Reason::FailedThere,
+            CheckStage::Maintenance => Reason::Upkeep,
+            CheckStage::NoTicket => Reason::NoTicket,
+            CheckStage::Interference => Reason::ServingTasks,
+            CheckStage::BetterWorkerExpected => Reason::Company,
+            CheckStage::Accepts => Reason::Next,
         }
     }
 
-    /// Whether the workers tell more than that there are none or that they are full.
+    /// Whether naming the workers helps: not if there are none or all are full.
     fn names_workers(self) -> bool {
-        self >= Stage::Barred
+        self >= CheckStage::BackingOff
     }
 }
 
-/// A task and what it needs.
+/// A task and its requirements.
 #[derive(Clone, Copy)]
-struct Wanted<'a> {
+struct WaitingTask<'a> {
     task: TaskId,
     need: Requirements<'a>,
-    /// The same without regard to its step's other tasks.
-    alone: Requirements<'a>,
+    /// The requirements without anti-affinity to the step's other tasks.
+    without_anti_affinity: Requirements<'a>,
 }
 
 impl Scheduler {
-    /// The waiting tasks of a step in the queue.
+    /// Describes the queued tasks of a step.
     pub(super) fn queued_row(&mut self, now: Time, key: Ready) -> Option<WaitingStep> {
         self.front_task(key)?;
         let Cause { reason, workers, until, service_workers } = self.cause(now, key)?;
         let queue = self.queue_of(key)?;
         let tasks = queue.len();
-        let mut indices: Vec<u32> = queue.iter().copied().take(MOST_NAMED).collect();
+        let mut indices: Vec<u32> = queue.iter().copied().take(MAX_NAMED).collect();
         indices.sort_unstable();
         let Ready { workflow, occurrence, step, long_running, .. } = key;
         let step = StepId { workflow, occurrence, step };
@@ -82,17 +83,17 @@
         })
     }
 
-    /// Since when the first of the step's waiting tasks hasn't run.
+    /// Since when the longest-waiting queued task of the step hasn't run.
     pub(super) fn queued_since(&mut self, key: Ready) -> Option<Time> {
         let queue: SmallVec<[u32; 16]> = self.queue_of(key)?.iter().copied().collect();
         queue.into_iter().filter_map(|index| self.down_since(key.task(index))).min()
     }
 
     fn cause(&mut self, now: Time, key: Ready) -> Option<Cause> {
-        let flow = self.workflows.get(&key.workflow)?;
-        let step = flow.submission.workflow.steps.get(usize::from(key.step))?.clone();
-        if flow.inherited && !self.unreconciled.is_empty() {
-            let workers = self.unreconciled.keys().take(MOST_NAMED).cloned().collect();
+        let active = self.workflows.get(&key.workflow)?;
+        let step = active.submission.workflow.steps.get(usize::from(key.step))?.clone();
+        if active.inherited && !self.unreconciled.is_empty() {
+            let workers = self.unreconciled.keys().take(MAX_NAMED).cloned().collect();
             let until = self.unreconciled.values().copied().max();
             return Some(Cause {
                 reason: Reason::SurveyUnderWay,
@@ -102,43 +103,47 @@
             });
         }
         if self.lagging {
-            return Some(Cause::plain(Reason::RecordsReadLate));
+            return Some(Cause::from_reason(Reason::RecordsReadLate));
         }
         if !self.may_start() {
-            return Some(Cause::plain(Reason::StartsUnderWay));
+            return Some(Cause::from_reason(Reason::StartsUnderWay));
         }
         if step.long_running && self.defers_to_batch(now, key) {
-            return Some(Cause::plain(Reason::GivesWay));
+            return Some(Cause::from_reason(Reason::GivesWay));
         }
         let index = *self.queue_of(key)?.front()?;
         if self.was_started(key.task(index)) && !self.may_restart(now) {
-            return Some(Cause::plain(Reason::Unproven));
+            return Some(Cause::from_reason(Reason::Unproven));
         }
         if self.is_suspect(key.task(index)) {
-            return Some(Cause::plain(Reason::Trial));
+            return Some(Cause::from_reason(Reason::Trial));
         }
-        let cause = self.best_place(now, key.task(index), &step)?;
+        let cause = self.furthest_stage(now, key.task(index), &step)?;
         if step.gang && cause.reason == Reason::Next {
-            return Some(Cause::plain(Reason::Gang));
+            return Some(Cause::from_reason(Reason::Gang));
         }
         Some(cause)
     }
 
-    /// What stops the workers that would suit best.
-    fn best_place(&mut self, now: Time, task: TaskId, step: &Step) -> Option<Cause> {
+    /// Returns what excludes the most suitable workers.
+    fn furthest_stage(&mut self, now: Time, task: TaskId, step: &Step) -> Option<Cause> {
         let need = Requirements::new(step, &mut self.colocation);
-        let alone = Step { per_worker: 0, ..step.clone() };
-        let wanted = Wanted { task, need, alone: Requirements { step: &alone, ..need } };
-        let mut best = Stage::NoWorkers;
+        let without_anti_affinity = Step { per_worker: 0, ..step.clone() };
+        let waiting = WaitingTask {
+            task,
+            need,
+            without_anti_affinity: Requirements { step: &without_anti_affinity, ..need },
+        };
+        let mut best = CheckStage::NoWorkers;
         let mut workers: SmallVec<[WorkerId; 1]> = SmallVec::new();
         let mut until: Option<Time> = None;
         let service = self.workflows.get(&task.workflow)?.submission.service.clone();
-        let mut fleet = ServiceWorkers::default();
+        let mut counts = ServiceWorkers::default();
         let of_service = |(_, worker): &(&WorkerId, &Worker)| worker.info.service == service;
         for (id, worker) in self.workers.iter().filter(of_service) {
-            fleet.all += 1;
-            fleet.eligible += usize::from(worker.is_eligible(now, &self.limits));
-            let Some(stage) = self.stage(now, &wanted, id, worker) else { continue };
+            counts.all += 1;
+            counts.eligible += usize::from(worker.is_eligible(now, &self.limits));
+            let Some(stage) = self.stage(now, &waiting, id, worker) else { continue };
             if stage > best {
                 best = stage;
                 workers.clear();
@@ -147,55 +152,57 @@
             if stage != best || !stage.names_workers() {
                 continue;
             }
-            if workers.len() < MOST_PLACES {
+            if workers.len() < MAX_NAMED_WITH_CAPACITY {
                 workers.push(id.clone());
             }
-            if stage == Stage::Barred {
-                // The first that takes work again ends the wait.
-                let bar = worker.excluded_until();
-                until = Some(until.map_or(bar, |known| known.min(bar)));
+            if stage == CheckStage::BackingOff {
+                // The first worker that accepts tasks again ends the wait.
+                let excluded_until = worker.excluded_until();
+                until = Some(until.map_or(excluded_until, |earliest| earliest.min(excluded_until)));
             }
         }
-        Some(Cause { reason: best.reason(), workers, until, service_workers: Some(fleet) })
+        Some(Cause { reason: best.reason(), workers, until, service_workers: Some(counts) })
     }
 
-    /// How far a worker of the service gets; none if it takes no work for now, whatever it is.
+    /// Returns how far a worker gets; `None` if it accepts no tasks at all.
     fn stage(
         &self,
         now: Time,
-        wanted: &Wanted<'_>,
+        waiting: &WaitingTask<'_>,
         id: &WorkerId,
         worker: &Worker,
-    ) -> Option<Stage> {
-        let Wanted { task, need, alone } = *wanted;
+    ) -> Option<CheckStage> {
+        let WaitingTask { task, need, without_anti_affinity } = *waiting;
         if !worker.is_eligible(now, &self.limits) {
             return None;
         }
         if need.step.label.as_ref().is_some_and(|label| !worker.info.has_label(label)) {
-            return Some(Stage::NoLabel);
+            return Some(CheckStage::NoLabel);
         }
-        if !has_capacity(worker, task, &alone) {
-            return Some(Stage::NoRoom);
+        if !has_capacity(worker, task, &without_anti_affinity) {
+            return Some(CheckStage::NoCapacity);
         }
         let state = self.task(task)?;
         Some(match () {
-            () if now < worker.excluded_until() => Stage::Barred,
-            () if !has_capacity(worker, task, &need) => Stage::AntiAffinity,
+            () if now < worker.excluded_until() => CheckStage::BackingOff,
+            () if !has_capacity(worker, task, &need) => CheckStage::AntiAffinity,
             () if state.avoid.as_ref().is_some_and(|avoid| avoid.worker == *id) => {
-                Stage::FailedThere
+                CheckStage::FailedThere
             }
-            () if self.is_in_maintenance(id) => Stage::Upkeep,
-            () if !self.is_allowed(now, task, id) => Stage::NoTicket,
+            () if self.is_in_maintenance(id) => CheckStage::Maintenance,
+            () if !self.is_allowed(now, task, id) => CheckStage::NoTicket,
             () if need.step.best_effort
                 && self
                     .colocation
                     .added_interference(&worker.neighbours, need.best_effort_demand())
                     .is_none() =>
             {
-                Stage::ServingTasks
+                CheckStage::Interference
             }
-            () if self.waits_for_better_worker(now, worker, task, &need) => Stage::Company,
-            () => Stage::Takes,
+            () if self.waits_for_better_worker(now, worker, task, &need) => {
+                CheckStage::BetterWorkerExpected
+            }
+            () => CheckStage::Accepts,
         })
     }
 }
--- a/crates/workflow/src/scheduler/waits/reason.rs
+++ b/crates/workflow/src/scheduler/waits/reason.rs
@@ -1,4 +1,4 @@
-//! What a task may wait for.
+//! Reasons why a task waits.
 
 use {serde::Serialize, std::fmt};
 
@@ -8,47 +8,50 @@
 pub enum Reason {
     /// This leader is new, and some workers that may still run its tasks haven't answered.
     SurveyUnderWay,
-    /// The records are read too late to start anything.
+    /// Reading of the records lags too much to start anything.
     RecordsReadLate,
-    /// It ran before, and none of this leader's appends was acknowledged lately: there may be another leader.
+    /// It ran before, and no append of this leader was acknowledged recently: there may be another
+    /// leader.
     Unproven,
-    /// As many starts as allowed are under way.
+    /// The maximum number of starts is under way.
     StartsUnderWay,
-    /// No worker of its service takes work.
+    /// No worker of its service accepts tasks.
     NoWorkers,
-    /// No worker that takes work has the label that it needs.
+    /// No worker that accepts tasks has the label it requires.
     NoLabel,
-    /// No worker has room for it.
+    /// No worker has enough free capacity.
     NoRoom,
-    /// Workers have room, but failed or turned away what they got and get nothing for now.
+    /// Workers that fit it are in backoff after failed or rejected starts.
     Barred,
-    /// Workers have room, but hold as many tasks of its step as they may.
+    /// Workers that fit it run the maximum number of tasks of its step.
     AntiAffinity,
-    /// Only the worker where it failed last has room.
+    /// Only the worker where it last failed fits it.
     FailedThere,
-    /// Workers have room, but their VMs are about to go down for upkeep.
+    /// Workers that fit it are about to go down for maintenance.
     Upkeep,
-    /// Some worker has room, but none that its policy is known to allow.
+    /// No worker that fits it is known to be allowed by its policy.
     NoTicket,
-    /// Workers have room, but the serving tasks there can't bear it.
+    /// Latency-critical tasks on the workers that fit it don't tolerate it.
     ServingTasks,
-    /// Workers have room, but it would keep many fillers away from them, and waits a little for a better place.
+    /// On the workers that fit it, it would exclude many best-effort tasks; it waits briefly for a
+    /// better worker.
     Company,
-    /// It leaves the room to tasks that end soon.
+    /// It leaves free capacity to batch tasks.
     GivesWay,
-    /// Workers were lost under it, so it is started where nothing else has just begun.
+    /// Workers were lost under it, so it needs an isolated start, where nothing else has just
+    /// begun.
     Trial,
-    /// Members of its gang haven't ended yet, or no worker or rack has room for all of them.
+    /// Members of its gang haven't ended yet, or no worker or rack fits the whole gang.
     Gang,
-    /// Nothing holds it up: it starts next.
+    /// Nothing prevents its start: it is next.
     Next,
-    /// A start was sent and isn't answered yet.
+    /// A start is sent but not answered yet.
     BeingStarted,
-    /// A start got no answer: it may run.
+    /// A start got no answer: it may be running.
     StartInDoubt,
     /// A run of it is being stopped.
     BeingStopped,
-    /// It may still run at a worker that doesn't answer.
+    /// It may still run at an unresponsive worker.
     SilentWorker,
 }
 
--- a/crates/workflow/src/scheduler/waits/report.rs
+++ b/crates/workflow/src/scheduler/waits/report.rs
@@ -1,4 +1,4 @@
-//! Lines on steps whose tasks have waited for long.
+//! Log lines on steps whose tasks have waited for long.
 
 use {
     super::{
@@ -14,98 +14,95 @@
     },
 };
 
-/// How often it is looked for long waits: one pass over what waits and what may run. It took 0.2 to 1.1 ms with
-/// 350 workers, 2,800 lasting tasks and 100 steps that wait for room (release build, one core).
-const CHECK_EVERY: Duration = Duration::from_secs(1);
+/// Interval between scans of all waiting tasks and all attempts for long waits.
+const SCAN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A wait is told once it has lasted so long: below it are restarts that go well (a stop takes 0.4 s, a
-/// change of the leader 1.6 s).
-const LONG_WAIT: Duration = Duration::from_secs(2);
+/// Minimum wait that is logged; normal restarts take less (a stop 0.4 s, a change of leader 1.6 s).
+const MIN_LOGGED_WAIT: Duration = Duration::from_secs(2);
 
-/// A wait is told again after this; its reason may have changed.
-const TELL_AGAIN: Duration = Duration::from_secs(4);
+/// Interval after which a wait is logged again; its reason may have changed.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(4);
 
-/// The most steps of which a line is written in one pass: 3 KB a second at 300 bytes a line.
-const LINES_PER_PASS: usize = 10;
+/// Maximum number of lines per scan.
+const MAX_LINES_PER_SCAN: usize = 10;
 
-/// How often it is told how many waits there are without a line.
-const UNTOLD_EVERY: Duration = Duration::from_secs(5);
+/// Interval between lines on waits without a line.
+const SKIPPED_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The waiting tasks of a step: those in its queue, or those that are held for a reason.
+/// The waiting tasks of a step: its queued ones (`None`), or those held for a reason.
 type Group = (StepId, Option<Reason>);
 
 #[derive(Debug, Default)]
 pub(super) struct Reports {
-    checked_at: Time,
-    told: BTreeMap<StepId, Told>,
-    untold_at: Time,
+    scanned_at: Time,
+    logged: BTreeMap<StepId, LoggedWaits>,
+    skipped_logged_at: Time,
 }
 
-/// What was told of a step whose tasks still wait.
+/// The logged waits of a step whose tasks still wait.
 #[derive(Debug)]
-struct Told {
+struct LoggedWaits {
     since: Time,
-    /// When each of its groups was last told.
+    /// When each of its groups was last logged.
     groups: SmallVec<[(Option<Reason>, Time); 2]>,
 }
 
-/// A group of which a line is due.
+/// A group whose line is due.
 struct Due {
     group: Group,
-    /// Its place in the queue; none if its tasks are held.
+    /// Its key in the queue; `None` if its tasks are held.
     key: Option<Ready>,
-    told_at: Option<Time>,
-    lasting: bool,
+    logged_at: Option<Time>,
+    long_running: bool,
     since: Time,
 }
 
 impl Reports {
-    fn told_at(&self, (step, reason): Group) -> Option<Time> {
-        let groups = &self.told.get(&step)?.groups;
-        groups.iter().find(|(known, _)| *known == reason).map(|(_, at)| *at)
+    fn logged_at(&self, (step, reason): Group) -> Option<Time> {
+        let groups = &self.logged.get(&step)?.groups;
+        groups.iter().find(|(logged_reason, _)| *logged_reason == reason).map(|(_, at)| *at)
     }
 
     fn is_due(&self, now: Time, group: Group, since: Time) -> bool {
-        let again = self.told_at(group).is_none_or(|at| now.since(at) >= TELL_AGAIN);
-        again && now.since(since) >= LONG_WAIT
+        let not_recent = self.logged_at(group).is_none_or(|at| now.since(at) >= REPEAT_INTERVAL);
+        not_recent && now.since(since) >= MIN_LOGGED_WAIT
     }
 
-    /// Tells how many steps wait without a line for now. Their lines are put off, not lost: those told least
-    /// lately come first.
-    fn tell_untold(&mut self, now: Time, steps: usize) {
-        if steps > 0 && now.since(self.untold_at) >= UNTOLD_EVERY {
-            self.untold_at = now;
+    /// Logs how many waiting steps got no line in this scan; their lines come in a later one.
+    fn log_skipped(&mut self, now: Time, steps: usize) {
+        if steps > 0 && now.since(self.skipped_logged_at) >= SKIPPED_INTERVAL {
+            self.skipped_logged_at = now;
             log::info!(steps; "waits_untold");
         }
     }
 
     fn note(&mut self, now: Time, (step, reason): Group, since: Time) {
-        let told = self.told.entry(step);
-        let told = told.or_insert_with(|| Told { since, groups: SmallVec::new() });
-        told.since = told.since.min(since);
-        match told.groups.iter_mut().find(|(known, _)| *known == reason) {
+        let logged = self.logged.entry(step);
+        let logged = logged.or_insert_with(|| LoggedWaits { since, groups: SmallVec::new() });
+        logged.since = logged.since.min(since);
+        match logged.groups.iter_mut().find(|(logged_reason, _)| *logged_reason == reason) {
             Some((_, at)) => *at = now,
-            None => told.groups.push((reason, now)),
+            None => logged.groups.push((reason, now)),
         }
     }
 
-    /// Tells of steps that were told and wait no more: a line for each, as there was one at least on its wait.
-    fn tell_over(&mut self, now: Time, waiting: &BTreeSet<StepId>) {
-        let over: Vec<StepId> =
-            self.told.keys().filter(|step| !waiting.contains(step)).copied().collect();
-        for step in over {
-            let Some(told) = self.told.remove(&step) else { continue };
-            log::info!(step:%, waited_ms = ms(now.since(told.since)); "tasks_wait_over");
+    /// Logs the end of each wait that was logged.
+    fn log_ended_waits(&mut self, now: Time, waiting: &BTreeSet<StepId>) {
+        let ended: Vec<StepId> =
+            self.logged.keys().filter(|step| !waiting.contains(step)).copied().collect();
+        for step in ended {
+            let Some(logged) = self.logged.remove(&step) else { continue };
+            log::info!(step:%, waited_ms = ms(now.since(logged.since)); "tasks_wait_over");
         }
     }
 }
 
 impl Scheduler {
-    pub(super) fn tell_long_waits(&mut self, now: Time) {
-        if now.since(self.waits.reports.checked_at) < CHECK_EVERY {
+    pub(super) fn log_long_waits(&mut self, now: Time) {
+        if now.since(self.waits.reports.scanned_at) < SCAN_INTERVAL {
             return;
         }
-        self.waits.reports.checked_at = now;
+        self.waits.reports.scanned_at = now;
         let held = self.held_steps(now);
         let mut waiting: BTreeSet<StepId> = held.keys().map(|(step, _)| *step).collect();
         let mut due: Vec<Due> = Vec::new();
@@ -113,31 +110,37 @@
             let step = ready.step_id();
             waiting.insert(step);
             let since = now - self.step_wait(now, *ready);
-            let (group, lasting) = ((step, None), ready.long_running);
+            let (group, long_running) = ((step, None), ready.long_running);
             if self.waits.reports.is_due(now, group, since) {
-                let told_at = self.waits.reports.told_at(group);
-                due.push(Due { group, key: Some(*ready), told_at, lasting, since });
+                let logged_at = self.waits.reports.logged_at(group);
+                due.push(Due { group, key: Some(*ready), logged_at, long_running, since });
             }
         }
         for ((step, reason), held) in &held {
             let group = (*step, Some(*reason));
             if self.waits.reports.is_due(now, group, held.since) {
-                let told_at = self.waits.reports.told_at(group);
-                due.push(Due { group, key: None, told_at, lasting: true, since: held.since });
+                let logged_at = self.waits.reports.logged_at(group);
+                due.push(Due {
+                    group,
+                    key: None,
+                    logged_at,
+                    long_running: true,
+                    since: held.since,
+                });
             }
         }
-        self.waits.reports.tell_over(now, &waiting);
-        // Those that were told least lately come first, so that each comes in turn in a flood.
-        due.sort_by_key(|due| (due.told_at, !due.lasting, due.since));
+        self.waits.reports.log_ended_waits(now, &waiting);
+        // The least recently logged come first, so that each gets its turn.
+        due.sort_by_key(|due| (due.logged_at, !due.long_running, due.since));
         let mut written = 0;
-        let mut untold: BTreeSet<StepId> = BTreeSet::new();
+        let mut skipped: BTreeSet<StepId> = BTreeSet::new();
         for Due { group, key, .. } in due {
-            if written == LINES_PER_PASS {
-                untold.insert(group.0);
+            if written == MAX_LINES_PER_SCAN {
+                skipped.insert(group.0);
                 continue;
             }
             let row = match (key, group) {
-                (Some(key), _) => self.row_of_queue(now, key),
+                (Some(key), _) => self.long_queued_row(now, key),
                 (None, (step, reason)) => reason.and_then(|reason| {
                     let held = held.get(&(step, reason))?.clone();
                     Some(self.held_row(now, (step, reason), held))
@@ -146,29 +149,30 @@
             let Some(row) = row else { continue };
             written += 1;
             self.waits.reports.note(now, group, now - row.waited);
-            tell(&row);
+            log_row(&row);
         }
-        self.waits.reports.tell_untold(now, untold.len());
+        self.waits.reports.log_skipped(now, skipped.len());
     }
 
-    /// None if no task of the queue has waited for long: the queue may only never have been empty for long.
-    fn row_of_queue(&mut self, now: Time, key: Ready) -> Option<WaitingStep> {
-        // Asked first, since the reason takes a look at all workers.
+    /// Returns `None` if no queued task has waited for long: the queue as a whole may be older than
+    /// its tasks.
+    fn long_queued_row(&mut self, now: Time, key: Ready) -> Option<WaitingStep> {
+        // Checked first, since finding the reason scans all workers.
         let since = self.queued_since(key)?;
-        if now.since(since) < LONG_WAIT {
+        if now.since(since) < MIN_LOGGED_WAIT {
             return None;
         }
         self.queued_row(now, key)
     }
 }
 
-fn tell(row: &WaitingStep) {
+fn log_row(row: &WaitingStep) {
     let WaitingStep {
         step, tasks, indices, waited, reason, workers, until, service_workers, ..
     } = row;
     let (indices, workers) = (Joined(indices), Joined(workers));
     let waited_ms = ms(*waited);
-    // Pairs that say nothing are left out: there are many lines.
+    // Keys without a value are omitted to keep the lines short.
     match (until, service_workers) {
         (Some(until), _) => log::info!(
             step:%, tasks, indices:%, waited_ms, reason:%, workers:%, at_most_ms = ms(*until);
--- a/crates/workflow/src/scheduler/waits/runs.rs
+++ b/crates/workflow/src/scheduler/waits/runs.rs
@@ -1,8 +1,7 @@
-//! Lines on the runs of lasting tasks.
+//! Log lines on the runs of long-running tasks.
 //!
-//! A lasting task is missed while it doesn't run, for as long as its workflow isn't cancelled. Few of
-//! them start or end in a second, so each does in a line; of a flood, as of a wide service that is
-//! accepted or cancelled, only the first are written.
+//! Long-running tasks start and end rarely, so each start and end gets a line; of a burst, such as
+//! a large service that is accepted or cancelled, only the first are logged.
 
 use {
     super::{super::Scheduler, Reason, budget::LineBudget, ms},
@@ -11,40 +10,40 @@
     std::fmt,
 };
 
-/// The most lines at once: 80 KB at 200 bytes a line, a fifth of what waits to be written at most. An outage
-/// of the store ends all runs at once, some 330 on a deployment of 50 workers.
-const BURST: u32 = 400;
+/// Maximum lines in a burst: 80 KB at 200 bytes a line. A store outage ends all runs at once, some
+/// 330 on a deployment of 50 workers.
+const MAX_BURST_LINES: u32 = 400;
 
-/// The most lines each second in the long run: 4 KB. A worker that is lost takes some ten lasting tasks with
-/// it.
+/// Sustained lines per second, some 4 KB. A lost worker ends some ten long-running tasks.
 const LINES_PER_SECOND: u32 = 20;
 
-/// What first starts leave to ends and later starts, which are missed more: a wide service that begins must
-/// not hide the end of another.
-const SPARE: u32 = BURST / 2;
+/// Lines that first starts leave to ends and restarts, so that a new large service doesn't hide the
+/// end of another.
+const RESERVED_LINES: u32 = MAX_BURST_LINES / 2;
 
 /// Why a run was stopped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(in crate::scheduler) enum StopReason {
-    /// It made room for tasks that end soon.
+    /// Its capacity was needed for batch tasks.
     Preempted,
-    /// Its worker is about to leave.
+    /// Its worker is draining.
     Evacuated,
-    /// Its worker's VM goes down for upkeep.
+    /// Its worker's VM goes down for maintenance.
     Maintenance,
-    /// It pressed on a serving task.
+    /// It interfered with a latency-critical task over its target.
     Evicted,
-    /// It was held back beside a serving task for so long that it is done sooner elsewhere.
+    /// It was throttled beside a latency-critical task for so long that another worker finishes it
+    /// sooner.
     Throttled,
-    /// It stands better elsewhere, beside serving tasks on which the same fillers press.
+    /// It was moved to a better colocation group.
     Regrouped,
     /// Its worker is slow.
     Slow,
-    /// Its start got no answer and isn't listed.
+    /// Its start is unconfirmed, and the worker doesn't list it.
     StartUnconfirmed,
-    /// Another run of its task is done.
+    /// Another attempt of its task is done.
     OtherAttemptDone,
-    /// It was found, and another run of its task counts.
+    /// It was found at a worker, but another attempt of its task counts.
     Duplicate,
     /// Its workflow was cancelled or has failed.
     WorkflowEnded,
@@ -68,37 +67,37 @@
     }
 }
 
-/// A stop that was ordered.
+/// A stop command and its reason.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::scheduler) struct Stop {
     pub(in crate::scheduler) reason: StopReason,
-    /// When it was first ordered.
+    /// When it was first sent.
     pub(in crate::scheduler) since: Time,
 }
 
-/// How a run is over.
+/// How a run ended.
 #[derive(Clone, Copy, Debug)]
-enum Over {
-    /// Its worker lists its end.
+enum RunEnd {
+    /// Its worker listed its end.
     Listed(EndKind),
-    /// Its start was turned away.
+    /// Its start was rejected.
     NeverBegan,
-    /// It can't be under way any more, and nothing tells its end.
+    /// It can't be running any more, and no worker listed its end.
     Lost,
 }
 
-impl fmt::Display for Over {
+impl fmt::Display for RunEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Over::Listed(EndKind::Done) => "done",
-            Over::Listed(EndKind::Failed) => "failed",
-            Over::Listed(EndKind::Stopped) => "stopped",
-            Over::Listed(EndKind::Lapsed) => "lapsed",
-            Over::Listed(EndKind::GangBroken) => "broken",
-            Over::Listed(EndKind::GangTimedOut) => "alone",
-            Over::Listed(EndKind::Unknown) => "unknown",
-            Over::NeverBegan => "rejected",
-            Over::Lost => "lost",
+            RunEnd::Listed(EndKind::Done) => "done",
+            RunEnd::Listed(EndKind::Failed) => "failed",
+            RunEnd::Listed(EndKind::Stopped) => "stopped",
+            RunEnd::Listed(EndKind::Lapsed) => "lapsed",
+            RunEnd::Listed(EndKind::GangBroken) => "broken",
+            RunEnd::Listed(EndKind::GangTimedOut) => "alone",
+            RunEnd::Listed(EndKind::Unknown) => "unknown",
+            RunEnd::NeverBegan => "rejected",
+            RunEnd::Lost => "lost",
         })
     }
 }
@@ -108,7 +107,7 @@
 
 impl Default for RunLines {
     fn default() -> RunLines {
-        RunLines(LineBudget::new("lasting_tasks", BURST, LINES_PER_SECOND))
+        RunLines(LineBudget::new("lasting_tasks", MAX_BURST_LINES, LINES_PER_SECOND))
     }
 }
 
@@ -119,7 +118,7 @@
 }
 
 impl Scheduler {
-    /// A task is about to be started.
+    /// Logs the start of a long-running task.
     pub(in crate::scheduler) fn log_start(
         &mut self,
         now: Time,
@@ -130,8 +129,8 @@
         if !self.is_long_running(task) {
             return;
         }
-        let again = self.task(task).is_some_and(|state| state.down_since.is_some());
-        if !self.waits.runs.0.take(now, if again { 0 } else { SPARE }) {
+        let is_restart = self.task(task).is_some_and(|state| state.down_since.is_some());
+        if !self.waits.runs.0.take(now, if is_restart { 0 } else { RESERVED_LINES }) {
             return;
         }
         let waited_ms = self.down_since(task).map_or(0, |since| ms(now.since(since)));
@@ -142,7 +141,7 @@
         self.step(task).is_some_and(|step| step.long_running)
     }
 
-    /// A worker lists the end of a run.
+    /// Logs the end of a run that its worker listed.
     pub(in crate::scheduler) fn log_end(
         &mut self,
         now: Time,
@@ -151,10 +150,10 @@
         run: RunId,
         kind: EndKind,
     ) {
-        self.note_over(now, id, task, run, Over::Listed(kind));
+        self.on_run_over(now, id, task, run, RunEnd::Listed(kind));
     }
 
-    /// A run is certainly not under way, and no list tells its end.
+    /// Logs the end of a run that is certainly over but wasn't listed.
     pub(in crate::scheduler) fn log_dropped(
         &mut self,
         now: Time,
@@ -162,41 +161,47 @@
         task: TaskId,
         run: RunId,
     ) {
-        let began = self.doubt_of(now, id, task, run).is_none_or(|(reason, _)| !is_start(reason));
-        let over = if began { Over::Lost } else { Over::NeverBegan };
-        self.note_over(now, id, task, run, over);
+        let began = self
+            .not_running_reason(now, id, task, run)
+            .is_none_or(|(reason, _)| !is_start_pending(reason));
+        let run_end = if began { RunEnd::Lost } else { RunEnd::NeverBegan };
+        self.on_run_over(now, id, task, run, run_end);
     }
 
-    fn note_over(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId, over: Over) {
-        let doubt = self.doubt_of(now, id, task, run);
-        let copy = self.workers.get(id).and_then(|worker| worker.attempts.get(&(task, run)));
-        let stop = copy.and_then(|copy| copy.stop);
-        // A workflow that was cancelled is forgotten before its runs have ended; an end may also be of
-        // a run that only a predecessor knew.
-        let lasts = copy.map_or_else(|| self.is_long_running(task), |copy| copy.long_running);
-        let silent = doubt.is_some_and(|(reason, _)| reason == Reason::SilentWorker);
-        // Its user has been without it since its worker was last heard, as far as anybody knows.
-        let heard = doubt.filter(|_| silent && matches!(over, Over::Lost)).map(|(_, heard)| heard);
-        match (over, doubt) {
+    fn on_run_over(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId, run_end: RunEnd) {
+        let not_running = self.not_running_reason(now, id, task, run);
+        let attempt = self.workers.get(id).and_then(|worker| worker.attempts.get(&(task, run)));
+        let stop = attempt.and_then(|attempt| attempt.stop);
+        // A cancelled workflow is removed before its runs have ended; the run may also be known
+        // only to a predecessor.
+        let long_running =
+            attempt.map_or_else(|| self.is_long_running(task), |attempt| attempt.long_running);
+        let worker_unresponsive =
+            not_running.is_some_and(|(reason, _)| reason == Reason::SilentWorker);
+        // It may have been down since the last contact with its worker.
+        let last_contact = not_running
+            .filter(|_| worker_unresponsive && matches!(run_end, RunEnd::Lost))
+            .map(|(_, since)| since);
+        match (run_end, not_running) {
             // It has been down since before that start.
-            (Over::NeverBegan, Some((_, placed))) => self.note_still_down(task, placed),
-            _ => self.note_down(task, heard.unwrap_or(now)),
+            (RunEnd::NeverBegan, Some((_, placed))) => self.note_still_down(task, placed),
+            _ => self.note_down(task, last_contact.unwrap_or(now)),
         }
-        if !lasts || !self.waits.runs.0.take(now, 0) {
+        if !long_running || !self.waits.runs.0.take(now, 0) {
             return;
         }
-        let why = match (stop, over) {
+        let why = match (stop, run_end) {
             (Some(stop), _) => stop.reason.to_string(),
-            (None, Over::Lost) if silent => "worker_silent".to_owned(),
-            (None, Over::Lost) => "not_there".to_owned(),
+            (None, RunEnd::Lost) if worker_unresponsive => "worker_silent".to_owned(),
+            (None, RunEnd::Lost) => "not_there".to_owned(),
             (None, _) => "-".to_owned(),
         };
-        let down_ms = heard.map_or(0, |heard| ms(now.since(heard)));
-        log::info!(task:%, run:%, worker:% = id, end:% = over, why:%, down_ms; "lasting_task_ended");
+        let down_ms = last_contact.map_or(0, |at| ms(now.since(at)));
+        log::info!(task:%, run:%, worker:% = id, end:% = run_end, why:%, down_ms; "lasting_task_ended");
     }
 }
 
-/// Whether what isn't known of a run is how its start went.
-fn is_start(reason: Reason) -> bool {
+/// Whether the run's start has no result yet.
+fn is_start_pending(reason: Reason) -> bool {
     matches!(reason, Reason::BeingStarted | Reason::StartInDoubt)
 }
