--- a/crates/workflow/src/scheduler/effect.rs
+++ b/crates/workflow/src/scheduler/effect.rs
@@ -59,7 +59,7 @@
         /// The run.
         run: RunId,
     },
-    /// Limit a best-effort task to a share of its CPU.
+    /// Run a best-effort task at a share of its full pace.
     Pace {
         /// The worker.
         worker: WorkerId,
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -83,7 +83,7 @@
     step: u16,
 }
 
-/// The leader's state.
+/// The state of the leader's scheduler.
 #[derive(Debug)]
 pub struct Scheduler {
     epoch: Epoch,
--- a/crates/workflow/src/scheduler/pacing.rs
+++ b/crates/workflow/src/scheduler/pacing.rs
@@ -33,20 +33,20 @@
 }
 
 /// Paces are multiples of this many percent; finer steps are within the noise of the measurements.
-const PACE_STEP: f32 = 10.0;
+const PACE_STEP_PERCENT: f32 = 10.0;
 
 /// A smaller change, in percentage points, is only sent if it stops a task entirely or restores its
 /// full pace.
-const MIN_PACE_CHANGE: u32 = 20;
+const MIN_PACE_CHANGE_PERCENT: u32 = 20;
 
 /// A best-effort task at or below this pace, in percent, is moved if another worker fits it.
-const SLOW_PACE: u32 = 30;
+const SLOW_PACE_PERCENT: u32 = 30;
 
-/// How long a task must be at or below [`SLOW_PACE`] before it is moved.
+/// How long a task must be at or below [`SLOW_PACE_PERCENT`] before it is moved.
 const MOVE_SLOW_AFTER: Duration = Duration::from_millis(1_200);
 
 /// A task without checkpoints isn't moved once its progress, in percent, has reached this.
-const MAX_MOVED_PROGRESS: u32 = 30;
+const MAX_MOVED_PROGRESS_PERCENT: u32 = 30;
 
 impl Scheduler {
     /// Handles the result of a change of pace.
@@ -90,7 +90,7 @@
             if let Some(attempt) = worker.attempts.get_mut(&(task, run)) {
                 attempt.pace_sent = Some(percent);
                 attempt.progressed_at = now;
-                let slow = percent <= SLOW_PACE;
+                let slow = percent <= SLOW_PACE_PERCENT;
                 attempt.throttled_since = slow.then(|| attempt.throttled_since.unwrap_or(now));
             }
             log::debug!(task:%, run:%, worker:% = id, percent; "filler_paced");
@@ -115,13 +115,13 @@
             .values()
             .filter(|attempt| attempt.best_effort)
             .map(Attempt::best_effort_demand);
-        let bearable = self.colocation.tolerated_paces(&worker.neighbours, best_effort);
+        let tolerated = self.colocation.tolerated_paces(&worker.neighbours, best_effort);
         let mut changes: Vec<(TaskId, RunId, u32)> = Vec::new();
         for ((task, run), attempt) in &worker.attempts {
             if attempt.best_effort && matches!(attempt.phase, Phase::Running { .. }) {
                 let share = self.colocation.allowed_pace(
                     &worker.neighbours,
-                    &bearable,
+                    &tolerated,
                     attempt.best_effort_demand(),
                 );
                 let pace = pace_from_share(share);
@@ -138,7 +138,7 @@
         let Some(worker) = self.workers.get(id) else { return };
         let is_long_slow = |attempt: &Attempt| {
             let running = matches!(attempt.phase, Phase::Running { .. });
-            let worth_moving = attempt.movable || attempt.percent < MAX_MOVED_PROGRESS;
+            let worth_moving = attempt.movable || attempt.percent < MAX_MOVED_PROGRESS_PERCENT;
             running
                 && worth_moving
                 && attempt.throttled_since.is_some_and(|at| now.since(at) >= MOVE_SLOW_AFTER)
@@ -163,8 +163,8 @@
 
 /// Converts a share to a pace in percent, rounded down to a whole step.
 fn pace_from_share(share: f32) -> u32 {
-    let steps = (share * FULL_PACE_PERCENT as f32 / PACE_STEP).floor();
-    (steps * PACE_STEP) as u32
+    let steps = (share * FULL_PACE_PERCENT as f32 / PACE_STEP_PERCENT).floor();
+    (steps * PACE_STEP_PERCENT) as u32
 }
 
 /// Whether a change of pace is large enough to be sent.
@@ -172,7 +172,7 @@
     match attempt.pace_sent {
         None => true,
         Some(sent) => {
-            sent.abs_diff(pace) >= MIN_PACE_CHANGE
+            sent.abs_diff(pace) >= MIN_PACE_CHANGE_PERCENT
                 || (sent != pace && (pace == 0 || pace == FULL_PACE_PERCENT))
         }
     }
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -154,12 +154,12 @@
 
     fn drop_lapsed(&mut self, now: Time, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else { return };
-        let (runs, present) = (worker.attempts.len(), worker.in_directory);
+        let (runs, in_directory) = (worker.attempts.len(), worker.in_directory);
         if runs > 0 {
             log::warn!(worker:% = id, runs; "leases_lapsed");
         }
         self.requeue_lost_runs(now, id, WorkerLoss::Lapsed);
-        if !present && self.unreconciled.get(id).is_none_or(|until| now >= *until) {
+        if !in_directory && self.unreconciled.get(id).is_none_or(|until| now >= *until) {
             self.workers.remove(id);
             self.roster_dirty = true;
         }
--- a/crates/workflow/src/scheduler/reconciliation.rs
+++ b/crates/workflow/src/scheduler/reconciliation.rs
@@ -153,7 +153,7 @@
         self.unreconciled.is_empty() || now.since(self.succession.began) >= ROSTER_GRACE
     }
 
-    /// Returns the standing of a worker for the roster.
+    /// Returns what the roster is to say of a worker.
     pub(super) fn roster_state(&self, now: Time, worker: &Worker) -> RosterState {
         let runs = || worker.attempts.keys().copied().collect();
         let lapses_ms = self.succession.term_ms(worker.lease_bound);
--- a/crates/workflow/src/scheduler/waits/queued.rs
+++ b/crates/workflow/src/scheduler/waits/queued.rs
@@ -17,7 +17,7 @@
     NoWorkers,
     NoLabel,
     NoCapacity,
-    BackingOff,
+    Excluded,
     AntiAffinity,
     FailedThere,
     Maintenance,
@@ -33,7 +33,7 @@
             CheckStage::NoWorkers => Reason::NoWorkers,
             CheckStage::NoLabel => Reason::NoLabel,
             CheckStage::NoCapacity => Reason::NoRoom,
-            CheckStage::BackingOff => Reason::Barred,
+            CheckStage::Excluded => Reason::Barred,
             CheckStage::AntiAffinity => Reason::AntiAffinity,
             CheckStage::FailedThere => Reason::FailedThere,
             CheckStage::Maintenance => Reason::Upkeep,
@@ -46,7 +46,7 @@
 
     /// Whether naming the workers helps: not if there are none or all are full.
     fn names_workers(self) -> bool {
-        self >= CheckStage::BackingOff
+        self >= CheckStage::Excluded
     }
 }
 
@@ -155,7 +155,7 @@
             if workers.len() < MAX_NAMED_WITH_CAPACITY {
                 workers.push(id.clone());
             }
-            if stage == CheckStage::BackingOff {
+            if stage == CheckStage::Excluded {
                 // The first worker that accepts tasks again ends the wait.
                 let excluded_until = worker.excluded_until();
                 until = Some(until.map_or(excluded_until, |earliest| earliest.min(excluded_until)));
@@ -184,7 +184,7 @@
         }
         let state = self.task(task)?;
         Some(match () {
-            () if now < worker.excluded_until() => CheckStage::BackingOff,
+            () if now < worker.excluded_until() => CheckStage::Excluded,
             () if !has_capacity(worker, task, &need) => CheckStage::AntiAffinity,
             () if state.avoid.as_ref().is_some_and(|avoid| avoid.worker == *id) => {
                 CheckStage::FailedThere
