--- a/crates/workflow/tests/held_orders.rs
+++ b/crates/workflow/tests/held_orders.rs
@@ -1,4 +1,4 @@
-//! Orders that wait at the leader before they are sent.
+//! Commands that wait at the leader before they are sent.
 
 mod support;
 
@@ -10,9 +10,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A weak VM leads many workers, and orders leave it 3 s after they were decided. A worker stands still for
-/// a moment, a copy of its task is decided, and then the task is done after all. Were the copy started
-/// three seconds later all the same, an owner would get a second letter.
+/// A delayed start of a speculative attempt isn't sent once the task is done.
 #[test]
 fn copy_of_done() {
     let mut world = World::new(21, 2, 4, Limits::default());
@@ -31,7 +29,7 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A workflow is cancelled while its starts wait for their turn. None of them is sent.
+/// Delayed starts of a cancelled workflow aren't sent.
 #[test]
 fn start_of_cancelled() {
     let mut world = World::new(22, 2, 4, Limits::default());
@@ -45,8 +43,7 @@
     assert!(matches!(world.state(id), Some(WorkflowState::Ended(_))));
 }
 
-/// Far more tasks come than a weak VM can start. What it has decided stays few, so that what it sends is
-/// never old; without that bound starts were sent seconds late, and rejected since their leases had passed.
+/// The number of starts under way is bounded, so that none is sent after its lease has lapsed.
 #[test]
 fn few_under_way() {
     let mut world = World::new(23, 2, 4, Limits::default());
@@ -62,8 +59,7 @@
     assert_eq!(world.checker.starts, 64);
 }
 
-/// The leader's appends get through, but its reads lag: cancellations that clients were told of elsewhere
-/// don't reach it. It starts nothing until its reads catch up.
+/// A leader whose reads lag starts nothing, since it may miss cancellations.
 #[test]
 fn reads_lag() {
     let mut world = World::new(24, 2, 4, Limits::default());
--- a/crates/workflow/tests/lasting_lines.rs
+++ b/crates/workflow/tests/lasting_lines.rs
@@ -1,4 +1,4 @@
-//! Each start and each end of a lasting task's run leaves a line.
+//! Starts and ends of long-running tasks are logged.
 
 mod support;
 
@@ -21,15 +21,14 @@
     world
 }
 
-/// The lines that name a run of a lasting task of workflow `id`.
+/// The lines on runs of long-running tasks of workflow `id`.
 fn runs<'a>(lines: &'a [Line], event: &str, id: u64) -> Vec<&'a Line> {
     let prefix = format!("{id:016x}.");
     let of = lines::of(lines, event);
     of.into_iter().filter(|line| line.get("task").starts_with(&prefix)).collect()
 }
 
-/// A lasting task gives its room to short ones and comes back. Its user sees it gone for seconds, and
-/// asks why.
+/// A preempted task is logged when it stops and when it is back.
 #[test]
 fn preempted_and_back() {
     let mut world = world(21);
@@ -47,11 +46,11 @@
     assert_eq!(ended[0].get("task"), started[0].get("task"));
     let waited: u64 = started[0].get("waited_ms").parse().expect("a number");
     assert!((400..4_000).contains(&waited), "{waited}");
-    // Tasks that end by themselves come by the hundred; of them these lines say nothing.
+    // Starts of batch tasks aren't logged.
     assert!(runs(&lines, "lasting_task_started", 2).is_empty());
 }
 
-/// A worker announces that it leaves, and its lasting tasks are moved.
+/// Runs moved off a draining worker are logged with the reason.
 #[test]
 fn evacuated() {
     let mut world = world(22);
@@ -72,8 +71,7 @@
     }
 }
 
-/// A worker loses power. What ran there is started elsewhere once its leases must have lapsed; until
-/// then its users are without it.
+/// Runs lost with their worker are logged with the time they were down.
 #[test]
 fn worker_lost() {
     let mut world = world(23);
@@ -94,15 +92,15 @@
     assert!((4_500..8_000).contains(&down), "{down}");
     let started = runs(&lines, "lasting_task_started", 1);
     assert_eq!(started.len(), runs_there);
-    // It counts from when the worker was last heard, not from when its lease was given up: a lease of
-    // 5.2 s, renewed for 2.7 s while the silence might have been a long poll.
+    // Down since the last contact with the worker, not since its lease lapsed: a lease of 5.2 s,
+    // renewed for 2.7 s while the missing answer might have been a long poll.
     for line in started {
         let waited: u64 = line.get("waited_ms").parse().expect("a number");
         assert!((4_500..8_000).contains(&waited), "{waited}");
     }
 }
 
-/// A client cancels a service; that its tasks end is what it wants.
+/// The ends of a cancelled workflow's runs are logged with that reason.
 #[test]
 fn cancelled() {
     let mut world = world(24);
--- a/crates/workflow/tests/lasting_waits.rs
+++ b/crates/workflow/tests/lasting_waits.rs
@@ -1,4 +1,4 @@
-//! Lasting tasks that have ended and for which there is room run again soon, whatever they wait beside.
+//! Long-running tasks that fit a worker are restarted soon after they end.
 
 mod support;
 
@@ -12,8 +12,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A worker has eight cores.
-fn lasting(count: u32, cores: u32) -> Step {
+/// Workers have eight cores.
+fn long_running(count: u32, cores: u32) -> Step {
     let mut step = step(count, 0);
     step.resources.cpu = MilliCores(cores * 1_000);
     step.long_running = true;
@@ -24,22 +24,20 @@
     TaskId { workflow: id, occurrence: 0, step: 0, index: 0 }
 }
 
-/// Lets a task fail where it runs.
+/// Makes a running task fail.
 fn fail(world: &mut World, task: TaskId) {
     let runs = |worker: &&mut support::worker::Worker| worker.running.contains_key(&task);
     let worker = world.workers.iter_mut().find(runs).expect("it runs");
     worker.finish(task, EndKind::Failed, &mut world.checker);
 }
 
-/// A lasting task fails while all other workers are full: the room that it has left is the only one. It
-/// runs there again. Were it kept away from where it failed last, it would wait until something else ends,
-/// which takes minutes among lasting tasks, and its users would be without it.
+/// A failed task is restarted on the worker where it failed if no other fits it.
 #[test]
 fn failed_in_full_service() {
     for seed in 0..6 {
         let mut world = World::new(seed, 2, 4, Limits::default());
         world.run(2 * SECOND);
-        let id = world.submit(1, &submission(vec![lasting(4, 8)]));
+        let id = world.submit(1, &submission(vec![long_running(4, 8)]));
         world.run(2 * SECOND);
         let task = first_task(id);
         assert!(world.checker.is_running(task));
@@ -52,13 +50,12 @@
     }
 }
 
-/// One task of a step has failed and waits for the worker where it failed; others of the step wait behind
-/// it. They needn't keep away from that worker, and take the room at once.
+/// Other tasks of a step aren't held back by the one that avoids the only free worker.
 #[test]
 fn others_behind_failed() {
     let mut world = World::new(31, 2, 2, Limits::default());
     world.run(2 * SECOND);
-    let id = world.submit(1, &submission(vec![lasting(3, 8)]));
+    let id = world.submit(1, &submission(vec![long_running(3, 8)]));
     world.run(2 * SECOND);
     let running =
         |world: &World| world.workers.iter().map(|worker| worker.running.len()).sum::<usize>();
@@ -70,15 +67,13 @@
     assert!(took.is_some_and(|took| took < SECOND), "{took:?}");
 }
 
-/// A worker has failed two runs in a row, by chance, and gets nothing for a while. A lasting task finds room
-/// there only. It is tried there: nobody is worse off if it fails again, and its users are without it
-/// otherwise.
+/// A long-running task may start on a quarantined worker if no other fits it.
 #[test]
 fn only_room_is_quarantined() {
     let mut world = World::new(32, 2, 2, Limits::default());
     world.run(2 * SECOND);
-    let first = world.submit(1, &submission(vec![lasting(1, 8)]));
-    let second = world.submit(2, &submission(vec![lasting(1, 8)]));
+    let first = world.submit(1, &submission(vec![long_running(1, 8)]));
+    let second = world.submit(2, &submission(vec![long_running(1, 8)]));
     world.run(2 * SECOND);
     let at = |world: &World, task: TaskId| {
         world.workers.iter().position(|worker| worker.running.contains_key(&task))
@@ -94,48 +89,48 @@
     assert!(world.checker.is_running(first_task(second)));
 }
 
-/// What the platform judges: a lasting task that doesn't run although room for it exists.
+/// Detects long-running tasks that don't run although a worker fits them.
 #[derive(Default)]
 struct Watch {
-    /// When each task last ran, and since when there has been room for it on end.
+    /// When each task last ran, and since when a worker has fitted it without interruption.
     waits: BTreeMap<TaskId, (Time, Option<Time>)>,
-    calm_since: Time,
+    last_fault: Time,
     passed_over: Vec<String>,
 }
 
-/// A lasting task is judged from so long after its last run.
-const JUDGED_AFTER: Duration = Duration::from_secs(6);
+/// Time after its last run from which a task is checked.
+const CHECKED_AFTER: Duration = Duration::from_secs(6);
 
-/// It is passed over if there is room for so long on end.
-const ROOM_FOR: Duration = Duration::from_secs(3);
+/// A task is passed over if a worker has fitted it for this long.
+const MAX_FITTING: Duration = Duration::from_secs(3);
 
-/// While nothing has gone wrong for so long.
+/// Time without faults before tasks are checked.
 const CALM_FOR: Duration = Duration::from_secs(4);
 
 impl Watch {
-    fn look(&mut self, world: &World, tasks: &[(TaskId, Step)]) {
+    fn check(&mut self, world: &World, tasks: &[(TaskId, Step)]) {
         let now = world.now;
         for (task, step) in tasks {
-            let (ran, roomy) = self.waits.entry(*task).or_insert((now, None));
+            let (ran, fits_since) = self.waits.entry(*task).or_insert((now, None));
             if world.checker.is_running(*task) {
-                (*ran, *roomy) = (now, None);
+                (*ran, *fits_since) = (now, None);
                 continue;
             }
-            let calm = now.since(self.calm_since) >= CALM_FOR;
-            let judged = calm && now.since(*ran) >= JUDGED_AFTER;
-            if !judged || !world.workers.iter().any(|worker| has_room(worker, *task, step)) {
-                *roomy = None;
+            let calm = now.since(self.last_fault) >= CALM_FOR;
+            let checked = calm && now.since(*ran) >= CHECKED_AFTER;
+            if !checked || !world.workers.iter().any(|worker| fits(worker, *task, step)) {
+                *fits_since = None;
                 continue;
             }
-            if now.since(*roomy.get_or_insert(now)) >= ROOM_FOR {
+            if now.since(*fits_since.get_or_insert(now)) >= MAX_FITTING {
                 self.passed_over.push(format!("{task} at {now:?}"));
-                *roomy = None;
+                *fits_since = None;
             }
         }
     }
 }
 
-fn has_room(worker: &support::worker::Worker, task: TaskId, step: &Step) -> bool {
+fn fits(worker: &support::worker::Worker, task: TaskId, step: &Step) -> bool {
     let used: u32 = worker.running.values().map(|run| run.step.resources.cpu.0).sum();
     let of_step = |other: &&TaskId| other.step_id() == task.step_id();
     let siblings = worker.running.keys().filter(of_step).count();
@@ -146,9 +141,9 @@
         && (step.per_worker == 0 || siblings < step.per_worker as usize)
 }
 
-/// Two things go wrong, at workers or with the leader. A worker is not lost right before the leader: what
-/// may run there is rightly held back until its leases have lapsed.
-fn disturb(world: &mut World, tasks: &[(TaskId, Step)]) {
+/// Injects two faults. Never loses a worker together with the leader: tasks that may run there are
+/// rightly held back until its leases have lapsed.
+fn inject_faults(world: &mut World, tasks: &[(TaskId, Step)]) {
     let kinds = [world.rng.random_range(0..5), world.rng.random_range(0..5)];
     let both_lost = kinds.contains(&0) && kinds.contains(&1);
     for kind in kinds.into_iter().filter(|kind| !both_lost || *kind != 1) {
@@ -188,11 +183,11 @@
     world.submit(id, &submission(vec![short]));
 }
 
-/// Submits lasting tasks of several sizes, which take nearly all of six workers.
-fn submit_lasting(world: &mut World) -> Vec<(TaskId, Step)> {
+/// Submits long-running tasks of several sizes that take nearly all capacity of six workers.
+fn submit_long_running(world: &mut World) -> Vec<(TaskId, Step)> {
     let mut tasks = Vec::new();
     for (id, count, cores) in [(1, 2, 8), (2, 2, 5), (3, 3, 3), (4, 4, 2)] {
-        let mut step = lasting(count, cores);
+        let mut step = long_running(count, cores);
         step.per_worker = world.rng.random_range(0..2);
         let id = world.submit(id, &submission(vec![step.clone()]));
         tasks.extend((0..count).map(|index| (TaskId { index, ..first_task(id) }, step.clone())));
@@ -200,31 +195,30 @@
     tasks
 }
 
-/// Lasting tasks of several sizes hold most of a service, and short work takes what is left for a while.
-/// Tasks fail, workers and leaders go, and then all is calm. However full the service is, no lasting task is
-/// passed over while there is room for it; its users would see it stand still for no reason.
+/// After faults, no long-running task in a nearly full service is passed over while a worker fits
+/// it.
 #[test]
 fn none_passed_over() {
     for seed in 0..60 {
         let mut world = World::new(seed, 3, 6, Limits::default());
         world.run(2 * SECOND);
-        let tasks = submit_lasting(&mut world);
+        let tasks = submit_long_running(&mut world);
         let mut watch = Watch::default();
         for round in 0u64..480 {
-            // Later on it is quiet, so that room that is left stays.
+            // No short tasks later, so that free capacity stays free.
             if round.is_multiple_of(4) && round % 160 < 60 {
                 submit_short(&mut world, 100 + round);
             }
             if round.is_multiple_of(160) {
-                disturb(&mut world, &tasks);
-                watch.calm_since = world.now;
+                inject_faults(&mut world, &tasks);
+                watch.last_fault = world.now;
             }
             if round % 160 == 15 {
                 world.workers.iter_mut().for_each(|worker| worker.listed = true);
             }
             for _ in 0..10 {
                 world.run(Duration::from_millis(10));
-                watch.look(&world, &tasks);
+                watch.check(&world, &tasks);
             }
         }
         assert_eq!(watch.passed_over, Vec::<String>::new(), "seed {seed}");
--- a/crates/workflow/tests/late_orders.rs
+++ b/crates/workflow/tests/late_orders.rs
@@ -1,4 +1,4 @@
-//! Orders that get no answer, and are carried out seconds later or not at all.
+//! Commands that get no answer and take effect seconds later or not at all.
 
 mod support;
 
@@ -10,8 +10,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// One order in twelve gets no answer and is carried out 2 to 12 s later. A task whose start seemed lost
-/// is started elsewhere; were the first start not kept from taking effect, both would run.
+/// An unconfirmed start that takes effect late doesn't run beside its replacement.
 #[test]
 fn late_starts() {
     let mut world = World::new(3, 3, 6, Limits::default());
@@ -27,9 +26,7 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A few workers leave orders unanswered while their polls look well. Orders at one worker wait for each
-/// other, and starts under way are bounded; were more and more starts sent to these workers, soon all that
-/// are under way would wait there, and work for all the others would stand still with them.
+/// Workers that leave starts unanswered don't use up the start window and stall the others.
 #[test]
 fn mute_workers() {
     let mut world = World::new(6, 2, 24, Limits::default());
@@ -46,8 +43,8 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// Answers of the store are lost after it appended. The leader repeats the same append; were it to
-/// number it anew, every later one would be rejected and no end be acknowledged again.
+/// An append whose answer was lost is repeated with the same number; with a new one, later appends
+/// would be rejected.
 #[test]
 fn lost_appends() {
     let mut world = World::new(4, 3, 6, Limits::default());
@@ -62,8 +59,8 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// The store is away for 3 s while tasks run and end. Their leases are renewed, and nobody's task is
-/// lost or run again; ends are recorded when the store is back.
+/// While the store is unavailable leases are renewed, no task is lost or run again, and ends are
+/// recorded afterwards.
 #[test]
 fn store_away() {
     let mut world = World::new(5, 3, 6, Limits::default());
--- a/crates/workflow/tests/suspended_orders.rs
+++ b/crates/workflow/tests/suspended_orders.rs
@@ -1,4 +1,4 @@
-//! A leader without authority says so.
+//! A leader that loses its authority logs that.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A leader that has just been elected.
+/// Creates a leader that has just been elected.
 fn elected(now: Time) -> Leadership {
     let mut leadership = Leadership::new(now, "node".to_owned(), 1, 0, Limits::default());
     let mut out = Vec::new();
@@ -19,7 +19,7 @@
     leadership.on_read_sent(now);
     leadership.on_read(now);
     leadership.tick(now, true, &mut out);
-    // What follows a pause of the process begins its silence anew.
+    // A pause of the process restarts the timeout for the last leader's heartbeat.
     let now = now + Duration::from_millis(500);
     for tenth in 0..30 {
         let now = now + tenth * Duration::from_millis(100);
@@ -39,8 +39,8 @@
     leadership
 }
 
-/// The store acknowledges nothing for longer than a leader may give orders on its own. Until it does, nothing
-/// is started and tasks wait whatever room there is; without a line that looks like a leader that does nothing.
+/// A leader without acknowledged appends logs once that it has suspended its commands, and once
+/// that it resumes.
 #[test]
 fn told_once() {
     let start = Time::from_secs(100);
@@ -64,7 +64,8 @@
     assert!((4_000..8_000).contains(&after), "{after}");
 }
 
-/// The same in a fleet: whoever led before says so, and another one leads once the store is back.
+/// The same in a simulated fleet: the former leader logs it, and a leader is elected once the store
+/// is back.
 #[test]
 fn store_away() {
     let mut world = World::new(41, 2, 4, Limits::default());
@@ -80,7 +81,7 @@
     assert!(world.run_until(10 * SECOND, |world| world.completed(id)).is_some());
 }
 
-/// A store that answers leaves nothing to say.
+/// Nothing is logged while the store answers.
 #[test]
 fn calm() {
     let mut world = World::new(42, 2, 4, Limits::default());
--- a/crates/workflow/tests/upkeep_unheard.rs
+++ b/crates/workflow/tests/upkeep_unheard.rs
@@ -1,4 +1,4 @@
-//! A wave of upkeep with a VM whose worker the leader never hears.
+//! A maintenance wave with a VM whose worker never answers the leader.
 
 mod support;
 
@@ -10,10 +10,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// After a change of the leader nobody reaches one worker, which the directory still lists: its VM's network is
-/// broken, and the VM needs its upkeep all the more. All that ran there has lapsed ten seconds later. Were its
-/// answer waited for, that VM would hold the only place of the wave for ever, and an operator who asked for the
-/// upkeep of eight VMs would get that of none.
+/// A worker that can't be reached after a change of leader doesn't block a wave: its runs have
+/// lapsed, so its VM may go down.
 #[test]
 fn wave_goes_on() {
     for seed in 0..4 {
--- a/crates/workflow/tests/upkeep_waves.rs
+++ b/crates/workflow/tests/upkeep_waves.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep: in time, never too many at once, and without harm to what runs.
+//! Maintenance waves meet their deadline and cap, and harm no running task.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Eight workers, each on a VM.
+/// Creates eight workers, each on its own VM.
 fn world(seed: u64) -> World {
     let mut world = World::new(seed, 3, 8, Limits::default());
     world.assign_vms();
@@ -24,13 +24,13 @@
     Wave { vms: vms.map(vm).collect(), within: Duration::from_secs(seconds), max_down }
 }
 
-fn lasting(count: u32, may_miss: Option<u32>) -> Step {
+fn long_running(count: u32, max_unavailable: Option<u32>) -> Step {
     let mut step = step(count, 0);
     step.resources.cpu = MilliCores(2_000);
     step.long_running = true;
     step.per_worker = 1;
     step.image = CompactString::const_new("serving");
-    step.max_unavailable = may_miss;
+    step.max_unavailable = max_unavailable;
     step
 }
 
@@ -38,14 +38,13 @@
     world.fleet.reported.contains(&WaveState::Completed)
 }
 
-/// Tasks of a guarded step that run, by the checker's view of the workers.
-fn at_work(world: &World, id: WorkflowId, count: u32) -> u32 {
+/// Number of tasks of the first step that run, by the checker's view of the workers.
+fn running_tasks(world: &World, id: WorkflowId, count: u32) -> u32 {
     let task = |index| egretlb_workflow::TaskId { workflow: id, occurrence: 0, step: 0, index };
     (0..count).map(|index| u32::from(world.checker.is_running(task(index)))).sum()
 }
 
-/// All VMs go through their upkeep, two at a time. Were the cap passed, too little would be left to run
-/// the work; were completion told early, an operator would hand back VMs that weren't looked after.
+/// All VMs get their maintenance, at most two at a time, before the wave is reported as complete.
 #[test]
 fn two_at_a_time() {
     let mut world = world(61);
@@ -58,7 +57,7 @@
     assert_eq!(world.fleet.reported.first(), Some(&WaveState::Running));
 }
 
-/// Tasks of a second's work are under way all the time. None is lost with its VM: each is waited for.
+/// No batch task is lost with its VM: the wave waits for them.
 #[test]
 fn short_work_ends_first() {
     let mut world = world(62);
@@ -74,43 +73,40 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-/// A serving step allows one of its tasks to be away. The wave would take two VMs at a time; it moves one
-/// task after the other, and never more than one is missing.
+/// At most one task of a step that allows one unavailable task is down at a time.
 #[test]
 fn guarded_step() {
     let mut world = world(63);
-    let id = world.submit(1, &submission(vec![lasting(5, Some(1))]));
+    let id = world.submit(1, &submission(vec![long_running(5, Some(1))]));
     world.run(2 * SECOND);
-    assert_eq!(at_work(&world, id, 5), 5);
+    assert_eq!(running_tasks(&world, id, 5), 5);
     world.waves.push((1, wave(0..8, 2, 60)));
-    let mut least = 5;
+    let mut min_running = 5;
     for _ in 0..6_000 {
         world.run(Duration::from_millis(5));
-        least = least.min(at_work(&world, id, 5));
+        min_running = min_running.min(running_tasks(&world, id, 5));
         if completed(&world) {
             break;
         }
     }
     assert!(completed(&world));
-    assert_eq!(least, 4);
+    assert_eq!(min_running, 4);
 }
 
-/// A step allows none of its tasks to be away. Its VMs stay up and the wave is late, which costs less than
-/// the harm; it isn't told as completed.
+/// VMs of a step that allows no unavailable task stay up, and the wave isn't reported as complete.
 #[test]
 fn nothing_may_be_away() {
     let mut world = world(64);
-    let id = world.submit(1, &submission(vec![lasting(3, Some(0))]));
+    let id = world.submit(1, &submission(vec![long_running(3, Some(0))]));
     world.run(2 * SECOND);
     world.waves.push((1, wave(0..8, 2, 20)));
     world.run(30 * SECOND);
-    assert_eq!(at_work(&world, id, 3), 3);
+    assert_eq!(running_tasks(&world, id, 3), 3);
     assert_eq!(world.fleet.done.len(), 5);
     assert!(!completed(&world));
 }
 
-/// Calls get no answer and are carried out up to 12 s later. Until an order is confirmed its VM counts as
-/// down; otherwise a late one would take down a third VM beside two others.
+/// An unconfirmed request counts as a VM that is down, so a late one doesn't exceed the cap.
 #[test]
 fn late_orders() {
     for seed in 70..78 {
@@ -124,8 +120,7 @@
     }
 }
 
-/// Leaders are killed again and again during a wave, with orders under way. What was ordered is recorded
-/// before, so successors count it.
+/// Requests are recorded before they are sent, so successors of killed leaders count them.
 #[test]
 fn leaders_killed() {
     for seed in 80..90 {
@@ -145,7 +140,7 @@
     }
 }
 
-/// A VM of the wave is gone for good. The wave is complete without it.
+/// A wave completes without a VM that no longer exists.
 #[test]
 fn vm_is_gone() {
     let mut world = world(65);
@@ -156,8 +151,7 @@
     assert_eq!(world.fleet.done.len(), 7);
 }
 
-/// The store is away when a wave is to begin. An order that nobody could read of would be unknown to a
-/// successor, so none is given until it can be recorded.
+/// No request is sent before it is recorded, since a successor wouldn't know of it.
 #[test]
 fn no_order_unrecorded() {
     let mut world = world(66);
@@ -169,12 +163,11 @@
     assert!(world.run_until(40 * SECOND, completed).is_some());
 }
 
-/// A new leader can't reach a worker on which a guarded task runs. What runs there isn't known to it, so
-/// its VM isn't taken for an empty one.
+/// A VM whose worker hasn't answered a new leader isn't taken for a drained one.
 #[test]
 fn unheard_worker_stays() {
     let mut world = world(67);
-    let id = world.submit(1, &submission(vec![lasting(8, Some(0))]));
+    let id = world.submit(1, &submission(vec![long_running(8, Some(0))]));
     world.run(2 * SECOND);
     let leader = world.leader().expect("somebody leads");
     for node in &mut world.nodes {
@@ -182,8 +175,8 @@
     }
     world.kill(leader);
     world.waves.push((1, wave(0..8, 2, 10)));
-    // Its leases end after 5 s; by then its VM would have gone down.
+    // Its leases end after 5 s; a drained VM would be down by now.
     world.run(4 * SECOND);
     assert_eq!(world.fleet.done.len(), 0);
-    assert_eq!(at_work(&world, id, 8), 8);
+    assert_eq!(running_tasks(&world, id, 8), 8);
 }
--- a/crates/workflow/tests/wait_lines.rs
+++ b/crates/workflow/tests/wait_lines.rs
@@ -1,4 +1,4 @@
-//! Lines on what waits: since when, for what, and never more of them than a bound.
+//! Log lines on waiting tasks: their content and their bound.
 
 mod support;
 
@@ -26,8 +26,7 @@
     line.get(key).parse().unwrap_or_else(|_| panic!("{key} in {line:?}"))
 }
 
-/// A service is larger than its workers, so some of its tasks wait for minutes. Their user asks which
-/// and why.
+/// Tasks that don't fit are logged with their indices and the reason.
 #[test]
 fn no_room() {
     let mut world = world(31);
@@ -46,8 +45,7 @@
     assert!((2_000..3_500).contains(&number(first, "waited_ms")), "{first:?}");
 }
 
-/// A line on a wait for room says how many workers the service has and how many of them take work, so that
-/// a full service can be told from one that has lost its workers.
+/// A wait for capacity is logged with the service's number of workers and of eligible workers.
 #[test]
 fn workers_counted() {
     let mut world = world(38);
@@ -61,7 +59,7 @@
     assert_eq!((number(line, "service_workers"), number(line, "fit_workers")), (4, 3));
 }
 
-/// The wait is over; a line says so, so that its end needn't be guessed.
+/// The end of a logged wait is logged.
 #[test]
 fn over() {
     let mut world = world(32);
@@ -76,8 +74,8 @@
     assert!((3_500..6_000).contains(&number(over[0], "waited_ms")), "{over:?}");
 }
 
-/// A worker is lost. Its tasks aren't in any queue while its leases may last; the line names the worker
-/// and how long that takes at most.
+/// Tasks of a lost worker aren't queued while its leases may last; they are logged with the worker
+/// and the maximum wait.
 #[test]
 fn silent_worker() {
     let mut world = world(33);
@@ -96,8 +94,8 @@
     assert!((1..=5_200).contains(&number(line, "at_most_ms")), "{line:?}");
 }
 
-/// A new leader can't reach a worker, and holds all that it inherits for it. One line says so when that
-/// has lasted, with the worker's name and how long it lasts at most, and one when it ends.
+/// Tasks that a new leader holds back for an unreachable worker are logged once when held and once
+/// when released.
 #[test]
 fn inherited_work_held() {
     let mut world = world(34);
@@ -123,12 +121,12 @@
     assert_eq!(released[0].get("unanswered"), "worker-1");
     assert!((5_000..10_000).contains(&number(released[0], "held_ms")), "{released:?}");
     let waiting = lines::of(&lines, "tasks_waiting");
-    let survey = "workers that may still run it haven't answered the new leader";
-    let survey = waiting.iter().find(|line| line.get("reason") == survey);
-    assert_eq!(survey.map(|line| line.get("workers")), Some("worker-1"));
+    let unanswered = "workers that may still run it haven't answered the new leader";
+    let unanswered = waiting.iter().find(|line| line.get("reason") == unanswered);
+    assert_eq!(unanswered.map(|line| line.get("workers")), Some("worker-1"));
 }
 
-/// A leader that hears all workers within some milliseconds says nothing of work held.
+/// A leader that all workers answer quickly logs nothing about held tasks.
 #[test]
 fn quick_survey() {
     let mut world = world(35);
@@ -143,8 +141,7 @@
     assert!(lines::of(&lines, "inherited_work_released").is_empty());
 }
 
-/// Hundreds of workflows wait at once, as after an outage. Were there a line for each task, or for each
-/// workflow every few seconds, the log's queue would overflow and drop the lines that matter.
+/// Hundreds of workflows that wait at once don't flood the log.
 #[test]
 fn flood_is_bounded() {
     let mut world = world(36);
@@ -153,25 +150,24 @@
     }
     world.run(3 * SECOND);
     lines::take();
-    let mut told = std::collections::BTreeSet::new();
-    let mut untold = Vec::new();
+    let mut logged = std::collections::BTreeSet::new();
+    let mut skipped = Vec::new();
     for _ in 0..10 {
         world.run(SECOND);
         let lines = lines::take();
         let waiting = lines::of(&lines, "tasks_waiting");
         assert!(waiting.len() <= 10, "{} lines in a second", waiting.len());
-        told.extend(waiting.iter().map(|line| line.get("step").to_owned()));
-        untold.extend(lines::of(&lines, "waits_untold").iter().map(|line| number(line, "steps")));
+        logged.extend(waiting.iter().map(|line| line.get("step").to_owned()));
+        skipped.extend(lines::of(&lines, "waits_untold").iter().map(|line| number(line, "steps")));
     }
-    // Those that were told least lately come first, so all come in turn.
-    assert!(told.len() >= 90, "{} steps", told.len());
-    // How many waited without a line is told now and then.
-    assert!((2..=3).contains(&untold.len()), "{untold:?}");
-    assert!(untold.iter().all(|steps| (300..400).contains(steps)), "{untold:?}");
+    // The least recently logged come first, so all get their turn.
+    assert!(logged.len() >= 90, "{} steps", logged.len());
+    // The number of steps without a line is logged at intervals.
+    assert!((2..=3).contains(&skipped.len()), "{skipped:?}");
+    assert!(skipped.iter().all(|steps| (300..400).contains(steps)), "{skipped:?}");
 }
 
-/// Services of hundreds of tasks start and are cancelled at once. First starts take only a part of the
-/// lines, so that a wide service that begins doesn't hide the end of another.
+/// Starts and ends of hundreds of runs at once are bounded, and first starts leave lines for ends.
 #[test]
 fn run_lines_bounded() {
     let mut world = world(37);
@@ -191,7 +187,7 @@
     let lines = lines::take();
     let ended = lines::of(&lines, "lasting_task_ended").len();
     assert!((200..=400 + 3 * 20).contains(&ended), "{ended}");
-    let left_out: u64 =
+    let suppressed: u64 =
         lines::of(&lines, "lines_left_out").iter().map(|line| number(line, "lines")).sum();
-    assert_eq!(left_out + ended as u64, 600);
+    assert_eq!(suppressed + ended as u64, 600);
 }
--- a/crates/workflow/tests/why_waiting.rs
+++ b/crates/workflow/tests/why_waiting.rs
@@ -1,4 +1,4 @@
-//! The state dump says of each step that waits why its next task isn't running.
+//! The state dump gives the reason why a waiting step's next task isn't running.
 
 mod support;
 
@@ -78,7 +78,7 @@
     assert_eq!(reason(&mut world, id), Some(Reason::RecordsReadLate));
 }
 
-/// A new leader can't reach a worker that may still run what it has inherited.
+/// A new leader can't reach a worker that may still run inherited tasks.
 #[test]
 fn survey() {
     let mut world = world(95);
@@ -98,7 +98,7 @@
     assert!(waiting.until.is_some_and(|until| until > SECOND), "{waiting:?}");
 }
 
-/// A worker is cut off. Its task runs on there for all that is known, and so isn't in the queue.
+/// The task of a worker that is cut off isn't queued.
 #[test]
 fn silent_worker() {
     let mut world = world(97);
@@ -117,16 +117,16 @@
     assert!(waiting.waited > 3 * SECOND && waiting.until.is_some(), "{waiting:?}");
 }
 
-/// A stop takes its time at a worker that is slow to end what it runs.
+/// A task whose stop takes long.
 #[test]
 fn being_stopped() {
     let mut world = world(98);
     for worker in &mut world.workers {
         worker.stop_ms = 2_000;
     }
-    let mut lasting = large(4);
-    lasting.long_running = true;
-    let id = world.submit(1, &submission(vec![lasting]));
+    let mut long_running = large(4);
+    long_running.long_running = true;
+    let id = world.submit(1, &submission(vec![long_running]));
     world.run(4 * SECOND);
     world.submit(2, &submission(vec![step(1, 300)]));
     world.run(SECOND);
@@ -136,7 +136,7 @@
     assert!(waiting.waited < SECOND, "{waiting:?}");
 }
 
-/// All workers with room hold a task of the step already, and it takes one for each.
+/// All workers that fit the task already run one of its step, and allow one each.
 #[test]
 fn anti_affinity() {
     let mut world = world(99);
@@ -147,7 +147,7 @@
     assert_eq!(reason(&mut world, id), Some(Reason::AntiAffinity));
 }
 
-/// All workers with room failed one run after another, and get nothing for a while.
+/// All workers that fit the task are in backoff after repeated failures.
 #[test]
 fn barred() {
     let mut world = world(90);
@@ -179,21 +179,22 @@
     for worker in &mut world.workers {
         worker.tail_ms = 49;
     }
-    let mut serving = step(4, 0);
-    serving.resources.cpu = MilliCores(4_000);
-    (serving.long_running, serving.target_ms, serving.per_worker) = (true, 50, 1);
-    serving.image = CompactString::const_new("serving");
-    world.submit(1, &submission(vec![serving]));
+    let mut latency_critical = step(4, 0);
+    latency_critical.resources.cpu = MilliCores(4_000);
+    (latency_critical.long_running, latency_critical.target_ms, latency_critical.per_worker) =
+        (true, 50, 1);
+    latency_critical.image = CompactString::const_new("serving");
+    world.submit(1, &submission(vec![latency_critical]));
     world.run(3 * SECOND);
-    let mut filler = step(4, 500);
-    filler.best_effort = true;
-    filler.image = CompactString::const_new("filler");
-    let id = world.submit(2, &submission(vec![filler]));
+    let mut best_effort = step(4, 500);
+    best_effort.best_effort = true;
+    best_effort.image = CompactString::const_new("filler");
+    let id = world.submit(2, &submission(vec![best_effort]));
     world.run(Duration::from_millis(300));
     assert_eq!(reason(&mut world, id), Some(Reason::ServingTasks));
 }
 
-/// The only worker with room is the one where the task failed last.
+/// Only the worker where the task last failed fits it.
 #[test]
 fn failed_there() {
     let mut world = World::new(88, 2, 1, Limits::default());
@@ -205,7 +206,7 @@
     assert_eq!((waiting.reason, waiting.workers), (Reason::FailedThere, vec![worker(0)]));
 }
 
-/// A gang is too large for its workers; it doesn't start in part.
+/// A gang that doesn't fit as a whole doesn't start in part.
 #[test]
 fn gang_too_large() {
     let mut world = world(87);
@@ -216,8 +217,8 @@
     assert_eq!(reason(&mut world, id), Some(Reason::Gang));
 }
 
-/// A task fails while the store is away. It isn't started again before the leader is acknowledged, since another
-/// one may lead by now; whoever looks must see that, and not a task that starts next and never does.
+/// A task that failed while the store is unavailable isn't restarted before the leader is
+/// acknowledged, and the reason says so.
 #[test]
 fn unproven() {
     let mut world = world(99);
