--- a/crates/workflow/src/scheduler/waits/reason.rs
+++ b/crates/workflow/src/scheduler/waits/reason.rs
@@ -21,27 +21,28 @@
     NoLabel,
     /// No worker has enough free capacity.
     NoRoom,
-    /// Workers that fit it are in backoff after failed or rejected starts.
+    /// Workers with free capacity are in backoff or quarantine after failed or rejected starts.
     Barred,
-    /// Workers that fit it run the maximum number of tasks of its step.
+    /// Workers with free capacity run the maximum number of tasks of its step.
     AntiAffinity,
-    /// Only the worker where it last failed fits it.
+    /// Only the worker where it last failed has free capacity.
     FailedThere,
-    /// Workers that fit it are about to go down for maintenance.
+    /// Workers with free capacity are about to go down for maintenance.
     Upkeep,
-    /// No worker that fits it is known to be allowed by its policy.
+    /// No worker with free capacity is known to be allowed by its policy.
     NoTicket,
-    /// Latency-critical tasks on the workers that fit it don't tolerate it.
+    /// Latency-critical tasks on the workers with free capacity don't tolerate it.
     ServingTasks,
-    /// On the workers that fit it, it would exclude many best-effort tasks; it waits briefly for a
-    /// better worker.
+    /// It would exclude many best-effort tasks from the workers with free capacity; it waits
+    /// briefly for a better worker.
     Company,
     /// It leaves free capacity to batch tasks.
     GivesWay,
     /// Workers were lost under it, so it needs an isolated start, where nothing else has just
     /// begun.
     Trial,
-    /// Members of its gang haven't ended yet, or no worker or rack fits the whole gang.
+    /// Members of its gang haven't ended yet, or no worker or rack has free capacity for the whole
+    /// gang.
     Gang,
     /// Nothing prevents its start: it is next.
     Next,
--- a/crates/workflow/src/scheduler/worker.rs
+++ b/crates/workflow/src/scheduler/worker.rs
@@ -57,9 +57,13 @@
     /// Ends up to this number are recorded, so the worker may forget them.
     pub(crate) ends_recorded: u64,
     pub(crate) attempts: BTreeMap<(TaskId, RunId), Attempt>,
+    /// Resources reserved for its runs.
     pub(crate) committed: Resources,
+    /// CPU requested by its best-effort runs, in millicores.
     pub(crate) best_effort_demand: u32,
+    /// Number of latency-critical runs.
     pub(crate) latency_critical: u32,
+    /// Number of best-effort runs.
     pub(crate) best_effort: u32,
     /// Number of runs in an isolated start.
     pub(crate) isolated_starts: u32,
