--- a/crates/workflow/src/bits.rs
+++ b/crates/workflow/src/bits.rs
@@ -1,8 +1,8 @@
-//! A set of small numbers, such as the tasks of a step that are done.
+//! A bit set of small integers, such as the finished tasks of a step.
 
 use serde::{Deserialize, Serialize};
 
-/// A set of numbers from 0, one bit each.
+/// A growable bit set of integers from 0.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Bits(Vec<u8>);
 
@@ -16,12 +16,12 @@
         self.0[byte] |= 1 << (index % 8);
     }
 
-    /// Whether `index` is in the set.
+    /// Returns whether `index` is in the set.
     pub fn contains(&self, index: u32) -> bool {
         self.0.get((index / 8) as usize).is_some_and(|byte| byte & (1 << (index % 8)) != 0)
     }
 
-    /// How many numbers the set holds.
+    /// Returns the number of members.
     pub fn count(&self) -> u32 {
         self.0.iter().map(|byte| byte.count_ones()).sum()
     }
--- a/crates/workflow/src/crash.rs
+++ b/crates/workflow/src/crash.rs
@@ -1,8 +1,8 @@
-//! Evidence that a task crashes the workers that start it.
+//! Attributes worker crashes to tasks.
 //!
-//! A worker that crashes takes all its runs along, and says nothing of the cause. A run that had just begun is suspected, one that
-//! had been at work is hardly to blame, and a run that was the only one to have just begun is the cause unless chance
-//! struck at that moment.
+//! A crashed worker loses all its runs without reporting a cause. Runs that had just started are
+//! suspects; runs that had worked for a while are probably not the cause. If exactly one run had
+//! just started, it is the most likely cause.
 
 use {
     crate::{RunId, WorkerId},
@@ -10,44 +10,46 @@
     std::fmt,
 };
 
-/// After so many crashes of any kind a task is given up; the platform's bound is two starts after the third.
+/// Number of crashes of any kind after which a task is given up. The platform allows at most two
+/// starts after the third.
 const MAX_CRASHES: usize = 5;
 
-/// After so many workers have certainly crashed right after its start a task is given up, whatever else crashed then.
+/// Number of confirmed worker crashes right after the task's start after which it is given up.
 const MAX_CERTAIN_CRASHES: usize = 3;
 
-/// After so many crashes right after its start a task is given up, however unsure each is.
+/// Number of crashes right after the task's start, confirmed or not, after which it is given up.
 const MAX_SUSPECTED_CRASHES: usize = 4;
 
-/// What a lost worker says of a run that was lost with it, from the weakest to the strongest.
+/// How strongly a worker's loss implicates one of its runs, from weakest to strongest.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub enum CrashEvidence {
     /// The run had been at work for a while.
     Late,
-    /// The worker may merely be cut off, or the run may never have begun.
+    /// The worker may only be unreachable, or the run may never have started.
     Unsure,
-    /// The worker crashed, and other runs had just begun there or other workers crashed at that moment, too.
+    /// The worker crashed, but other runs had also just started there, or other workers crashed at
+    /// the same time.
     Shared,
-    /// The worker crashed alone, and nothing else had just begun there.
+    /// Only this worker crashed, and no other run had just started there.
     Alone,
 }
 
-/// A worker that was lost under a run of a task.
+/// The loss of a worker under a run of a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The run. A crash is counted once, also if two leaders hear of it.
+    /// The run. Each run counts once, even if two leaders record its crash.
     pub run: RunId,
-    /// What it says of the run.
+    /// How strongly the loss implicates the run.
     pub evidence: CrashEvidence,
 }
 
-/// A run that is about to be started alone, or had just begun at a worker that fell silent. It is recorded: a successor that
-/// never heard of the run would otherwise start its task as if nothing had been.
+/// A run about to be started in isolation, or one that had just started on a worker that became
+/// unresponsive. It is recorded so that a new leader doesn't restart the task without this history.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AnnouncedRun {
     /// The run.
     pub run: RunId,
-    /// Where it is to run.
+    /// The worker it runs on.
     pub worker: WorkerId,
 }
 
@@ -62,12 +64,12 @@
     }
 }
 
-/// Whether a task's next start is better made alone.
+/// Returns whether the task's next start should be isolated.
 pub(crate) fn is_suspect(crashes: &[Crash]) -> bool {
     crashes.iter().any(|crash| crash.evidence >= CrashEvidence::Unsure)
 }
 
-/// Whether a task is given up.
+/// Returns whether the task has crashed too many workers to be started again.
 pub(crate) fn is_given_up(crashes: &[Crash]) -> bool {
     let count = |least| crashes.iter().filter(|crash| crash.evidence >= least).count();
     let last_alone = crashes.last().is_some_and(|crash| crash.evidence == CrashEvidence::Alone);
--- a/crates/workflow/src/directory.rs
+++ b/crates/workflow/src/directory.rs
@@ -1,54 +1,54 @@
-//! What workers say of themselves in the directory.
+//! Entries that workers publish in the directory.
 
 use {
     crate::WorkerId, compact_str::CompactString, egretlb_types::Resources, smallvec::SmallVec,
     std::net::SocketAddr,
 };
 
-/// Whether a worker takes work.
+/// Whether a worker accepts new tasks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkerState {
-    /// It takes work.
+    /// Accepts new tasks.
     Ready,
-    /// It leaves soon and must get no new work.
+    /// Shuts down soon; must get no new tasks.
     Draining,
-    /// It says neither, or its newest entry can't be read. It must get no new work, and it isn't about to
-    /// leave: what runs there goes on.
+    /// Unknown state, or the newest entry can't be read. Gets no new tasks, and its running tasks
+    /// continue.
     Other,
 }
 
-/// A worker as its own entry describes it.
+/// A worker, as described by its directory entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WorkerInfo {
-    /// The incarnation.
+    /// The worker's incarnation.
     pub id: WorkerId,
-    /// Where it takes orders.
+    /// Address that accepts commands.
     pub addr: SocketAddr,
     /// The service whose tasks it runs.
     pub service: CompactString,
-    /// Its data centre.
+    /// Data centre it runs in.
     pub data_centre: CompactString,
-    /// What it holds.
+    /// Total resources.
     pub capacity: Resources,
-    /// Its kind and its rack.
+    /// Machine type and rack.
     pub labels: SmallVec<[CompactString; 2]>,
-    /// Whether it takes work.
+    /// Whether it accepts new tasks.
     pub state: WorkerState,
 }
 
 impl WorkerInfo {
-    /// The rack that it stands in: the last of its labels.
+    /// Returns the worker's rack, which is its last label.
     pub fn rack(&self) -> Option<&str> {
         self.labels.last().map(CompactString::as_str)
     }
 
-    /// Whether the worker carries `label`, which may be its kind or its rack.
+    /// Returns whether the worker has `label` (a machine type or a rack).
     pub fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|own| own == label)
     }
 
-    /// The worker's newest entry can't be read. Whether it still takes work isn't known, so it gets none;
-    /// a worker that announced that it leaves still does.
+    /// Handles a newest entry that can't be read: a ready worker gets no new tasks until it can be,
+    /// and a draining worker keeps draining.
     pub fn mark_unreadable(&mut self) {
         if self.state == WorkerState::Ready {
             self.state = WorkerState::Other;
@@ -56,19 +56,20 @@
     }
 }
 
-/// A change of the directory.
+/// A change to the directory.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum DirectoryChange {
-    /// A worker came, or its entry changed.
+    /// A worker appeared, or its entry changed.
     Present(WorkerInfo),
-    /// A worker's entry is gone: it left, or it was silent for some heartbeats. It may still run.
+    /// A worker's entry was removed: it left, or missed several heartbeats. It may still be
+    /// running.
     Absent(WorkerId),
-    /// There is an entry and it can't be read.
+    /// The worker's entry exists but can't be read.
     Unreadable(WorkerId),
 }
 
 impl DirectoryChange {
-    /// The worker whose entry changed.
+    /// Returns the worker whose entry changed.
     pub fn worker(&self) -> &WorkerId {
         match self {
             DirectoryChange::Present(info) => &info.id,
--- a/crates/workflow/src/ids.rs
+++ b/crates/workflow/src/ids.rs
@@ -1,4 +1,4 @@
-//! Ids of workflows, tasks, runs and workers.
+//! Identifiers of workflows, steps, tasks, runs and workers.
 
 use {
     compact_str::CompactString,
@@ -6,15 +6,15 @@
     std::{fmt, str::FromStr},
 };
 
-/// Digits of a workflow's id as text.
+/// Number of hexadecimal digits in a workflow ID.
 const WORKFLOW_ID_DIGITS: usize = 16;
 
-/// Why a text isn't an id.
+/// Why a text can't be parsed as an ID.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IdError {
-    /// A workflow's id isn't 16 hexadecimal digits.
+    /// A workflow ID must be 16 hexadecimal digits.
     Workflow,
-    /// A task's id isn't a workflow's id and three numbers, joined by points.
+    /// A task ID must be a workflow ID and three numbers, separated by dots.
     Task,
 }
 
@@ -31,7 +31,7 @@
 
 impl std::error::Error for IdError {}
 
-/// A workflow, named by the client that submits it, so that submitting it again is idempotent.
+/// A workflow ID, chosen by the client so that resubmission is idempotent.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -55,18 +55,18 @@
     }
 }
 
-/// One task: the `index`th of a step, in one occurrence of its workflow.
+/// A task: the `index`th of a step in one occurrence of its workflow.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct TaskId {
-    /// The workflow that the task belongs to.
+    /// The workflow.
     pub workflow: WorkflowId,
-    /// Which repetition of the workflow, from 0.
+    /// Occurrence number of the workflow, from 0.
     pub occurrence: u32,
-    /// The step, from 0.
+    /// Step number, from 0.
     pub step: u16,
-    /// The task within its step, from 0.
+    /// Index within the step, from 0.
     pub index: u32,
 }
 
@@ -78,20 +78,20 @@
 }
 
 impl TaskId {
-    /// The step that the task belongs to.
+    /// Returns the task's step.
     pub fn step_id(self) -> StepId {
         StepId { workflow: self.workflow, occurrence: self.occurrence, step: self.step }
     }
 }
 
-/// A step, in one occurrence of its workflow.
+/// A step in one occurrence of its workflow.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct StepId {
-    /// The workflow that the step belongs to.
+    /// The workflow.
     pub workflow: WorkflowId,
-    /// Which repetition of the workflow, from 0.
+    /// Occurrence number of the workflow, from 0.
     pub occurrence: u32,
-    /// The step, from 0.
+    /// Step number, from 0.
     pub step: u16,
 }
 
@@ -106,7 +106,7 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, IdError> {
-        // A step's id is that of any of its tasks without the index.
+        // A step ID is a task ID without the index.
         let task: TaskId = format!("{text}.0").parse()?;
         Ok(task.step_id())
     }
@@ -129,8 +129,8 @@
     }
 }
 
-/// The number of a start of a task. A worker rejects a run that isn't higher than one that ended or
-/// was stopped there, so the numbers of a task only grow.
+/// A run of a task. Run numbers of a task only increase: a worker rejects a run that isn't higher
+/// than the last one that ended or was stopped there.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -150,7 +150,7 @@
     }
 }
 
-/// One incarnation of a worker: after a crash the VM's worker has another id.
+/// One incarnation of a worker: a restarted worker gets a new ID.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct WorkerId(pub CompactString);
 
--- a/crates/workflow/src/lib.rs
+++ b/crates/workflow/src/lib.rs
@@ -1,9 +1,9 @@
-//! Workflows: jobs of several steps whose tasks run on workers under leases.
+//! Workflows: multi-step jobs whose tasks run on workers under leases.
 //!
-//! This crate decides and does no input or output. [`Ledger`] folds the records of the store into the
-//! state of every workflow, and each process keeps one. [`Leadership`] decides which process acts;
-//! [`Scheduler`] is what the acting process places, renews, stops and records with. Time is an
-//! argument everywhere, effects are data.
+//! This crate makes decisions and performs no I/O. [`Ledger`] folds the store's records into the
+//! state of every workflow; each process keeps one. [`Leadership`] decides which process leads. The
+//! leader's [`Scheduler`] places, renews, stops and records tasks. Time is an argument everywhere,
+//! and effects are returned as data.
 
 mod bits;
 mod colocation;
--- a/crates/workflow/src/limits.rs
+++ b/crates/workflow/src/limits.rs
@@ -1,47 +1,46 @@
-//! Spans of time that the decisions rest on.
+//! Time limits of leadership, leases and commands.
 
 use std::time::Duration;
 
-/// Spans of leadership, leases and calls. The platform's own bounds come from its settings; the
-/// others are chosen here.
+/// Time limits and thresholds. Those marked as platform limits come from its settings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// The lease that is asked for, at most the platform's bound. It must outlast the change of a leader (2 s) and most of a pause of
-    /// the store; a longer one delays the restart of what ran on a worker that was lost.
+    /// Requested lease duration, at most the platform limit. It must outlast a leader change (2 s)
+    /// and most store outages; a longer one delays restarts after a worker is lost.
     pub lease: Duration,
-    /// Leases are counted on the worker's clock, which may be this much slow, in percent. The
-    /// platform's bound.
+    /// Maximum rate, in percent, by which a worker's clock may lag. Platform limit.
     pub clock_slow_percent: u32,
-    /// A leader whose last recorded sign of life was sent longer ago gives no more orders. It covers a
-    /// pause of the store of some seconds; a successor waits for this long for workers that it can't
-    /// reach, so a longer one delays those.
+    /// How long after sending its last recorded heartbeat a leader may send commands. Covers store
+    /// outages of a few seconds. A new leader waits this long for unreachable workers.
     pub authority: Duration,
-    /// A leader leaves a sign of life in the store at least this often; four fit into
-    /// [`Limits::takeover_after`], so one lost answer deposes nobody.
+    /// Maximum interval between a leader's heartbeats in the store. Four fit into
+    /// [`Limits::takeover_after`], so one lost answer doesn't depose a leader.
     pub heartbeat: Duration,
-    /// A follower that has read the store's end for this long without a sign of life takes over. Below
-    /// it, a slow store (240 ms an answer) would depose a leader that is well.
+    /// How long a follower that has read to the end of the store waits for a heartbeat before it
+    /// takes over. A shorter time would depose a healthy leader when the store is slow (240 ms per
+    /// answer).
     pub takeover_after: Duration,
-    /// Followers wait up to this much longer, each by its own share, so that one claims first.
+    /// Maximum additional wait of a follower, scaled by its takeover delay, so that one claims
+    /// first.
     pub takeover_spread: Duration,
-    /// A start with fewer failed runs in a row at its worker than this is taken for the task's own
-    /// fault. Two chance failures in a row at one worker are rare (0.25% at a fault rate of 5%).
+    /// Number of consecutive failed runs on a worker at which the failures are attributed to the
+    /// worker instead of the task. Two chance failures in a row are rare (0.25% at a failure rate
+    /// of 5%).
     pub worker_fault_threshold: u32,
-    /// How long a worker that fails what it starts gets nothing new.
+    /// How long a faulty worker gets no new tasks.
     pub quarantine: Duration,
-    /// How long a poll waits at a worker for the next end.
+    /// How long a poll waits on the worker for the next end.
     pub poll_wait: Duration,
-    /// The pause between an answered poll and the next at the same worker, so that ends that come
-    /// together are read by one call.
+    /// Pause between polls of a worker, so that simultaneous ends are read in one call.
     pub poll_gap: Duration,
-    /// A worker silent for longer gets no new work, and no order extends its leases, so that the time
-    /// at which all that runs there must have lapsed is settled.
+    /// Time since last contact after which a worker gets no new tasks and no lease renewals, which
+    /// fixes the time by which its runs have lapsed.
     pub unresponsive_after: Duration,
-    /// An order without an answer for this long is in doubt.
+    /// How long a command may be unanswered before its outcome counts as unconfirmed.
     pub command_timeout: Duration,
-    /// Ends and states are gathered for this long before they are recorded.
+    /// How long ends and progress are batched before they are recorded.
     pub record_gap: Duration,
-    /// How long the state of an ended workflow is kept. Twice the platform's bound for states.
+    /// How long the state of an ended workflow is kept. Twice the platform's retention of states.
     pub retention: Duration,
 }
 
@@ -67,17 +66,16 @@
 }
 
 impl Limits {
-    /// How long from the sending of a renewal all that it covers may go on at the worker, counted on
-    /// our clock.
+    /// Returns how long after a renewal is sent its runs may continue, on the leader's clock.
     pub fn lease_bound(&self) -> Duration {
         self.lease_bound_for(self.lease)
     }
 
-    /// The same for a lease of `span`.
+    /// Like [`Limits::lease_bound`], for a lease of `span`.
     pub fn lease_bound_for(&self, span: Duration) -> Duration {
         span + span * self.clock_slow_percent / 100 + LEASE_MARGIN
     }
 }
 
-/// Covers the rounding of clocks to milliseconds and the kill at the worker.
+/// Covers rounding of clocks to milliseconds and the time a worker needs to kill a task.
 const LEASE_MARGIN: Duration = Duration::from_millis(100);
--- a/crates/workflow/src/maintenance.rs
+++ b/crates/workflow/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep: what the operator asks for, and what the platform says of its VMs.
+//! Maintenance waves requested by the operator, and the platform's list of VMs.
 
 use {
     crate::WorkerId,
@@ -7,7 +7,7 @@
     std::{fmt, time::Duration},
 };
 
-/// A VM of the platform's. It outlives the workers that run on it, one after the other.
+/// A VM of the platform. Successive workers may run on it.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct VmId(pub CompactString);
 
@@ -17,78 +17,78 @@
     }
 }
 
-/// What a VM does.
+/// State of a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VmState {
     /// Its worker runs.
     Up,
-    /// It is on its way to another pool, under upkeep or down.
+    /// Moving to another pool, in maintenance or down.
     Away,
 }
 
-/// A VM as the platform lists it.
+/// A VM in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VmEntry {
     /// The VM.
     pub vm: VmId,
-    /// What it does.
+    /// The VM's state.
     pub state: VmState,
-    /// The worker on it.
+    /// The worker on the VM, if any.
     pub worker: Option<WorkerId>,
 }
 
-/// The platform's list of its VMs.
+/// The platform's list of VMs.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct VmList {
     /// The VMs.
     pub vms: Vec<VmEntry>,
-    /// Whether each row could be read. Otherwise a VM that isn't among them may be there all the same.
+    /// Whether all rows were readable. If not, a VM missing from the list may still exist.
     pub complete: bool,
 }
 
-/// The operator wants upkeep of these VMs.
+/// A request for maintenance of VMs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Wave {
     /// The VMs.
     pub vms: Vec<VmId>,
-    /// By when, from the operator's request.
+    /// Deadline, relative to the request.
     pub within: Duration,
-    /// So many may be down for it at one time.
+    /// Maximum number of VMs in maintenance at once.
     pub max_down: u32,
 }
 
-/// How far a wave is, for the operator.
+/// Progress of a wave, as reported to the operator.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WaveState {
-    /// Some of its VMs haven't been through their upkeep.
+    /// Maintenance of some VMs isn't complete.
     Running,
-    /// All that stay have been, and are back.
+    /// Maintenance of all remaining VMs is complete, and they are up again.
     Completed,
 }
 
-/// What became of an order to begin a VM's upkeep.
+/// Result of a request to start maintenance of a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MaintenanceResult {
-    /// It has begun, or was done before.
+    /// Started, or already done.
     Started,
-    /// Not begun: another process has given orders for this VM under a higher epoch.
+    /// Not started: another process has acted on this VM under a higher epoch.
     Outranked,
-    /// Not begun: the VM isn't up, or is leaving.
+    /// Not started: the VM isn't up, or is shutting down.
     Busy,
-    /// Not begun: the VM isn't one of this wave, or there is no such VM.
+    /// Not started: the VM isn't part of this wave or doesn't exist.
     NotInWave,
-    /// Not begun: too many calls at a time.
+    /// Not started: too many concurrent calls.
     Throttled,
-    /// Nobody can say.
+    /// Unknown whether it started.
     Unknown,
 }
 
-/// What is recorded of a wave: an order is recorded before it is given, so that a successor counts the VM
-/// as down, and repeats the order, which does no harm.
+/// Recorded progress of a wave. A request is recorded before it is sent, so that a new leader
+/// counts the VM as down and repeats the request, which is idempotent.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct WaveProgress {
-    /// VMs whose upkeep was ordered, and the worker that was on them then.
+    /// VMs for which maintenance was requested, and the worker on each at that time.
     pub requested: Vec<(VmId, Option<WorkerId>)>,
-    /// VMs that have been through it and are back, or aren't there any more.
+    /// VMs that are up again after maintenance, or no longer exist.
     pub finished: Vec<VmId>,
 }
--- a/crates/workflow/src/record.rs
+++ b/crates/workflow/src/record.rs
@@ -1,9 +1,9 @@
-//! The records that the system keeps in the platform's store: a key and its newest value.
+//! Records in the platform's store: a key and its newest value.
 //!
-//! All are kept in one partition, so that every reader sees them in the same order. A workflow has up
-//! to three records: its submission, a mark if it is cancelled, and its progress. The first two are
-//! written by whichever process takes the client's request and never change; the third is written by
-//! the leader alone, under its epoch.
+//! All records are in one partition, so that every reader sees them in the same order. A workflow
+//! has up to three records: submission, cancellation and progress. The first two are written by the
+//! process that handles the client's request and never change. Only the leader writes progress,
+//! under its epoch.
 
 use {
     crate::{
@@ -15,19 +15,19 @@
     std::{fmt, net::SocketAddr},
 };
 
-/// The version of the values' form; a process passes over a record of another one.
+/// Version of the value encoding. Records of other versions are skipped.
 const FORMAT_VERSION: u8 = 5;
 
-/// What a record is about.
+/// The subject of a record.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Key {
-    /// Who leads.
+    /// The current leader.
     Leader,
-    /// Which workers may run something by a leader's orders.
+    /// Workers that may run tasks on a leader's command.
     Roster,
-    /// What a leader has learned of images.
+    /// The learned interference model.
     InterferenceModel,
-    /// How far a wave of upkeep is.
+    /// Progress of a maintenance wave.
     Wave(u64),
     /// A workflow's submission.
     Submission(WorkflowId),
@@ -40,14 +40,14 @@
 /// Why a record can't be read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RecordError {
-    /// The key is of no known kind.
+    /// The key has an unknown form.
     UnknownKey,
-    /// The value is of another form.
+    /// The value has another format version.
     UnsupportedVersion {
-        /// The form's number.
+        /// The value's version.
         version: u8,
     },
-    /// The value is broken.
+    /// The value can't be decoded.
     Broken,
 }
 
@@ -68,7 +68,7 @@
 impl std::error::Error for RecordError {}
 
 impl Key {
-    /// The key as bytes in the store.
+    /// Encodes the key as stored.
     pub fn to_bytes(self) -> Vec<u8> {
         match self {
             Key::Leader => b"leader".to_vec(),
@@ -81,11 +81,11 @@
         }
     }
 
-    /// Reads a key.
+    /// Decodes a key.
     ///
     /// # Errors
     ///
-    /// The key is of no known kind.
+    /// The key has an unknown form.
     pub fn from_bytes(bytes: &[u8]) -> Result<Key, RecordError> {
         match bytes {
             b"leader" => return Ok(Key::Leader),
@@ -108,158 +108,159 @@
     }
 }
 
-/// Who leads, and a sign of its life.
+/// The current leader and its latest heartbeat.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The process.
+    /// Name of the leader's process.
     pub node: CompactString,
-    /// Its incarnation, drawn at random when it starts.
+    /// Random number drawn when the process starts.
     pub incarnation: u64,
-    /// Its term; also the fencing token of its orders.
+    /// The leader's term, which is also the fencing token of its commands.
     pub epoch: Epoch,
-    /// It has given up its term and gives no more orders.
+    /// Whether the leader has ended its term and sends no more commands.
     pub released: bool,
-    /// Where it takes records from followers.
+    /// Address that accepts records from followers.
     pub addr: Option<SocketAddr>,
-    /// The number of the append that this record came with: a leader that reads it knows that the append
-    /// took effect, also if its answer was lost.
+    /// Sequence number of the append that included this record. A leader that reads it knows that
+    /// the append succeeded, even if the answer was lost.
     pub seq: Seq,
-    /// How long it had led when it sent this, in milliseconds. The roster's times count from the same moment.
+    /// Time since the start of the term at which this was sent, in milliseconds. Times in the
+    /// roster use the same origin.
     pub term_ms: u64,
 }
 
-/// The workers that may run something by a leader's orders.
+/// Workers that may run tasks on a leader's command.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Roster {
-    /// The leader that wrote it.
+    /// Epoch of the leader that wrote it.
     pub epoch: Epoch,
     /// The workers.
     pub entries: Vec<RosterEntry>,
 }
 
-/// A worker that may run something by a leader's orders.
+/// A worker that may run tasks on a leader's command.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RosterEntry {
-    /// The incarnation.
+    /// The worker's incarnation.
     pub id: WorkerId,
-    /// Where it takes orders.
+    /// Address that accepts commands.
     pub addr: SocketAddr,
-    /// What a successor has to know of what runs there.
+    /// What a new leader must assume about its runs.
     pub state: RosterState,
 }
 
-/// What may run at a worker. Times are in milliseconds of the roster's writer's term: a successor learns from
-/// the writer's last sign of life how much of them is over, and needn't wait anew for what has been waited out.
+/// What may run on a worker. Times are in milliseconds of the writer's term. A new leader uses the
+/// writer's last heartbeat to work out how much of them has passed.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum RosterState {
-    /// It has answered in this term, and anything may be started there.
+    /// The worker answered in this term, and any task may be started there.
     Open,
-    /// It is silent: nothing is started or renewed there until a roster that says otherwise is recorded.
+    /// No start or renewal is sent until a roster that allows it is recorded.
     Unresponsive {
-        /// The runs that may be under way there, and no others.
+        /// All runs that may be active there.
         runs: Vec<(TaskId, RunId)>,
-        /// Those of them that had just begun when it fell silent, and may have crashed it.
+        /// Runs that had just started when contact was lost and may have crashed the worker.
         just_started: Vec<(TaskId, RunId)>,
-        /// When they must have lapsed.
+        /// When these runs have lapsed.
         lapses_ms: u64,
     },
-    /// It is about to leave: nothing is started there any more, but leases may still be renewed.
+    /// The worker is shutting down: no new starts, but leases may be renewed.
     Draining {
-        /// The runs that may be under way there, and no others.
+        /// All runs that may be active there.
         runs: Vec<(TaskId, RunId)>,
     },
-    /// It hasn't answered in this term: a leader before may have started anything there, this one nothing.
+    /// The worker hasn't answered in this term. An earlier leader may have started any task there.
     Unreconciled {
-        /// When all that runs there must have lapsed.
+        /// When all runs there have lapsed.
         lapses_ms: u64,
     },
 }
 
-/// A workflow as it was accepted. It holds all that its queue's configuration says of it, so that it
-/// can be finished when the queue is gone.
+/// An accepted workflow, with its queue's settings, so that it can finish after the queue is
+/// deleted.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// The queue.
+    /// The queue's name.
     pub route: CompactString,
     /// The service whose workers run the tasks.
     pub service: CompactString,
-    /// Urgency: 0 comes first.
+    /// Priority; 0 is most urgent.
     pub priority: u8,
-    /// After so many failed runs of one task the workflow has failed.
+    /// Number of failed runs of one task after which the workflow fails.
     pub max_attempts: u32,
-    /// The workflow should take at most this many times its longest chain, in thousandths.
+    /// Target duration of the workflow as a multiple of its critical path, in thousandths.
     pub stretch_permille: u32,
-    /// And this much more, in milliseconds.
+    /// Additional time in the target duration, in milliseconds.
     pub slack_ms: u32,
-    /// Set if a policy allows only some workers to run a step.
+    /// Set if a policy restricts which workers may run a step.
     pub advice: Option<AdviceTerms>,
-    /// When it was taken, by the time of day of the process that took it, in milliseconds since 1970.
+    /// Wall-clock time of acceptance, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// What the client sent.
+    /// The workflow as submitted.
     pub workflow: Workflow,
 }
 
 /// How a workflow ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// All tasks are done.
+    /// All tasks completed.
     Completed,
-    /// A task failed as often as its queue allows, or crashes the workers that start it.
+    /// A task used up its attempts, or crashes the workers that start it.
     Failed,
     /// It was cancelled.
     Cancelled,
 }
 
-/// What is recorded of a step.
+/// Recorded progress of a step.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct StepProgress {
-    /// Tasks that are done.
+    /// Finished tasks.
     pub done: Bits,
-    /// Failed runs. Each is counted once, however often its end is read.
+    /// Failed runs. Each counts once, however often its end is read.
     pub failed: Vec<(u32, RunId)>,
-    /// Workers that were lost under runs.
+    /// Runs whose worker was lost.
     pub crashes: Vec<(u32, Crash)>,
-    /// Runs that are started alone, or that may have crashed a silent worker.
+    /// Isolated starts, and runs that may have crashed an unresponsive worker.
     pub announced: Vec<(u32, AnnouncedRun)>,
-    /// Checkpoints of tasks that run nowhere.
+    /// Checkpoints of tasks that aren't running.
     pub saved: Vec<(u32, CompactString)>,
 }
 
-/// What is recorded of an occurrence that has begun and isn't complete.
+/// Recorded progress of an occurrence that has started but isn't complete.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct OccurrenceProgress {
-    /// Its number.
+    /// Occurrence number.
     pub number: u32,
-    /// Its steps.
+    /// Progress of each step.
     pub steps: Vec<StepProgress>,
 }
 
-/// What is recorded of a workflow beyond its submission.
+/// Recorded progress of a workflow.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// A task has been started.
+    /// Whether any task has been started.
     pub started: bool,
-    /// How the workflow ended, if it has.
+    /// How the workflow ended, or `None` if it hasn't.
     pub outcome: Option<Outcome>,
     /// All occurrences below this number are complete.
     pub complete_below: u32,
-    /// Complete ones above it.
+    /// Completed occurrences above `complete_below`.
     pub complete: Vec<u32>,
-    /// Occurrences under way.
+    /// Active occurrences.
     pub occurrences: Vec<OccurrenceProgress>,
 }
 
-/// A record: a key with its new value, or without one if the key is dropped.
+/// A key with its new value, or a tombstone that deletes the key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Record {
     /// The key.
     pub key: Vec<u8>,
-    /// The value; empty if the key is dropped.
+    /// The value; empty for a tombstone.
     pub value: Vec<u8>,
 }
 
 impl Record {
-    /// A record with a value.
+    /// Creates a record with a value.
     pub fn new(key: Key, value: &impl Serialize) -> Record {
         let mut buf = vec![FORMAT_VERSION];
         // Serializing plain data into memory can't fail.
@@ -268,12 +269,12 @@
         Record { key: key.to_bytes(), value: buf }
     }
 
-    /// A record that drops `key`.
+    /// Creates a record that deletes `key`.
     pub fn tombstone(key: Key) -> Record {
         Record { key: key.to_bytes(), value: Vec::new() }
     }
 
-    /// The record as processes hand it to each other: the key's length in a byte, key and value.
+    /// Encodes the record for transfer between processes: key length as one byte, key, value.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut buf = Vec::with_capacity(1 + self.size());
         buf.push(u8::try_from(self.key.len()).unwrap_or(u8::MAX));
@@ -282,7 +283,8 @@
         buf
     }
 
-    /// Reads what [`Record::to_bytes`] wrote; none if it is broken or not a client's record.
+    /// Decodes the output of [`Record::to_bytes`]. Returns `None` if it is malformed or not a
+    /// client's record.
     pub fn from_bytes(bytes: &[u8]) -> Option<Record> {
         let (length, rest) = bytes.split_first()?;
         let (key, value) = rest.split_at_checked(usize::from(*length))?;
@@ -294,17 +296,17 @@
         }
     }
 
-    /// Bytes of key and value.
+    /// Returns the size of key and value in bytes.
     pub fn size(&self) -> usize {
         self.key.len() + self.value.len()
     }
 }
 
-/// Reads a value that isn't empty.
+/// Decodes a non-empty value.
 ///
 /// # Errors
 ///
-/// The value is of another form, or broken.
+/// The value has another format version or can't be decoded.
 pub(crate) fn read_value<T: DeserializeOwned>(value: &[u8]) -> Result<T, RecordError> {
     match value.split_first() {
         Some((&FORMAT_VERSION, rest)) => {
--- a/crates/workflow/src/routes.rs
+++ b/crates/workflow/src/routes.rs
@@ -1,16 +1,16 @@
-//! The configuration in force: which requests go to which queue.
+//! The active configuration, which maps requests to queues.
 
 use {
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
 };
 
-/// What it costs to be told which workers may run a step, where a policy allows only some.
+/// Cost and validity of a policy decision on which workers may run a step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AdviceTerms {
-    /// How long an answer takes, in milliseconds.
+    /// Fixed duration of a decision, in milliseconds.
     pub decision_ms: u32,
-    /// How much longer for each worker that is asked about, in milliseconds.
+    /// Additional duration per candidate worker, in milliseconds.
     pub per_worker_ms: u32,
     /// How long a ticket is valid, in milliseconds.
     pub validity_ms: u32,
@@ -21,35 +21,35 @@
 pub struct Route {
     /// The queue's name.
     pub name: CompactString,
-    /// The host that clients name.
+    /// Host name that requests must have.
     pub host: CompactString,
-    /// What the path begins with.
+    /// Path prefix that requests must have.
     pub prefix: CompactString,
     /// The service whose workers run the tasks.
     pub service: CompactString,
-    /// Urgency: 0 comes first.
+    /// Priority; 0 is most urgent.
     pub priority: u8,
-    /// After so many failed runs of one task the workflow has failed.
+    /// Number of failed runs of one task after which the workflow fails.
     pub max_attempts: u32,
-    /// A workflow should take at most this many times its longest chain, in thousandths.
+    /// Target duration of a workflow as a multiple of its critical path, in thousandths.
     pub stretch_permille: u32,
-    /// And this much more, in milliseconds.
+    /// Additional time in the target duration, in milliseconds.
     pub slack_ms: u32,
-    /// Set if a policy allows only some workers to run a step.
+    /// Set if a policy restricts which workers may run a step.
     pub advice: Option<AdviceTerms>,
 }
 
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
-    /// The version; versions only grow.
+    /// Version number, which only increases.
     pub version: u64,
     /// All queues.
     pub routes: Vec<Route>,
 }
 
 impl RouteTable {
-    /// The queue of a request: of those for its host, the one with the longest prefix.
+    /// Returns the queue for a request: the one for its host with the longest matching path prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or(host);
         let fits = |route: &&Route| {
--- a/crates/workflow/src/spec.rs
+++ b/crates/workflow/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a client submits: steps, their tasks, and what each task takes.
+//! Submitted workflows: steps, their tasks, and the resources of each task.
 
 use {
     compact_str::CompactString,
@@ -8,104 +8,104 @@
     std::fmt,
 };
 
-/// The most bytes of the text that is handed to each task. The platform's limit.
+/// Maximum size of the payload that is passed to each task. Platform limit.
 pub const MAX_PAYLOAD_BYTES: usize = 4_000;
 
-/// The most steps of a workflow: a step's number travels as 16 bits, and a record of the largest
-/// workflow must fit into the store's 256 KiB.
+/// Maximum number of steps. Step numbers are 16 bits on the wire, and a record of the largest
+/// workflow must fit into 256 KiB.
 pub const MAX_STEPS: usize = 1_000;
 
-/// The most tasks of one step. Progress is a bit for each task, so a step of this size still fits
-/// into a record many times over.
+/// Maximum number of tasks per step. Progress takes one bit per task and must fit into a record.
 pub const MAX_TASKS_PER_STEP: u32 = 100_000;
 
-/// A step: tasks of one kind.
+/// A group of identical tasks.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks the step has, at least one.
+    /// Number of tasks, at least 1.
     pub count: u32,
-    /// What each task takes.
+    /// Resources of each task.
     pub resources: Resources,
-    /// A rough estimate of a task's run time, in milliseconds; 0 if unknown.
+    /// Estimated run time of a task, in milliseconds; 0 if unknown.
     pub estimate_ms: u32,
-    /// Earlier steps that must be done first.
+    /// Earlier steps that must finish first.
     pub after: SmallVec<[u16; 2]>,
-    /// Tasks save their progress and can resume elsewhere.
+    /// Whether tasks save checkpoints and can resume on another worker.
     pub checkpoints: bool,
-    /// Tasks only work while all of them are present.
+    /// Whether tasks only make progress while all of them run.
     pub gang: bool,
-    /// A gang that is slower when it spans racks.
+    /// Whether the gang is slower when it spans racks.
     pub rack_sensitive: bool,
-    /// Copies of a task may run beside each other; the first to finish counts.
+    /// Whether several attempts of a task may run at once; the first to finish counts.
     pub speculative: bool,
-    /// Tasks run until the workflow is cancelled.
+    /// Whether tasks run until the workflow is cancelled.
     pub long_running: bool,
-    /// The step's processor time isn't counted against a worker; its tasks get what is left over.
+    /// Whether tasks only use CPU time that others leave unused; it isn't reserved on the worker.
     pub best_effort: bool,
-    /// A label that the worker must have.
+    /// Label that the worker must have.
     pub label: Option<CompactString>,
-    /// The rack where the data is; elsewhere tasks take longer.
+    /// Rack that holds the input data; tasks are slower elsewhere.
     pub data_rack: Option<CompactString>,
-    /// At most so many tasks of the step on one worker; 0 for no limit.
+    /// Maximum number of the step's tasks on one worker; 0 for no limit.
     pub per_worker: u32,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Program that the tasks run. Tasks with the same image behave alike.
     pub image: CompactString,
-    /// The latency target of a task that serves, in milliseconds; 0 if it serves nobody.
+    /// Tail-latency target in milliseconds; 0 if the tasks aren't latency-critical.
     pub target_ms: u32,
-    /// So many tasks of a lasting step may be away at one time by our own doing, if the client says.
+    /// Maximum number of a long-running step's tasks that may be down at once through preemption,
+    /// migration or maintenance, if the client sets one.
     pub max_unavailable: Option<u32>,
 }
 
-/// Repetitions by the clock.
+/// A schedule of repetitions.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Repeat {
     /// When occurrence 0 is due, in milliseconds since 1970.
     pub first_ms: u64,
-    /// The time between occurrences, in milliseconds.
+    /// Interval between occurrences, in milliseconds.
     pub every_ms: u64,
-    /// How many there are.
+    /// Number of occurrences.
     pub count: u32,
 }
 
 /// A workflow as it was submitted.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Workflow {
-    /// Handed to each task as it is.
+    /// Passed to each task unchanged.
     pub payload: CompactString,
-    /// The steps; `after` refers to their places in this list.
+    /// The steps; `after` holds indexes into this list.
     pub steps: Vec<Step>,
-    /// Repetitions, if there are any.
+    /// The schedule, if the workflow repeats.
     pub repeat: Option<Repeat>,
 }
 
-/// Why a workflow isn't taken.
+/// Why a workflow is rejected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SpecError {
-    /// The body can't be read.
+    /// The body can't be parsed.
     Unreadable {
-        /// What the reader said.
+        /// The parser's message.
         detail: CompactString,
     },
-    /// It has no step.
+    /// There are no steps.
     NoSteps,
-    /// It has more than [`MAX_STEPS`] steps.
+    /// There are more than [`MAX_STEPS`] steps.
     TooManySteps,
     /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
     PayloadTooLong,
-    /// A step has no task, or more than [`MAX_TASKS_PER_STEP`].
+    /// A step has no tasks, or more than [`MAX_TASKS_PER_STEP`].
     TaskCount {
-        /// The step.
+        /// The step's index.
         step: usize,
     },
-    /// A step waits for itself, a later one or one that isn't there. Steps may only wait for earlier
-    /// ones, which rules out cycles.
+    /// A step depends on one that isn't earlier. Only earlier steps are allowed, which rules out
+    /// cycles.
     After {
-        /// The step.
+        /// The step's index.
         step: usize,
-        /// What it waits for.
+        /// The step it depends on.
         after: u16,
     },
-    /// Repetitions without a time between them.
+    /// Repetitions with an interval of zero.
     Repeat,
 }
 
@@ -139,11 +139,11 @@
 impl std::error::Error for SpecError {}
 
 impl Workflow {
-    /// Checks the limits of each part and that steps wait only for earlier ones.
+    /// Checks all limits, and that steps depend only on earlier ones.
     ///
     /// # Errors
     ///
-    /// The first fault found.
+    /// The first violation.
     pub fn check(&self) -> Result<(), SpecError> {
         if self.payload.len() > MAX_PAYLOAD_BYTES {
             return Err(SpecError::PayloadTooLong);
@@ -168,17 +168,17 @@
         }
     }
 
-    /// How many times the steps run.
+    /// Returns how many times the steps run.
     pub fn occurrences(&self) -> u32 {
         self.repeat.map_or(1, |repeat| repeat.count.max(1))
     }
 
-    /// Whether a step runs until the workflow is cancelled.
+    /// Returns whether any step runs until the workflow is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|step| step.long_running)
     }
 
-    /// The longest chain of estimated run times, in milliseconds.
+    /// Returns the estimated duration of the critical path, in milliseconds.
     pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
@@ -188,7 +188,8 @@
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// Estimated work of one occurrence, in core-milliseconds.
+    /// Returns the estimated work of one occurrence in core-milliseconds, counting an accelerator
+    /// as eight cores.
     pub fn work(&self) -> u64 {
         let of = |step: &Step| {
             let cpu =
