--- a/crates/workflow/src/colocation/groups.rs
+++ b/crates/workflow/src/colocation/groups.rs
@@ -1,9 +1,9 @@
-//! Which serving images stand together well, and which serving tasks are better moved.
+//! Groups latency-critical images that tolerate the same best-effort images, and finds tasks to
+//! migrate so that each worker holds few groups.
 //!
-//! Load: lasting serving tasks of several images hold four fifths of what the workers have, and come, go and
-//! fail all the time, so each new one goes where something has just left. After half a minute nearly every
-//! worker holds some of each image, and a filler that presses on only two of five finds none that bears it.
-//! Most fillers press on the same serving images as others do, so serving images fall into a few kinds.
+//! Without migration nearly every worker soon runs tasks of every image, since each new task goes
+//! where capacity was just freed. A best-effort image that interferes with only some of them then
+//! finds no worker that tolerates it.
 
 use {
     super::{
@@ -15,69 +15,72 @@
     std::collections::BTreeMap,
 };
 
-/// A filler with this weight beside a serving image, for a whole worker, finds no room there: one that uses a
-/// tenth of the worker takes 0.6, about all that is left at the peak of the serving task's load.
+/// Interference weight at which a latency-critical image tolerates no task of a best-effort image.
+/// A task that uses a tenth of the worker then takes 0.6 of the headroom.
 const BLOCKING_WEIGHT: f32 = 6.0;
 
-/// The room for fillers that must be opened for each task that is moved, in cores. It is away for a second or
-/// two; a core serves a filler's task each other second.
+/// Minimum gain in cores for best-effort tasks per migrated task, which is down for one to two
+/// seconds.
 const MIN_GAIN_CORES: f32 = 1.0;
 
-/// Images that keep out this share of the fillers' demand together, and neither alone, are of different
-/// kinds.
+/// Two images are in different groups if together they reject this much more of the best-effort
+/// demand than either does alone.
 const GROUP_THRESHOLD: f32 = 0.1;
 
-/// So many images at hosts, those whose leaving opens most, are considered in a pass.
+/// Maximum number of task groups considered for migration per pass, those with the highest gain
+/// first.
 const MAX_CANDIDATES: usize = 12;
 
-/// How much of the filler work in demand could run beside these serving images, as a share of it.
+/// Returns the share of best-effort demand that the given latency-critical images tolerate, from 0
+/// to 1.
 pub fn acceptance(
     model: &InterferenceModel,
     demand: &Demand,
     latency_critical: impl Iterator<Item = ImageNo> + Clone,
 ) -> f32 {
-    let (mut open, mut all) = (0.0, 0.0);
+    let (mut accepted, mut total) = (0.0, 0.0);
     for (best_effort, cores) in demand.iter() {
         let weight = |image| model.interference_bound(image, best_effort, 1.0);
-        let hardest = latency_critical.clone().map(weight).fold(0.0, f32::max);
-        open += cores * (1.0 - hardest / BLOCKING_WEIGHT).max(0.0);
-        all += cores;
+        let max_weight = latency_critical.clone().map(weight).fold(0.0, f32::max);
+        accepted += cores * (1.0 - max_weight / BLOCKING_WEIGHT).max(0.0);
+        total += cores;
     }
-    if all > 0.0 { open / all } else { 1.0 }
+    if total > 0.0 { accepted / total } else { 1.0 }
 }
 
-/// A worker, as far as it matters to where serving tasks stand.
+/// A worker as a source or destination of migrations.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// What is left of its capacity.
+    /// Unreserved resources.
     pub free: Resources,
-    /// Processor time that is left to fillers, in cores.
+    /// CPU time available to best-effort tasks, in cores.
     pub best_effort_cores: f32,
-    /// The images that serve there, and how many tasks of each.
+    /// Latency-critical images and the number of tasks of each.
     pub latency_critical: SmallVec<[(ImageNo, u32); 4]>,
 }
 
-/// A serving task that may be moved.
+/// A latency-critical task that may be migrated.
 #[derive(Clone, Copy, Debug)]
 pub struct MovableTask {
-    /// Where it runs: the host's place in the list.
+    /// Index of its current host.
     pub host: usize,
     /// Its image.
     pub image: ImageNo,
-    /// What it holds of its host's capacity.
+    /// Resources reserved for it.
     pub resources: Resources,
 }
 
-/// Serving tasks that are better stopped, to be started elsewhere: one, or two that take each other's place.
+/// Tasks to stop and restart elsewhere: one to migrate, or two to swap.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Regrouping {
-    /// The task's place in the list.
+    /// Index of the task.
     pub first: usize,
-    /// The one that it changes places with.
+    /// Index of the task it is swapped with.
     pub second: Option<usize>,
 }
 
-/// How open workers are to fillers by the images that serve there.
+/// Computes and caches how much best-effort demand combinations of latency-critical images
+/// tolerate.
 #[derive(Debug)]
 pub struct ColocationGroups<'a> {
     model: &'a InterferenceModel,
@@ -86,7 +89,7 @@
     differ_cache: BTreeMap<(ImageNo, ImageNo), bool>,
 }
 
-/// Images that serve at a worker, in order.
+/// Sorted latency-critical images of a worker.
 type Images = SmallVec<[ImageNo; 8]>;
 
 impl Host {
@@ -103,7 +106,7 @@
             .map_or(0, |(_, count)| *count)
     }
 
-    /// What serves there once a task of an image has left.
+    /// Returns the images left once one task of `image` has moved away.
     fn images_without_one(&self, image: ImageNo) -> Images {
         let mut images = self.images();
         if self.count(image) == 1 {
@@ -114,7 +117,7 @@
 }
 
 impl<'a> ColocationGroups<'a> {
-    /// By what is known of pairs, and what fillers ask for.
+    /// Creates an empty cache over a model and the current demand.
     pub fn new(model: &'a InterferenceModel, demand: &'a Demand) -> ColocationGroups<'a> {
         ColocationGroups {
             model,
@@ -128,27 +131,27 @@
         if let Some(acceptance) = self.acceptance_cache.get(&images) {
             return *acceptance;
         }
-        let open = acceptance(self.model, self.demand, images.iter().copied());
-        self.acceptance_cache.insert(images, open);
-        open
+        let value = acceptance(self.model, self.demand, images.iter().copied());
+        self.acceptance_cache.insert(images, value);
+        value
     }
 
-    /// Whether two images are of different kinds: they keep out fillers together that neither keeps out alone.
+    /// Returns whether two images are in different colocation groups.
     fn in_different_groups(&mut self, left: ImageNo, right: ImageNo) -> bool {
         let pair = (left.min(right), left.max(right));
         if let Some(differ) = self.differ_cache.get(&pair) {
             return *differ;
         }
         let alone = |groups: &mut Self, image| groups.acceptance(Images::from_slice(&[image]));
-        let lower_alone = alone(self, left).min(alone(self, right));
+        let lower_acceptance = alone(self, left).min(alone(self, right));
         let both = self.acceptance(Images::from_slice(&[pair.0, pair.1]));
-        let in_different_groups = left != right && lower_alone - both > GROUP_THRESHOLD;
+        let in_different_groups = left != right && lower_acceptance - both > GROUP_THRESHOLD;
         self.differ_cache.insert(pair, in_different_groups);
         in_different_groups
     }
 
-    /// The room that would be open without an image and its like, in cores, for each of the tasks that would
-    /// have to leave: so what has begun to be sorted is sorted first.
+    /// Returns the cores gained for best-effort tasks if all tasks of the image's group left, per
+    /// leaving task. Dividing by the number of tasks prefers hosts that are nearly sorted.
     fn cores_gained_without(&mut self, host: &Host, image: ImageNo) -> f32 {
         let images = host.images();
         let others: Images = images
@@ -161,20 +164,20 @@
         }
         let stay: u32 = others.iter().map(|other| host.count(*other)).sum();
         let leave = host.latency_critical.iter().map(|(_, count)| count).sum::<u32>() - stay;
-        let opened = self.acceptance(others) - self.acceptance(images);
-        host.best_effort_cores * opened / leave.max(1) as f32
+        let gained = self.acceptance(others) - self.acceptance(images);
+        host.best_effort_cores * gained / leave.max(1) as f32
     }
 
-    /// The room that one more task of an image would close beside these, in cores.
+    /// Returns the cores lost for best-effort tasks if a task of `image` joined `images`.
     fn cores_lost_with(&mut self, best_effort_cores: f32, images: Images, image: ImageNo) -> f32 {
-        let mut more = images.clone();
-        if let Err(place) = more.binary_search(&image) {
-            more.insert(place, image);
+        let mut with_image = images.clone();
+        if let Err(index) = with_image.binary_search(&image) {
+            with_image.insert(index, image);
         }
-        best_effort_cores * (self.acceptance(images) - self.acceptance(more))
+        best_effort_cores * (self.acceptance(images) - self.acceptance(with_image))
     }
 
-    /// How many tasks of other kinds one of an image has beside it at a host.
+    /// Returns the number of tasks on the host that are in another group than `image`.
     fn other_group_tasks(&mut self, host: &Host, image: ImageNo) -> u32 {
         let mut other_group_tasks = 0;
         for (other, count) in &host.latency_critical {
@@ -185,8 +188,8 @@
         other_group_tasks
     }
 
-    /// The move, or change of places, that opens most to fillers, if any is worth it. `is_eligible` tells whether a
-    /// task may run at a host, room apart.
+    /// Returns the migration or swap with the highest gain, if one is worthwhile. `is_eligible`
+    /// tells whether a task may run on a host, apart from capacity.
     pub fn best_regrouping(
         &mut self,
         hosts: &[Host],
@@ -196,14 +199,14 @@
         let groups = self.task_groups(hosts, tasks);
         let mut best: Option<(f32, Regrouping)> = None;
         for group in groups.iter().take(MAX_CANDIDATES) {
-            let least = |best: &Option<(f32, Regrouping)>| best.map_or(0.0, |(gain, _)| gain);
-            for (place, host) in hosts.iter().enumerate() {
+            let best_gain = |best: &Option<(f32, Regrouping)>| best.map_or(0.0, |(gain, _)| gain);
+            for (index, host) in hosts.iter().enumerate() {
                 let gain = self.gain_of_move(group, host) - MIN_GAIN_CORES;
-                if place == group.host || gain <= least(&best) {
+                if index == group.host || gain <= best_gain(&best) {
                     continue;
                 }
                 let fits = |task: &&usize| {
-                    tasks[**task].resources.fits(&host.free) && is_eligible(**task, place)
+                    tasks[**task].resources.fits(&host.free) && is_eligible(**task, index)
                 };
                 if let Some(first) = group.tasks.iter().find(fits) {
                     best = Some((gain, Regrouping { first: *first, second: None }));
@@ -211,7 +214,7 @@
             }
             for other in &groups {
                 let gain = self.gain_of_swap(hosts, group, other) - 2.0 * MIN_GAIN_CORES;
-                if other.host == group.host || gain <= least(&best) {
+                if other.host == group.host || gain <= best_gain(&best) {
                     continue;
                 }
                 let can_swap_pair = |first: usize, second: usize| {
@@ -233,11 +236,11 @@
         best.map(|(_, regrouping)| regrouping)
     }
 
-    /// Groups tasks by host and image, those first whose leaving opens most.
+    /// Groups tasks by host and image, sorted by descending gain.
     fn task_groups(&mut self, hosts: &[Host], tasks: &[MovableTask]) -> Vec<TaskGroup> {
         let mut by_host_and_image: BTreeMap<(usize, ImageNo), Vec<usize>> = BTreeMap::new();
-        for (place, task) in tasks.iter().enumerate() {
-            by_host_and_image.entry((task.host, task.image)).or_default().push(place);
+        for (index, task) in tasks.iter().enumerate() {
+            by_host_and_image.entry((task.host, task.image)).or_default().push(index);
         }
         let mut groups: Vec<TaskGroup> = Vec::with_capacity(by_host_and_image.len());
         for ((host, image), tasks) in by_host_and_image {
@@ -249,7 +252,8 @@
         groups
     }
 
-    /// What it opens, in cores, if one of these tasks goes to a host; 0 unless it has fewer strangers there.
+    /// Returns the cores gained by moving one task of the group to a host, or 0 unless it shares
+    /// the destination with fewer tasks of other groups.
     fn gain_of_move(&mut self, group: &TaskGroup, host: &Host) -> f32 {
         if group.gain_cores <= 0.0
             || self.other_group_tasks(host, group.image) >= group.other_group_tasks
@@ -259,42 +263,42 @@
         group.gain_cores - self.cores_lost_with(host.best_effort_cores, host.images(), group.image)
     }
 
-    /// What it opens, in cores, if one of these tasks and one of the others change places; 0 unless they
-    /// have fewer strangers beside them then. Without this they might change back and forth.
+    /// Returns the cores gained by swapping a task of each group, or 0 unless they then share their
+    /// hosts with fewer tasks of other groups, which prevents swapping back and forth.
     fn gain_of_swap(&mut self, hosts: &[Host], group: &TaskGroup, other: &TaskGroup) -> f32 {
         if group.image == other.image || group.gain_cores + other.gain_cores <= 0.0 {
             return 0.0;
         }
-        let (here, there) = (&hosts[group.host], &hosts[other.host]);
-        let after =
-            self.other_group_tasks(there, group.image) + self.other_group_tasks(here, other.image);
-        // Neither stands beside the one that it replaces.
-        let replaced = 2 * u32::from(self.in_different_groups(group.image, other.image));
-        if after >= group.other_group_tasks + other.other_group_tasks + replaced {
+        let (source, destination) = (&hosts[group.host], &hosts[other.host]);
+        let others_after = self.other_group_tasks(destination, group.image)
+            + self.other_group_tasks(source, other.image);
+        // `others_after` still counts each task beside the one it replaces.
+        let swapped_pair = 2 * u32::from(self.in_different_groups(group.image, other.image));
+        if others_after >= group.other_group_tasks + other.other_group_tasks + swapped_pair {
             return 0.0;
         }
-        let closed = self.cores_lost_with(
-            here.best_effort_cores,
-            here.images_without_one(group.image),
+        let lost = self.cores_lost_with(
+            source.best_effort_cores,
+            source.images_without_one(group.image),
             other.image,
         ) + self.cores_lost_with(
-            there.best_effort_cores,
-            there.images_without_one(other.image),
+            destination.best_effort_cores,
+            destination.images_without_one(other.image),
             group.image,
         );
-        group.gain_cores + other.gain_cores - closed
+        group.gain_cores + other.gain_cores - lost
     }
 }
 
-/// Movable tasks of one image at one host.
+/// Movable tasks of one image on one host.
 struct TaskGroup {
     host: usize,
     image: ImageNo,
-    /// Their places in the list of movable tasks.
+    /// Indexes into the list of movable tasks.
     tasks: Vec<usize>,
-    /// The room that opens for each that leaves, in cores.
+    /// Cores gained for best-effort tasks per leaving task.
     gain_cores: f32,
-    /// How many tasks of other kinds are beside each.
+    /// Number of tasks on the host that are in another group.
     other_group_tasks: u32,
 }
 
--- a/crates/workflow/src/colocation/load.rs
+++ b/crates/workflow/src/colocation/load.rs
@@ -1,50 +1,50 @@
-//! The headroom that a workflow's serving tasks have by themselves, followed over time.
+//! Tracks the headroom that a workflow's latency-critical tasks have without best-effort tasks.
 
 use {egretlb_types::Time, std::time::Duration};
 
-/// The share of an error that is taken for a change of the level; the rest is noise of figures.
+/// Share of a prediction error attributed to a change of level.
 const LEVEL_GAIN: f32 = 0.5;
 
-/// And the share that is taken for a change of the slope.
+/// Share of a prediction error attributed to a change of slope.
 const SLOPE_GAIN: f32 = 0.06;
 
-/// Slopes beyond this are noise. A load that swings threefold within 14 to 20 s changes the headroom by 0.5
-/// a second at its steepest.
+/// Maximum slope per second. A load that varies threefold over 14 to 20 s changes the headroom by at most
+/// 0.5 per second.
 const MAX_SLOPE: f32 = 0.6;
 
-/// Figures are 400 ms old on average when they are used, and what follows from them lasts as long again.
+/// Forecast span: samples are 400 ms old on average, and decisions hold for about as long.
 const FORECAST_SPAN: Duration = Duration::from_millis(500);
 
-/// Rounds that follow each other faster count as if so much had passed, and later ones as a second.
+/// Bounds on the elapsed time per update.
 const MIN_ELAPSED: Duration = Duration::from_millis(50);
 const MAX_ELAPSED: Duration = Duration::from_secs(1);
 
-/// The own headroom of a workflow's serving tasks.
+/// Level and slope of a workflow's headroom without best-effort tasks.
 #[derive(Clone, Debug)]
 pub(super) struct OwnHeadroom {
     level: f32,
-    /// How it changes, each second.
+    /// Change per second.
     slope: f32,
-    at: Time,
+    updated_at: Time,
 }
 
 impl OwnHeadroom {
     pub(super) fn new(now: Time, measured: f32) -> OwnHeadroom {
-        OwnHeadroom { level: measured, slope: 0.0, at: now }
+        OwnHeadroom { level: measured, slope: 0.0, updated_at: now }
     }
 
-    /// Takes in what it was measured as.
+    /// Updates level and slope with a new measurement.
     pub(super) fn update(&mut self, now: Time, measured: f32) {
-        let elapsed = now.since(self.at).clamp(MIN_ELAPSED, MAX_ELAPSED).as_secs_f32();
+        let elapsed = now.since(self.updated_at).clamp(MIN_ELAPSED, MAX_ELAPSED).as_secs_f32();
         let expected = self.level + self.slope * elapsed;
         let error = measured - expected;
         self.level = expected + LEVEL_GAIN * error;
         self.slope = (self.slope + SLOPE_GAIN * error / elapsed).clamp(-MAX_SLOPE, MAX_SLOPE);
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// What it is expected to be soon.
-    pub(super) fn outlook(&self) -> f32 {
+    /// Returns the forecast after [`FORECAST_SPAN`].
+    pub(super) fn forecast(&self) -> f32 {
         (self.level + self.slope * FORECAST_SPAN.as_secs_f32()).max(0.0)
     }
 }
--- a/crates/workflow/src/colocation/mod.rs
+++ b/crates/workflow/src/colocation/mod.rs
@@ -1,16 +1,19 @@
-//! Tasks that share workers: how fillers press on serving tasks, and what follows from it.
+//! Colocation of latency-critical and best-effort tasks on shared workers.
 //!
-//! Serving tasks last, and their tail must stay below a target. Fillers end soon and use what the others leave
-//! unused; they lift the tail of serving tasks, some pairs of images greatly and most hardly.
+//! Latency-critical tasks are long-running, and their tail latency must stay below a target.
+//! Best-effort tasks are short and use the CPU time that others leave unused. They raise the tail
+//! latency of the latency-critical tasks beside them, for some pairs of images greatly and for most
+//! hardly.
 //!
-//! - In: the figures that workers list, as [`Observation`] at each worker's [`Neighbours`], and what fillers ask for.
-//! - Belief: a weight for each pair of images with its error ([`InterferenceModel`]), the headroom that each workflow's
-//!   serving tasks have by themselves (`load`), the [`Demand`] of fillers.
-//! - Out: whether a worker's serving tasks bear one more filler ([`Colocation::added_interference`]), at what pace fillers
-//!   may work ([`Colocation::tolerated_paces`]), how much of the fillers' demand a worker is open to
-//!   ([`Colocation::acceptance`]), and which serving tasks are better moved ([`ColocationGroups::best_regrouping`]).
-//!
-//! Nothing here knows of workflows' steps, records or the leader; the scheduler asks and acts.
+//! - Input: the samples that workers report, as [`Observation`]s in each worker's [`Neighbours`],
+//!   and the best-effort demand.
+//! - Model: a weight with a standard error for each pair of images ([`InterferenceModel`]), the
+//!   headroom of each workflow without best-effort tasks (`load`), and the [`Demand`].
+//! - Output: whether a worker tolerates one more best-effort task
+//!   ([`Colocation::added_interference`]), the pace of its best-effort tasks
+//!   ([`Colocation::tolerated_paces`]), the share of best-effort demand that it accepts
+//!   ([`Colocation::acceptance`]), and which latency-critical tasks to migrate
+//!   ([`ColocationGroups::best_regrouping`]).
 
 mod caution;
 mod demand;
@@ -36,43 +39,44 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Figures are renewed each quarter of a second.
+/// Interval between updates of the model.
 const LEARN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A figure that was heard so long ago isn't compared with others: the load has changed since.
+/// Maximum age of samples that are compared, since load changes within seconds.
 const MAX_SAMPLE_AGE: Duration = Duration::from_millis(500);
 
-/// Serving tasks are left this headroom. 1 just meets their target; half of the figures stray by less than 5%.
+/// Minimum headroom left to latency-critical tasks; 1 just meets the target.
 const SAFE_HEADROOM: f32 = 1.05;
 
-/// The headroom of a serving task that has no figure yet: where tasks alone are at the peak of their load.
+/// Assumed headroom of a latency-critical task without samples, which is typical of peak load.
 const DEFAULT_OWN_HEADROOM: f32 = 1.6;
 
-/// A filler that takes less than this from a serving task's headroom isn't worth holding back or avoiding: a
-/// headroom is 2.2 at the usual load, and half of the figures stray by 5%.
+/// Interference below this is ignored: headroom is 2.2 at typical load, and half of the samples are
+/// off by 5%.
 const MIN_NOTICEABLE_INTERFERENCE: f32 = 0.08;
 
-/// A filler works at this share of its pace at least, or not at all: below it its figures show nothing.
+/// Minimum pace of a best-effort task that runs at all; a slower one shows no measurable effect.
 const MIN_PACE: f32 = 0.1;
 
-/// Little is known of a filler while what is feared of it is so many times what is likely.
+/// An estimate is uncertain if its upper bound is at least this many times the expected value.
 const UNCERTAIN_RATIO: f32 = 3.0;
 
-/// Pressures are compared in steps of this size; finer ones are noise.
+/// Resolution at which interference is compared.
 const INTERFERENCE_STEP: f32 = 0.1;
 
-/// What the leader believes of tasks that share workers.
+/// The leader's model of colocated tasks.
 #[derive(Debug)]
 pub(crate) struct Colocation {
     model: InterferenceModel,
-    /// The serving tasks of each workflow that has some.
+    /// Headroom of each workflow with latency-critical tasks.
     loads: BTreeMap<WorkflowId, OwnHeadroom>,
     demand: Demand,
     caution: Caution,
-    learned_at: Time,
+    updated_at: Time,
 }
 
-/// The headroom that tasks of one workflow at one worker show: the median, since one in twenty strays widely.
+/// Returns the median headroom of a workflow's tasks on one worker. `ratios` are tail latencies as
+/// multiples of the target.
 pub(crate) fn median_headroom(ratios: impl Iterator<Item = f32>) -> f32 {
     let mut headrooms: SmallVec<[(f32, f32); 8]> =
         ratios.map(|ratio| (headroom_of(ratio), 1.0)).collect();
@@ -86,7 +90,7 @@
             loads: BTreeMap::new(),
             demand: Demand::default(),
             caution: Caution::new(now),
-            learned_at: now,
+            updated_at: now,
         }
     }
 
@@ -95,17 +99,17 @@
         &self.model
     }
 
-    /// What fillers have asked for lately.
+    /// Returns the recent demand of best-effort tasks.
     pub(crate) fn demand(&self) -> &Demand {
         &self.demand
     }
 
-    /// The number of an image.
+    /// Returns the number of an image.
     pub(crate) fn image(&mut self, name: &CompactString) -> ImageNo {
         self.model.image(name)
     }
 
-    /// What fillers used at a worker, from the processor time in use by image, in cores.
+    /// Converts the CPU use of best-effort images on a worker, in cores, to an exposure.
     pub(crate) fn exposure(
         &mut self,
         worker: &Neighbours,
@@ -121,27 +125,27 @@
         exposure
     }
 
-    /// Takes in how long fillers have waited for a worker, the longest of them.
+    /// Updates the caution factor with the longest current wait of a best-effort task.
     pub(crate) fn adapt_caution(&mut self, now: Time, longest: Duration) {
         self.caution.adapt(now, longest);
     }
 
-    /// Whether another round of learning is due.
+    /// Returns whether the model is due for an update.
     pub(crate) fn is_due(&self, now: Time) -> bool {
-        now.since(self.learned_at) >= LEARN_INTERVAL
+        now.since(self.updated_at) >= LEARN_INTERVAL
     }
 
-    /// Learns from the last figures of all workers, and takes in what fillers ask for, in cores. Returns
-    /// whether there were figures.
+    /// Updates the model with recent samples of all workers, and the demand with `demand_cores`.
+    /// Returns whether there were samples.
     pub(crate) fn learn<'a>(
         &mut self,
         now: Time,
         workers: impl Iterator<Item = &'a Neighbours>,
-        asked: impl IntoIterator<Item = (ImageNo, f32)>,
+        demand_cores: impl IntoIterator<Item = (ImageNo, f32)>,
     ) -> bool {
-        let elapsed = now.since(self.learned_at);
-        self.learned_at = now;
-        self.demand.update(elapsed, asked);
+        let elapsed = now.since(self.updated_at);
+        self.updated_at = now;
+        self.demand.update(elapsed, demand_cores);
         let mut groups: BTreeMap<WorkflowId, (ImageNo, SmallVec<[&Sample; 8]>)> = BTreeMap::new();
         for observation in workers.flat_map(Neighbours::observations) {
             if now.since(observation.at) < MAX_SAMPLE_AGE {
@@ -164,12 +168,12 @@
         !groups.is_empty()
     }
 
-    /// Forgets what is known of a workflow's load.
+    /// Drops the headroom of a workflow that ended.
     pub(crate) fn forget(&mut self, workflow: WorkflowId) {
         self.loads.remove(&workflow);
     }
 
-    /// Notes at a worker the own headrooms of the tasks that serve there.
+    /// Updates the forecast headroom of a worker's latency-critical tasks.
     pub(crate) fn update_own_headroom(
         &self,
         worker: &mut Neighbours,
@@ -177,18 +181,19 @@
     ) {
         let own = |(workflow, image)| {
             let load = self.loads.get(&workflow);
-            (image, load.map_or(DEFAULT_OWN_HEADROOM, OwnHeadroom::outlook))
+            (image, load.map_or(DEFAULT_OWN_HEADROOM, OwnHeadroom::forecast))
         };
         worker.update_own_headroom(latency_critical.map(own));
     }
 
-    /// What fillers may take in all, as far as is known, from the headroom of a serving image at a worker.
+    /// Returns the interference that a latency-critical image on the worker tolerates in total.
     fn budget(&self, worker: &Neighbours, latency_critical: ImageNo) -> f32 {
         (worker.own_headroom(latency_critical).unwrap_or(DEFAULT_OWN_HEADROOM) - SAFE_HEADROOM)
             / self.caution.factor()
     }
 
-    /// What an amount of a filler's processor time takes from a serving image's headroom at a worker.
+    /// Returns an upper bound of the headroom that a best-effort task takes from a latency-critical
+    /// image.
     fn interference_bound(
         &self,
         worker: &Neighbours,
@@ -198,7 +203,7 @@
         self.model.interference_bound(latency_critical, best_effort, worker.share(cores))
     }
 
-    /// The same by the best estimate, which is nothing for a pair that was never seen.
+    /// Returns the expected value of the same, which is 0 for a pair without samples.
     fn expected_interference(
         &self,
         worker: &Neighbours,
@@ -208,7 +213,8 @@
         self.model.expected_interference(latency_critical, best_effort, worker.share(cores))
     }
 
-    /// What all fillers of a worker take from a serving image's headroom there.
+    /// Returns an upper bound of the headroom that all best-effort tasks on the worker take from a
+    /// latency-critical image.
     fn total_interference_bound(&self, worker: &Neighbours, latency_critical: ImageNo) -> f32 {
         let interference_bound = |(image, cpu): &(ImageNo, u32)| {
             self.interference_bound(worker, latency_critical, (*image, cores(*cpu)))
@@ -216,17 +222,17 @@
         worker.best_effort().iter().map(interference_bound).sum()
     }
 
-    /// How much one more filler would press at a worker, in coarse steps; none if a serving task there would
-    /// miss its target for it.
+    /// Returns the interference of one more best-effort task in units of [`INTERFERENCE_STEP`], or
+    /// `None` if a latency-critical task would miss its target.
     pub(crate) fn added_interference(
         &self,
         worker: &Neighbours,
         best_effort: (ImageNo, f32),
     ) -> Option<u32> {
-        let mut highest: f32 = 0.0;
+        let mut max_added: f32 = 0.0;
         for (latency_critical, _) in worker.latency_critical() {
             let added = self.interference_bound(worker, *latency_critical, best_effort);
-            highest = highest.max(added);
+            max_added = max_added.max(added);
             let noticeable = added >= MIN_NOTICEABLE_INTERFERENCE;
             if noticeable
                 && self.total_interference_bound(worker, *latency_critical) + added
@@ -235,24 +241,25 @@
                 return None;
             }
         }
-        Some((highest / INTERFERENCE_STEP) as u32)
+        Some((max_added / INTERFERENCE_STEP) as u32)
     }
 
-    /// Whether a worker's serving tasks bear one more filler by the best estimate, and at [`MIN_PACE`] of its
-    /// pace also by the cautious one: it is refused only since too little is known of it.
+    /// Returns whether a worker may run a best-effort task to learn about it: the estimate is
+    /// uncertain, its expected value is tolerated, and so is its upper bound at [`MIN_PACE`].
     pub(crate) fn may_probe(&self, worker: &Neighbours, best_effort: (ImageNo, f32)) -> bool {
         worker.latency_critical().iter().all(|(latency_critical, _)| {
-            let left = self.budget(worker, *latency_critical)
+            let remaining = self.budget(worker, *latency_critical)
                 - self.total_interference_bound(worker, *latency_critical);
             let expected = self.expected_interference(worker, *latency_critical, best_effort);
             let pessimistic = self.interference_bound(worker, *latency_critical, best_effort);
-            let unknown = pessimistic < MIN_NOTICEABLE_INTERFERENCE
+            let uncertain = pessimistic < MIN_NOTICEABLE_INTERFERENCE
                 || pessimistic >= UNCERTAIN_RATIO * expected;
-            unknown && expected <= left && pessimistic * MIN_PACE <= left
+            uncertain && expected <= remaining && pessimistic * MIN_PACE <= remaining
         })
     }
 
-    /// For each image that serves at a worker, the share of their full pace at which it bears the fillers.
+    /// Returns, for each latency-critical image on a worker, the pace of best-effort tasks that it
+    /// tolerates, as a share of full pace.
     pub(crate) fn tolerated_paces(
         &self,
         worker: &Neighbours,
@@ -271,12 +278,12 @@
                 })
                 .sum();
             let share = budget / pessimistic.max(f32::MIN_POSITIVE);
-            // Held back wholly for what is only feared, a filler would stand still for good: nothing more would
-            // be learned of it.
-            let unknown =
+            // A single task with an uncertain estimate keeps a minimum pace; if it were paused,
+            // nothing more could be learned about it.
+            let uncertain =
                 pessimistic >= UNCERTAIN_RATIO * expected && worker.best_effort().len() == 1;
-            let safe = unknown && budget > 0.0 && expected * MIN_PACE <= budget;
-            if safe { share.max(MIN_PACE) } else { share }
+            let keep_min_pace = uncertain && budget > 0.0 && expected * MIN_PACE <= budget;
+            if keep_min_pace { share.max(MIN_PACE) } else { share }
         };
         worker
             .latency_critical()
@@ -285,29 +292,31 @@
             .collect()
     }
 
-    /// The share of its full pace at which the serving tasks of a worker can bear a filler.
+    /// Returns the pace at which a best-effort task may run, from 0 to 1.
     pub(crate) fn allowed_pace(
         &self,
         worker: &Neighbours,
-        bearable: &[(ImageNo, f32)],
+        tolerated: &[(ImageNo, f32)],
         best_effort: (ImageNo, f32),
     ) -> f32 {
-        let presses = |latency_critical| {
+        let interferes = |latency_critical| {
             self.interference_bound(worker, latency_critical, best_effort)
                 >= MIN_NOTICEABLE_INTERFERENCE
         };
-        let bearable = bearable.iter().filter(|(latency_critical, _)| presses(*latency_critical));
-        bearable.fold(worker.pace_limit(), |share, (_, bears)| share.min(*bears)).clamp(0.0, 1.0)
+        let tolerated =
+            tolerated.iter().filter(|(latency_critical, _)| interferes(*latency_critical));
+        tolerated.fold(worker.pace_limit(), |share, (_, pace)| share.min(*pace)).clamp(0.0, 1.0)
     }
 
-    /// How much of the fillers' demand the serving tasks of a worker could bear, from 0 to 1.
+    /// Returns the share of best-effort demand that a worker's latency-critical tasks tolerate,
+    /// from 0 to 1.
     pub(crate) fn acceptance(&self, worker: &Neighbours) -> f32 {
         worker
             .acceptance
             .unwrap_or_else(|| self.acceptance_of(worker.latency_critical().iter().copied()))
     }
 
-    /// Notes how open a worker is: it is asked for with each task that looks for a place.
+    /// Caches the worker's acceptance, which every placement reads.
     pub(crate) fn cache_acceptance(&self, worker: &mut Neighbours) {
         worker.acceptance = Some(self.acceptance_of(worker.latency_critical().iter().copied()));
     }
@@ -316,13 +325,13 @@
         acceptance(&self.model, &self.demand, latency_critical.map(|(image, _)| image))
     }
 
-    /// How much less open a worker would be with one more serving task of an image.
+    /// Returns how much acceptance drops with one more latency-critical task of an image.
     pub(crate) fn acceptance_loss_with(&self, worker: &Neighbours, image: ImageNo) -> f32 {
-        let more = worker.latency_critical().iter().copied().chain([(image, 1)]);
-        self.acceptance(worker) - self.acceptance_of(more)
+        let with_image = worker.latency_critical().iter().copied().chain([(image, 1)]);
+        self.acceptance(worker) - self.acceptance_of(with_image)
     }
 
-    /// How much more open a worker would be without an image that serves there, for each of its tasks.
+    /// Returns how much acceptance rises without a latency-critical image, per task of it.
     pub(crate) fn acceptance_gain_without(&self, worker: &Neighbours, image: ImageNo) -> f32 {
         let count = worker.latency_critical().iter().find(|(known, _)| *known == image);
         let Some((_, count)) = count else { return 0.0 };
--- a/crates/workflow/src/colocation/model.rs
+++ b/crates/workflow/src/colocation/model.rs
@@ -1,23 +1,17 @@
-//! How much tasks that fill press on tasks that serve, learned from late figures.
+//! Estimates how much best-effort images reduce the headroom of latency-critical images.
 //!
-//! Load: fillers of many images come and go within seconds beside serving tasks with a tail target.
-//! About half of all pairs of images hardly touch each other; the others take most of a serving task's
-//! headroom with a few cores. The figure that shows it averages half a second, and the tail also swings
-//! with the serving task's own load, threefold within seconds. Without knowing the pairs every worker
-//! would sooner or later hold a bad one; keeping fillers off serving workers altogether leaves them no
-//! room, since serving tasks are everywhere.
+//! About half of all pairs of images hardly interfere; the others use up most of a task's headroom
+//! with a few cores. Latency samples are half-second averages and also vary with the task's own
+//! load, so the effect can't be read off a single worker.
 //!
-//! A worker is taken as a queue: the tail of a serving task grows with the inverse of what load leaves
-//! free. So the inverse of the tail, as a multiple of the target, is linear in loads: what the task has by
-//! itself, its *own headroom*, less a weight for the share of the worker that fillers of an image use. The
-//! target is missed where less than 1 is left.
+//! Model: tail latency grows with the inverse of the spare capacity, as in a queue. Hence headroom,
+//! the inverse of the tail latency as a multiple of its target, is linear: the headroom without
+//! best-effort tasks minus, for each best-effort image, a weight times its share of the worker.
+//! Below 1 the target is missed.
 //!
-//! The tasks of one workflow have the same load at a time, wherever they run: without fillers their figures
-//! are within some 5% of each other, and one in twenty strays by more than a fifth. So two of them at two
-//! workers tell what the difference between the fillers there does, whatever the load is: the weights are
-//! fitted to these contrasts alone. Compared with a moving average of the workflow's headroom, which depends on the
-//! weights itself, part of what fillers take everywhere would be put down to the workflow's own load. What fillers are
-//! listed to use explains more than what they ask for.
+//! All tasks of a workflow have the same load at any time. So the weights are fitted only to
+//! differences between workers in the same interval, which cancel the load. Exposure is measured
+//! CPU use, not requested CPU.
 
 use {
     super::row::{PRIOR_SPREAD, Row},
@@ -27,58 +21,57 @@
     std::time::Duration,
 };
 
-/// Filler images beyond this many aren't told apart from harmless ones. The cost of an observation
-/// grows with the square; at 24 it is 600 multiplications.
+/// Maximum number of best-effort images that are modelled; further ones count as harmless. The cost
+/// of a sample grows with the square.
 const MAX_BEST_EFFORT_IMAGES: usize = 24;
 
-/// How many standard errors are added to a weight before it is relied on.
+/// Number of standard errors added to a weight for its upper bound.
 const BOUND_STANDARD_ERRORS: f32 = 0.7;
 
-/// What is seen beside fillers of which so little is known, as a standard error of what they take, counts
-/// half in a workflow's own headroom.
+/// Standard error of the interference at which a sample counts half in the estimate of the headroom
+/// without best-effort tasks.
 const HIGH_STANDARD_ERROR: f32 = 0.15;
 
-/// Tails below this multiple of the target count as this: figures are whole milliseconds, and at a few of
-/// them the inverse jumps.
+/// Lower bound of tail ratios: latencies are whole milliseconds, and the inverse jumps at very
+/// small values.
 const MIN_TAIL_RATIO: f32 = 0.15;
 
-/// Processor time in use by filler image, as a share of the worker's; the place in the list is the image's
-/// number.
+/// CPU use by best-effort image, as a share of the worker, indexed by column.
 pub type Exposure = SmallVec<[f32; 12]>;
 
-/// An image, by the order in which images were first seen.
+/// Number of an image, in order of first use.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ImageNo(u16);
 
-/// What was seen of the serving tasks of one workflow at a worker.
+/// A sample of one workflow's latency-critical tasks on one worker.
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
-    /// Their headroom, the median.
+    /// Median headroom of the tasks.
     pub headroom: f32,
-    /// From how many tasks it was taken.
+    /// Number of tasks.
     pub count: f32,
-    /// What fillers used meanwhile.
+    /// CPU use of best-effort tasks during the sample.
     pub exposure: Exposure,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Image {
     name: CompactString,
-    /// Its place in exposures, if it fills.
+    /// Index in exposures, if it is used by best-effort tasks.
     column: Option<usize>,
-    /// What fillers do to it, if it serves.
+    /// Weights of best-effort images, if it is used by latency-critical tasks.
     row: Row,
 }
 
-/// What was learned, by pair of images. A leader records it from time to time: its successor would
-/// otherwise try all bad pairs again.
+/// The learned weights by pair of images. The leader records them periodically, so that a new
+/// leader doesn't have to learn them again.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct InterferenceModel {
     images: Vec<Image>,
     columns: usize,
 }
 
-/// Sets an entry, lengthening the list if need be.
+/// Sets an entry, growing the list if needed.
 pub fn set_share(exposure: &mut Exposure, index: usize, share: f32) {
     if exposure.len() <= index {
         exposure.resize(index + 1, 0.0);
@@ -86,31 +79,30 @@
     exposure[index] = share;
 }
 
-/// The inverse of a tail that is given as a multiple of its target: what is left of the worker for the
-/// serving task, where 1 just meets the target.
+/// Converts a tail latency, as a multiple of its target, to headroom; 1 just meets the target.
 pub fn headroom_of(ratio: f32) -> f32 {
     1.0 / ratio.max(MIN_TAIL_RATIO)
 }
 
-/// The median of values with weights: half of the weight is below it. Between two it is their mean.
+/// Returns the weighted median of (value, weight) pairs; between two values it is their mean.
 pub(super) fn median(values: &mut [(f32, f32)]) -> f32 {
     values.sort_unstable_by(|(left, _), (right, _)| left.total_cmp(right));
     let half = values.iter().map(|(_, weight)| weight).sum::<f32>() / 2.0;
     let mut below = 0.0;
-    for (place, (value, weight)) in values.iter().enumerate() {
+    for (index, (value, weight)) in values.iter().enumerate() {
         below += weight;
         if below > half {
             return *value;
         }
         if below >= half {
-            return values.get(place + 1).map_or(*value, |(next, _)| f32::midpoint(*value, *next));
+            return values.get(index + 1).map_or(*value, |(next, _)| f32::midpoint(*value, *next));
         }
     }
     0.0
 }
 
 impl InterferenceModel {
-    /// The number of an image. All images beyond 65,535 count as one.
+    /// Returns the number of an image, adding it if needed. Images beyond 65,535 share a number.
     pub fn image(&mut self, name: &CompactString) -> ImageNo {
         let number = |index| ImageNo(u16::try_from(index).unwrap_or(u16::MAX));
         if let Some(index) = self.images.iter().position(|image| image.name == *name) {
@@ -123,12 +115,12 @@
         number(self.images.len() - 1)
     }
 
-    /// The image's name.
+    /// Returns an image's name, or an empty string if it is unknown.
     pub fn name(&self, image: ImageNo) -> &str {
         self.images.get(usize::from(image.0)).map_or("", |image| image.name.as_str())
     }
 
-    /// The place of a filler image in exposures; none if there are too many.
+    /// Returns the index of a best-effort image in exposures, or `None` if there are too many.
     pub fn column(&mut self, best_effort: ImageNo) -> Option<usize> {
         let columns = self.columns;
         let image = self.images.get_mut(usize::from(best_effort.0))?;
@@ -139,8 +131,8 @@
         image.column
     }
 
-    /// The headroom that a workflow's tasks would have without fillers, from what was seen at several workers
-    /// at a time: the median, since one figure in twenty strays widely.
+    /// Estimates the headroom of a workflow's tasks without best-effort tasks: the weighted median
+    /// over workers, since one sample in twenty is an outlier.
     pub fn own_headroom(&self, latency_critical: ImageNo, samples: &[&Sample]) -> f32 {
         let own = |sample: &&Sample| {
             let standard_error =
@@ -152,8 +144,8 @@
         median(&mut values)
     }
 
-    /// Takes in what was seen of one workflow's tasks at several workers at a time. Of what one worker shows
-    /// alone it can't be told what is the tasks' own load and what fillers take.
+    /// Adds simultaneous samples of one workflow from several workers. A single worker can't
+    /// separate load from interference.
     pub fn observe(&mut self, latency_critical: ImageNo, samples: &[&Sample]) {
         if samples.len() < 2 {
             return;
@@ -166,7 +158,7 @@
         }
     }
 
-    /// Forgets a little of what was seen, by the time that has passed, and finds the weights anew.
+    /// Decays old samples and updates the weights.
     pub fn solve(&mut self, elapsed: Duration) {
         for image in &mut self.images {
             image.row.solve(elapsed);
@@ -178,8 +170,8 @@
         Some((row, self.images.get(usize::from(best_effort.0))?.column?))
     }
 
-    /// What a filler takes from a serving image's headroom with a share of the worker in use, by a
-    /// cautious estimate.
+    /// Returns an upper bound of the headroom that a best-effort image takes from a
+    /// latency-critical one with a share of the worker.
     pub fn interference_bound(
         &self,
         latency_critical: ImageNo,
@@ -187,13 +179,17 @@
         share: f32,
     ) -> f32 {
         let Some((row, column)) = self.pair(latency_critical, best_effort) else {
-            let unseen = self.columns < MAX_BEST_EFFORT_IMAGES;
-            return if unseen { BOUND_STANDARD_ERRORS * PRIOR_SPREAD * share } else { 0.0 };
+            let has_free_column = self.columns < MAX_BEST_EFFORT_IMAGES;
+            return if has_free_column {
+                BOUND_STANDARD_ERRORS * PRIOR_SPREAD * share
+            } else {
+                0.0
+            };
         };
         (row.weight(column) + BOUND_STANDARD_ERRORS * row.error(column)) * share
     }
 
-    /// The same by the best estimate; nothing for a pair that was never seen.
+    /// Returns the expected value of the same, which is 0 for a pair without samples.
     pub fn expected_interference(
         &self,
         latency_critical: ImageNo,
@@ -204,13 +200,13 @@
             .map_or(0.0, |(row, column)| row.weight(column) * share)
     }
 
-    /// What fillers' use takes from a serving image's headroom, by the best estimate.
+    /// Returns the expected headroom that an exposure takes from a latency-critical image.
     pub fn total_interference(&self, latency_critical: ImageNo, exposure: &Exposure) -> f32 {
         let Some(image) = self.images.get(usize::from(latency_critical.0)) else { return 0.0 };
         image.row.total_interference(exposure)
     }
 
-    /// The standard error of [`InterferenceModel::total_interference`].
+    /// Returns the standard error of [`InterferenceModel::total_interference`].
     pub fn standard_error(&self, latency_critical: ImageNo, exposure: &Exposure) -> f32 {
         let Some(image) = self.images.get(usize::from(latency_critical.0)) else { return 0.0 };
         let error = |(column, share): (usize, &f32)| (image.row.error(column) * share).powi(2);
--- a/crates/workflow/src/colocation/neighbours.rs
+++ b/crates/workflow/src/colocation/neighbours.rs
@@ -1,4 +1,4 @@
-//! What shares a worker.
+//! Tasks that share a worker.
 
 use {
     super::model::{ImageNo, Sample},
@@ -7,17 +7,16 @@
     smallvec::SmallVec,
 };
 
-/// Fillers keep this share of their pace for each figure in which a serving task is over its target.
+/// Factor on the pace limit for each sample in which a latency-critical task misses its target.
 const PACE_LIMIT_DECREASE: f32 = 0.4;
 
-/// What trust regains with each figure without that.
+/// Increase of the pace limit for each sample without a miss.
 const PACE_LIMIT_INCREASE: f32 = 0.25;
 
-/// How far a single figure strays by itself, as a share of it. A headroom that is below 1 by less isn't a
-/// sign of anything.
+/// Relative noise of a single sample; headroom within it below 1 isn't a miss.
 const LATENCY_NOISE: f32 = 0.2;
 
-/// What was last seen of a workflow's serving tasks at a worker.
+/// The last sample of a workflow's latency-critical tasks on a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Observation {
     pub(crate) workflow: WorkflowId,
@@ -26,22 +25,21 @@
     pub(crate) sample: Sample,
 }
 
-/// The serving tasks and the fillers of a worker.
+/// The latency-critical and best-effort tasks of a worker.
 #[derive(Debug)]
 pub(crate) struct Neighbours {
     cores: f32,
-    /// Images that serve here, and how many tasks of each.
+    /// Latency-critical images and the number of tasks of each.
     latency_critical: SmallVec<[(ImageNo, u32); 4]>,
-    /// Images that fill here, and the processor time that they may use at their paces, in thousandths of a
-    /// core.
+    /// Best-effort images and the CPU time allowed at their paces, in millicores.
     best_effort: SmallVec<[(ImageNo, u32); 6]>,
     observations: SmallVec<[Observation; 4]>,
-    /// The lowest own headroom of each image that serves here, as last noted.
+    /// Lowest headroom of each latency-critical image without best-effort tasks.
     own_headroom: SmallVec<[(ImageNo, f32); 4]>,
-    /// How much of the fillers' demand the serving tasks here could bear, as last reckoned.
+    /// Cached acceptance; `None` after a change of latency-critical tasks.
     pub(super) acceptance: Option<f32>,
-    /// The share of their pace that fillers get after a serving task went over its target for a reason
-    /// that isn't known, from 0 to 1.
+    /// Maximum pace of best-effort tasks, from 0 to 1. Reduced after a target is missed for an
+    /// unknown reason.
     pace_limit: f32,
 }
 
@@ -58,7 +56,7 @@
         }
     }
 
-    /// What was known of the worker's capacity before its own entry was read may be wrong.
+    /// Sets the capacity once the worker's own entry has been read.
     pub(crate) fn set_capacity(&mut self, cpu: MilliCores) {
         self.cores = cores(cpu);
     }
@@ -81,7 +79,7 @@
         take(&mut self.best_effort, image, cpu.0);
     }
 
-    /// Images that serve here, and how many tasks of each.
+    /// Returns the latency-critical images and the number of tasks of each.
     pub(crate) fn latency_critical(&self) -> &[(ImageNo, u32)] {
         &self.latency_critical
     }
@@ -90,17 +88,17 @@
         &self.best_effort
     }
 
-    /// How much of the worker an amount of processor time is.
+    /// Converts cores to a share of the worker.
     pub(crate) fn share(&self, cores: f32) -> f32 {
         cores / self.cores
     }
 
-    /// The share of their pace that fillers get at most.
+    /// Returns the maximum pace of best-effort tasks.
     pub(super) fn pace_limit(&self) -> f32 {
         if self.latency_critical.is_empty() { 1.0 } else { self.pace_limit }
     }
 
-    /// Takes in new figures of the serving tasks here.
+    /// Adds new samples and adjusts the pace limit.
     pub(crate) fn add_observations(&mut self, observations: SmallVec<[Observation; 4]>) {
         if observations.is_empty() {
             return;
@@ -114,7 +112,7 @@
             (self.pace_limit + PACE_LIMIT_INCREASE).min(1.0)
         };
         for new in observations {
-            self.observations.retain(|known| known.workflow != new.workflow);
+            self.observations.retain(|other| other.workflow != new.workflow);
             self.observations.push(new);
         }
     }
@@ -123,15 +121,14 @@
         &self.observations
     }
 
-    /// Notes the own headrooms of the serving tasks here. They are asked for with each task that looks for a
-    /// place, and change little until the worker is heard again.
+    /// Stores the lowest headroom per latency-critical image.
     pub(super) fn update_own_headroom(
         &mut self,
         own_headroom: impl Iterator<Item = (ImageNo, f32)>,
     ) {
         self.own_headroom.clear();
         for (image, headroom) in own_headroom {
-            match self.own_headroom.iter_mut().find(|(known, _)| *known == image) {
+            match self.own_headroom.iter_mut().find(|(other, _)| *other == image) {
                 Some((_, lowest)) => *lowest = lowest.min(headroom),
                 None => self.own_headroom.push((image, headroom)),
             }
@@ -141,12 +138,12 @@
     pub(super) fn own_headroom(&self, image: ImageNo) -> Option<f32> {
         self.own_headroom
             .iter()
-            .find(|(known, _)| *known == image)
+            .find(|(other, _)| *other == image)
             .map(|(_, own_headroom)| *own_headroom)
     }
 }
 
-/// A worker of which nothing is known yet counts as one of one core.
+/// Converts to cores, at least one, in case the capacity isn't known yet.
 fn cores(cpu: MilliCores) -> f32 {
     (cpu.0 as f32 / 1_000.0).max(1.0)
 }
@@ -157,20 +154,20 @@
     image: ImageNo,
     amount: u32,
 ) {
-    match sums.iter_mut().find(|(known, _)| *known == image) {
+    match sums.iter_mut().find(|(other, _)| *other == image) {
         Some((_, sum)) => *sum += amount,
         None => sums.push((image, amount)),
     }
 }
 
-/// Takes from an image's sum, and forgets the image with the last of it.
+/// Subtracts from an image's sum, and removes the image at 0.
 fn take(
     sums: &mut SmallVec<impl smallvec::Array<Item = (ImageNo, u32)>>,
     image: ImageNo,
     amount: u32,
 ) {
-    for (known, sum) in sums.iter_mut() {
-        if *known == image {
+    for (other, sum) in sums.iter_mut() {
+        if *other == image {
             *sum = sum.saturating_sub(amount);
         }
     }
