--- a/crates/workflow/src/crash.rs
+++ b/crates/workflow/src/crash.rs
@@ -71,7 +71,8 @@
 
 /// Returns whether the task has crashed too many workers to be started again.
 pub(crate) fn is_given_up(crashes: &[Crash]) -> bool {
-    let count = |least| crashes.iter().filter(|crash| crash.evidence >= least).count();
+    let count =
+        |min_evidence| crashes.iter().filter(|crash| crash.evidence >= min_evidence).count();
     let last_alone = crashes.last().is_some_and(|crash| crash.evidence == CrashEvidence::Alone);
     (last_alone && count(CrashEvidence::Shared) >= 2)
         || count(CrashEvidence::Shared) >= MAX_CERTAIN_CRASHES
--- a/crates/workflow/src/ids.rs
+++ b/crates/workflow/src/ids.rs
@@ -47,8 +47,8 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, IdError> {
-        let lower = |c: u8| c.is_ascii_digit() || (b'a'..=b'f').contains(&c);
-        if text.len() != WORKFLOW_ID_DIGITS || !text.bytes().all(lower) {
+        let is_lower_hex = |c: u8| c.is_ascii_digit() || (b'a'..=b'f').contains(&c);
+        if text.len() != WORKFLOW_ID_DIGITS || !text.bytes().all(is_lower_hex) {
             return Err(IdError::Workflow);
         }
         u64::from_str_radix(text, 16).map(WorkflowId).map_err(|_| IdError::Workflow)
--- a/crates/workflow/src/leadership/authority.rs
+++ b/crates/workflow/src/leadership/authority.rs
@@ -1,13 +1,13 @@
-//! How long a leader may give orders, and what it does once it may not.
+//! Limits how long a leader may send commands.
 
 use {
-    super::{AppendResult, Leadership, LeadershipEffect, READ_FRESH, Role},
+    super::{AppendResult, Leadership, LeadershipEffect, MAX_READ_AGE, Role},
     egretlb_types::{Epoch, Time},
 };
 
 impl Leadership {
-    /// The epoch under which orders may be given now. Asked again right before each order is sent: a
-    /// process may have been paused since it decided.
+    /// Returns the epoch under which commands may be sent now. Checked again right before each
+    /// command is sent, since the process may have been paused in between.
     pub fn authority(&self, now: Time) -> Option<Epoch> {
         match self.role {
             Role::Leader { epoch } if now < self.last_confirmed + self.limits.authority => {
@@ -17,12 +17,12 @@
         }
     }
 
-    /// When the last acknowledged append of this term was sent: the store was reached after that.
+    /// Returns when the last acknowledged append of this term was sent.
     pub fn last_confirmed(&self) -> Time {
         self.last_confirmed
     }
 
-    /// What became of an append under this term that was sent at `sent`.
+    /// Handles the result of an append of this term that was sent at `sent`.
     pub fn on_append(
         &mut self,
         now: Time,
@@ -37,30 +37,30 @@
         }
     }
 
-    /// Ends a term whose signs of life aren't stored although the store can be read. While it can't be
-    /// read nobody else can tell either, and the sign that waits may be stored once it is back.
+    /// Ends the term if heartbeats aren't stored although the store can be read. While it can't be
+    /// read, no follower can take over either, and a pending heartbeat may still be stored.
     pub(super) fn check_authority(&mut self, now: Time, out: &mut Vec<LeadershipEffect>) {
         let Some(epoch) = self.term() else {
-            self.lapsed = None;
+            self.lapsed_at = None;
             return;
         };
         if self.authority(now).is_some() {
-            if let Some(since) = self.lapsed.take() {
+            if let Some(since) = self.lapsed_at.take() {
                 let after_ms = now.since(since).as_millis() as u64;
                 log::info!(epoch:% = epoch, after_ms; "orders_resumed");
             }
             return;
         }
         let sign_ms = now.since(self.last_confirmed).as_millis() as u64;
-        let since = *self.lapsed.get_or_insert_with(|| {
+        let since = *self.lapsed_at.get_or_insert_with(|| {
             log::warn!(epoch:% = epoch, sign_ms; "orders_suspended");
             now
         });
-        let quiet = now.since(since.max(self.quiet_since));
-        if quiet >= self.limits.takeover_after && now.since(self.read_at) < READ_FRESH {
+        let silence = now.since(since.max(self.no_heartbeat_since));
+        if silence >= self.limits.takeover_after && now.since(self.read_at) < MAX_READ_AGE {
             log::warn!(epoch:% = epoch, sign_ms; "term_ended");
             self.resign(now, out);
-            // It was this process's own term, so there is nobody to wait for.
+            // The term was this process's own, so there is no leader to wait for.
             self.released = true;
         }
     }
--- a/crates/workflow/src/leadership/mod.rs
+++ b/crates/workflow/src/leadership/mod.rs
@@ -1,25 +1,25 @@
-//! Which process leads.
+//! Leader election.
 //!
-//! One process gives all orders; the others follow the same records and can take its place at once.
-//! A leader leaves a sign of life with each append, and at least every [`Limits::heartbeat`]. A
-//! follower that reads no sign for [`Limits::takeover_after`] appends a claim under the next epoch. The
-//! store takes one claim of an epoch: their numbers differ, so others count as out of order. The epoch
-//! fences the predecessor at the store; the successor's first order fences it at each worker.
+//! One process sends all commands; the others follow the same records and can take over at once. A
+//! leader writes a heartbeat with each append, and at least every [`Limits::heartbeat`]. A follower
+//! that reads no heartbeat for [`Limits::takeover_after`] appends a claim under the next epoch. The
+//! store accepts one claim per epoch, since the claims' sequence numbers differ. The epoch fences
+//! the previous leader at the store, and the new leader's first command fences it at each worker.
 //!
-//! A claimant leads once it *reads* its claim: by then it has read all that came before, and nothing of
-//! its predecessor comes after. A condition on the records' end would do without that read, but while
-//! nobody leads each VM appends what its clients submit, and a slow store then lets no such claim pass.
+//! A claimant leads once it *reads* its claim: it has then read everything before the claim, and
+//! nothing of the previous leader can follow. Appending on condition of the log's end would avoid
+//! that read, but without a leader every process appends its clients' submissions, so that on a
+//! slow store no claim would succeed.
 //!
-//! A leader that can't reach the store may still reach workers that its successor can't. It stops by
-//! itself: it orders nothing once [`Limits::authority`] has passed since it *sent* the last append
-//! that was acknowledged. The successor counts the same span from when it has read its claim, which is
-//! later, and then a lease, before it takes such a worker's tasks as ended.
+//! A leader that can't reach the store may still reach workers. It sends no more commands once
+//! [`Limits::authority`] has passed since it *sent* its last acknowledged append. Its successor
+//! waits for the same time after reading its own claim, which is later, and then for a lease,
+//! before it treats the runs on workers it can't reach as ended.
 //!
-//! A leader whose authority has lapsed goes on sending signs of life, and nothing else: one that is
-//! stored shows that nobody has claimed, and its term goes on with all that it knows. While the store
-//! answers reads and the sign still isn't stored for [`Limits::takeover_after`], it ends the term, as a
-//! follower would take over from a silent leader. Were it to hold its office without orders, it would do
-//! so for ever where no other VM is left, and all tasks would lapse.
+//! A leader without authority only sends heartbeats. One that is stored shows that nobody has
+//! claimed, and the term continues. If the store answers reads but stores no heartbeat for
+//! [`Limits::takeover_after`], the leader ends its term. Otherwise, with no other process to take
+//! over, it would stay leader without sending commands and all leases would lapse.
 
 mod authority;
 mod succession;
@@ -34,134 +34,133 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What this process is.
+/// Role of this process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Role {
-    /// It follows.
+    /// Follows another leader.
     Follower,
-    /// It has appended a claim and waits for what became of it.
+    /// Has appended a claim and waits for its outcome.
     Claiming {
-        /// The epoch claimed.
+        /// Claimed epoch.
         epoch: Epoch,
         /// When the claim was sent.
         sent: Time,
     },
-    /// It leads.
+    /// Leads.
     Leader {
-        /// Its epoch.
+        /// Epoch of its term.
         epoch: Epoch,
     },
 }
 
-/// What is to be done.
+/// An action for the caller to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeadershipEffect {
-    /// Append this claim.
+    /// Append a claim.
     Claim {
         /// The epoch of the append.
         epoch: Epoch,
-        /// Its number.
+        /// Sequence number of the append.
         seq: Seq,
-        /// The records.
+        /// Records to append.
         records: Vec<Record>,
     },
-    /// This process leads from now on.
+    /// This process is now the leader.
     Elected {
-        /// Its epoch.
+        /// Epoch of its term.
         epoch: Epoch,
-        /// What its predecessors may still do.
+        /// State inherited from earlier terms.
         succession: Succession,
     },
-    /// This process leads no longer.
+    /// This process is no longer the leader.
     Deposed,
 }
 
-/// What became of an append under an epoch.
+/// Result of an append under an epoch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AppendResult {
-    /// It is in the store.
+    /// Stored.
     Done,
-    /// It is not, and never will be: the condition didn't hold.
+    /// Not stored: the condition didn't hold.
     Conflict,
-    /// It is not: another process has a higher epoch.
+    /// Not stored: another process has a higher epoch.
     Fenced,
-    /// It is not: the store rejected it.
+    /// Not stored: rejected by the store.
     Rejected,
-    /// Nobody can say.
+    /// Unknown whether it was stored.
     Unknown,
 }
 
-/// Decides whether this process leads.
+/// State machine that decides whether this process leads.
 #[derive(Debug)]
 pub struct Leadership {
     node: CompactString,
     incarnation: u64,
-    /// Where followers hand records in.
+    /// Address that accepts records from followers.
     addr: Option<SocketAddr>,
     limits: Limits,
-    /// This process's share of the spread, in thousandths.
-    place: u32,
+    /// Takeover delay of this process, in thousandths of [`Limits::takeover_spread`].
+    takeover_delay: u32,
     role: Role,
-    quiet_since: Time,
-    /// No claim before this time: the last one was rejected.
+    no_heartbeat_since: Time,
+    /// Earliest time of the next claim, after a rejected one.
     claim_after: Time,
     last_tick: Time,
-    /// The last leader was an earlier process at this very address: it has certainly ended.
-    own_predecessor: bool,
-    /// Whether the quiet is the end of a term that its holder gave up.
+    /// Whether the last leader was an earlier process at this address, which must have ended.
+    last_leader_at_own_addr: bool,
+    /// Whether the last leader ended its term by itself.
     released: bool,
-    /// The newest leader's last sign of life.
-    newest: Option<Heartbeat>,
-    /// When this process's term began.
-    began: Time,
-    known: Epoch,
-    /// The epoch of a claim that was given up; it may yet take effect.
-    given_up: Option<Epoch>,
-    /// When the last read was sent, and when one was last answered.
+    /// The newest leader's last heartbeat.
+    last_heartbeat: Option<Heartbeat>,
+    /// Start of this process's term.
+    term_start: Time,
+    max_epoch: Epoch,
+    /// Epoch of an abandoned claim, which may still take effect.
+    abandoned_claim: Option<Epoch>,
+    /// When the last read was sent, and when a read was last answered.
     read_sent: Time,
     read_at: Time,
     /// When the last acknowledged append of this term was sent.
     last_confirmed: Time,
-    /// Since when this leader has known that its authority has lapsed.
-    lapsed: Option<Time>,
+    /// When this leader noticed that its authority had lapsed.
+    lapsed_at: Option<Time>,
     seq: Seq,
-    willing: bool,
+    may_lead: bool,
 }
 
-/// A gap between two ticks beyond this is a pause of the process, after which what it last read says
-/// nothing about the present. Ticks come every 50 ms or so; a busy VM delays them some tenths.
-const PAUSE: Duration = Duration::from_millis(700);
+/// Interval between ticks beyond which the process counts as paused, so that its last read is out
+/// of date. Ticks come every 50 ms; a busy VM delays them by some 100 ms.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
 
-/// The numbers of a process's appends begin at a random one below this. The store takes two appends
-/// with one epoch and number for one append and its repetition: were all claims numbered alike, every
-/// process that claims an epoch would be told that it has it.
-const SEQ_STARTS: u64 = 1 << 31;
+/// Upper bound of the first sequence number, which is random. The store treats a second append with
+/// the same epoch and number as a retry, so equal numbers would let several processes win the same
+/// epoch.
+const SEQ_START_RANGE: u64 = 1 << 31;
 
-/// The last place: twice the ordinary silence after a leader's last sign is waited at most.
-const LAST_PLACE: u32 = 5_000;
+/// Maximum takeover delay, in thousandths of [`Limits::takeover_spread`].
+const MAX_TAKEOVER_DELAY: u32 = 5_000;
 
-/// The pause after a rejected claim. Either another one has got through, which is read by then, or the
-/// store takes no appends, and claims of all VMs must not add to that.
-const CLAIM_AGAIN: Duration = Duration::from_millis(400);
+/// Pause after a rejected claim. Either another claim succeeded, which the next reads show, or the
+/// store accepts no appends and must not be overloaded.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Without an answered read for this long the silence of a leader says nothing: the store may be out of
-/// reach, and a claim would be held up on its way and depose a leader that is well, seconds later. While
-/// nobody leads a read is answered each 0.75 s, by a slow store each second.
-const READ_FRESH: Duration = Duration::from_millis(1_100);
+/// Maximum age of the last answered read for a claim. Without recent reads, a claim could be
+/// delayed and depose a healthy leader seconds later. Without a leader, reads are answered every
+/// 0.75 s, or every second by a slow store.
+const MAX_READ_AGE: Duration = Duration::from_millis(1_100);
 
-/// A claim of which nothing is heard or read for so long is given up. Well above the answer of a slow
-/// store (300 ms), the appends queued before it (2 s at most), and the read that shows the claim.
+/// Time after which a claim that hasn't been read is abandoned. Exceeds the answer of a slow store
+/// (300 ms), the appends queued before it (2 s) and the read that shows the claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl Leadership {
-    /// A follower that has read nothing yet. `place` spreads the followers' claims, in thousandths of
-    /// [`Limits::takeover_spread`]: up to 999 for those that are fit to lead, up to 5,000 for those that
-    /// had better not.
+    /// Creates a follower. `takeover_delay` is in thousandths of [`Limits::takeover_spread`]: up to
+    /// 999 for processes that are fit to lead, up to 5,000 for others.
     pub fn new(
         now: Time,
         node: impl Into<CompactString>,
         incarnation: u64,
-        place: u32,
+        takeover_delay: u32,
         limits: Limits,
     ) -> Self {
         Leadership {
@@ -169,37 +168,37 @@
             incarnation,
             addr: None,
             limits,
-            place: place.min(LAST_PLACE),
+            takeover_delay: takeover_delay.min(MAX_TAKEOVER_DELAY),
             role: Role::Follower,
-            quiet_since: now,
+            no_heartbeat_since: now,
             claim_after: now,
             last_tick: now,
-            own_predecessor: false,
+            last_leader_at_own_addr: false,
             released: false,
-            newest: None,
-            began: now,
-            known: Epoch(0),
-            given_up: None,
+            last_heartbeat: None,
+            term_start: now,
+            max_epoch: Epoch(0),
+            abandoned_claim: None,
             read_sent: now,
             read_at: now,
             last_confirmed: Time::ZERO,
-            lapsed: None,
-            seq: Seq(incarnation % SEQ_STARTS),
-            willing: true,
+            lapsed_at: None,
+            seq: Seq(incarnation % SEQ_START_RANGE),
+            may_lead: true,
         }
     }
 
-    /// Tells the followers of a later term where to hand records in.
+    /// Sets the address at which this process, as leader, accepts records from followers.
     pub fn listen_at(&mut self, addr: SocketAddr) {
         self.addr = Some(addr);
     }
 
-    /// Whether this process wrote a leader's record.
+    /// Returns whether this process wrote a leader record.
     pub fn is_own(&self, record: &LeaderRecord) -> bool {
         record.incarnation == self.incarnation && record.node == self.node
     }
 
-    /// The epoch of the term, whether or not orders may be given.
+    /// Returns the epoch of this process's term, even if its authority has lapsed.
     pub fn term(&self) -> Option<Epoch> {
         match self.role {
             Role::Leader { epoch } => Some(epoch),
@@ -207,12 +206,12 @@
         }
     }
 
-    /// The epoch and the number of the next append of this term, and the record that goes with it: a sign
-    /// of life, or the end of the term.
+    /// Returns epoch and sequence number of the term's next append, with a heartbeat record, which
+    /// ends the term if `released` is set.
     pub fn heartbeat(&mut self, now: Time, released: bool) -> Option<(Epoch, Seq, Record)> {
         let epoch = self.term()?;
         let seq = self.next_seq();
-        let term_ms = u64::try_from(now.since(self.began).as_millis()).unwrap_or(u64::MAX);
+        let term_ms = u64::try_from(now.since(self.term_start).as_millis()).unwrap_or(u64::MAX);
         Some((epoch, seq, self.record(epoch, seq, released, term_ms)))
     }
 
@@ -229,9 +228,9 @@
         Record::new(Key::Leader, &record)
     }
 
-    /// Whether an append of this term is among what was read.
-    pub fn has_read(&self, newest: &LeaderRecord, epoch: Epoch, seq: Seq) -> bool {
-        self.is_own(newest) && newest.epoch == epoch && newest.seq >= seq
+    /// Returns whether an append of this term has been read.
+    pub fn has_read(&self, last_heartbeat: &LeaderRecord, epoch: Epoch, seq: Seq) -> bool {
+        self.is_own(last_heartbeat) && last_heartbeat.epoch == epoch && last_heartbeat.seq >= seq
     }
 
     fn next_seq(&mut self) -> Seq {
@@ -240,58 +239,60 @@
         seq
     }
 
-    /// This process is about to end, and doesn't claim any more.
+    /// Stops claiming, because the process is about to exit.
     pub fn retire(&mut self) {
-        self.willing = false;
+        self.may_lead = false;
     }
 
-    /// This process gives up its term; nothing is ordered from now on.
+    /// Ends this process's term.
     pub fn resign(&mut self, now: Time, out: &mut Vec<LeadershipEffect>) {
         if matches!(self.role, Role::Leader { .. }) {
             out.push(LeadershipEffect::Deposed);
         }
         self.role = Role::Follower;
-        self.quiet_since = now;
+        self.no_heartbeat_since = now;
     }
 
-    /// The newest leader's record was read.
+    /// Handles a newly read leader record.
     pub fn on_leader_record(
         &mut self,
         now: Time,
         record: &LeaderRecord,
         out: &mut Vec<LeadershipEffect>,
     ) {
-        self.quiet_since = now;
+        self.no_heartbeat_since = now;
         self.released = record.released;
-        self.known = self.known.max(record.epoch);
+        self.max_epoch = self.max_epoch.max(record.epoch);
         let own = self.is_own(record);
-        self.own_predecessor = !own && self.addr.is_some() && record.addr == self.addr;
+        self.last_leader_at_own_addr = !own && self.addr.is_some() && record.addr == self.addr;
         match self.role {
             Role::Claiming { epoch, sent } if own && record.epoch == epoch => {
                 self.elect(now, sent, epoch, out);
             }
-            // It was held up on its way and fences whoever leads by now, so it is made use of. When the read
-            // was sent that shows it, nobody else had claimed.
-            Role::Follower if own && self.given_up == Some(record.epoch) && !record.released => {
-                self.given_up = None;
+            // A delayed claim has fenced the current leader, so this process takes over. Nobody
+            // else had claimed when the read was sent.
+            Role::Follower
+                if own && self.abandoned_claim == Some(record.epoch) && !record.released =>
+            {
+                self.abandoned_claim = None;
                 self.elect(now, self.read_sent, record.epoch, out);
             }
             Role::Claiming { epoch, .. } if record.epoch >= epoch => self.role = Role::Follower,
             Role::Leader { epoch } if record.epoch > epoch => self.resign(now, out),
             _ => {}
         }
-        // A term of this very process is over once it claims another, and so is that of an earlier process at
-        // its address.
-        let over = record.released || own || self.own_predecessor;
-        self.newest = Some(Heartbeat::new(record, now, over));
+        // A term of this process, or of an earlier one at its address, is over when a new claim is
+        // made.
+        let ended = record.released || own || self.last_leader_at_own_addr;
+        self.last_heartbeat = Some(Heartbeat::new(record, now, ended));
     }
 
-    /// Something else that only a leader writes was read.
+    /// Handles another newly read record that only a leader writes.
     pub fn on_leader_activity(&mut self, now: Time) {
-        self.quiet_since = now;
+        self.no_heartbeat_since = now;
     }
 
-    /// A read of the records is sent.
+    /// A read of the records was sent.
     pub fn on_read_sent(&mut self, now: Time) {
         self.read_sent = now;
     }
@@ -301,27 +302,27 @@
         self.read_at = now;
     }
 
-    /// A read of the records failed or was cut off: silence since then says nothing.
+    /// A read failed, so missing heartbeats are no evidence against the leader.
     pub fn on_read_failed(&mut self, now: Time) {
-        self.quiet_since = now;
+        self.no_heartbeat_since = now;
     }
 
-    /// Time has passed. `caught_up` says that the last read reached the end of the records.
+    /// Advances time. `caught_up` tells whether the last read reached the end of the records.
     pub fn tick(&mut self, now: Time, caught_up: bool, out: &mut Vec<LeadershipEffect>) {
-        if now.since(self.last_tick) > PAUSE {
-            self.quiet_since = now;
+        if now.since(self.last_tick) > PAUSE_THRESHOLD {
+            self.no_heartbeat_since = now;
         }
         self.last_tick = now;
-        self.give_up_claim(now);
+        self.abandon_claim(now);
         self.check_authority(now, out);
         let may_claim = caught_up
-            && self.willing
+            && self.may_lead
             && now >= self.claim_after
-            && now.since(self.read_at) < READ_FRESH;
+            && now.since(self.read_at) < MAX_READ_AGE;
         if self.role != Role::Follower || !may_claim || !self.takeover_due(now) {
             return;
         }
-        let epoch = self.known.next();
+        let epoch = self.max_epoch.next();
         self.role = Role::Claiming { epoch, sent: now };
         let seq = self.next_seq();
         let records = vec![self.record(epoch, seq, false, 0)];
@@ -329,61 +330,61 @@
     }
 
     fn takeover_due(&self, now: Time) -> bool {
-        let quiet = now.since(self.quiet_since);
-        let share = self.limits.takeover_spread * self.place / 1_000;
-        // The address is ours now, so nobody else can be listening there.
-        if self.own_predecessor {
+        let silence = now.since(self.no_heartbeat_since);
+        let delay = self.limits.takeover_spread * self.takeover_delay / 1_000;
+        // This process now owns the address, so the last leader must have ended.
+        if self.last_leader_at_own_addr {
             return true;
         }
-        // Nobody has ever led, or the term was given up: there is nobody to wait for.
-        if self.known == Epoch(0) || self.released {
-            return quiet >= share / 2;
+        // No process has led yet, or the last leader ended its term.
+        if self.max_epoch == Epoch(0) || self.released {
+            return silence >= delay / 2;
         }
-        quiet >= self.limits.takeover_after + share
+        silence >= self.limits.takeover_after + delay
     }
 
-    /// A claim without an answer is settled by what is read; if nothing is read of it for a while it
-    /// was lost. Its epoch isn't used again by this process, since it may yet take effect.
-    fn give_up_claim(&mut self, now: Time) {
+    /// Abandons a claim that isn't read in time. The claim may still take effect, so its epoch
+    /// isn't used again.
+    fn abandon_claim(&mut self, now: Time) {
         if let Role::Claiming { epoch, sent } = self.role
             && now.since(sent) >= CLAIM_TIMEOUT
         {
-            self.known = self.known.max(epoch);
-            self.given_up = Some(epoch);
+            self.max_epoch = self.max_epoch.max(epoch);
+            self.abandoned_claim = Some(epoch);
             self.role = Role::Follower;
-            self.quiet_since = now;
+            self.no_heartbeat_since = now;
         }
     }
 
-    /// What became of the claim under way.
+    /// Handles the result of the pending claim.
     pub fn on_claim(&mut self, now: Time, result: AppendResult) {
         let Role::Claiming { epoch, .. } = self.role else { return };
         match result {
-            // Settled by what is read.
+            // The next reads show the outcome.
             AppendResult::Done | AppendResult::Unknown => {}
             AppendResult::Conflict | AppendResult::Rejected => {
                 self.role = Role::Follower;
-                self.claim_after = now + CLAIM_AGAIN;
+                self.claim_after = now + CLAIM_RETRY_DELAY;
             }
             AppendResult::Fenced => {
-                // Somebody has used this epoch; the next claim must be higher.
-                self.known = self.known.max(epoch);
+                // The epoch has been used; the next claim must be higher.
+                self.max_epoch = self.max_epoch.max(epoch);
                 self.role = Role::Follower;
-                self.quiet_since = now;
+                self.no_heartbeat_since = now;
             }
         }
     }
 
     fn elect(&mut self, now: Time, sent: Time, epoch: Epoch, out: &mut Vec<LeadershipEffect>) {
         self.role = Role::Leader { epoch };
-        self.known = epoch;
+        self.max_epoch = epoch;
         self.last_confirmed = sent;
-        self.began = sent;
-        let succession = Succession::new(now, sent, &self.limits, self.newest, epoch);
+        self.term_start = sent;
+        let succession = Succession::new(now, sent, &self.limits, self.last_heartbeat, epoch);
         out.push(LeadershipEffect::Elected { epoch, succession });
     }
 
-    /// A worker has obeyed a higher epoch than ours.
+    /// A worker has accepted a command under a higher epoch.
     pub fn on_outranked(&mut self, now: Time, out: &mut Vec<LeadershipEffect>) {
         self.resign(now, out);
     }
--- a/crates/workflow/src/leadership/succession.rs
+++ b/crates/workflow/src/leadership/succession.rs
@@ -1,4 +1,4 @@
-//! What a new leader knows of the leaders before it.
+//! State that a new leader inherits from earlier terms.
 
 use {
     crate::{LeaderRecord, Limits},
@@ -6,27 +6,27 @@
     std::time::Duration,
 };
 
-/// The newest sign of life of a leader.
+/// The newest heartbeat of a leader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Heartbeat {
     epoch: Epoch,
     read_at: Time,
     term_ms: u64,
-    /// It gives no more orders: it said so, or its process has certainly ended.
-    over: bool,
+    /// Whether that leader sends no more commands: it released its term, or its process has ended.
+    ended: bool,
 }
 
 impl Heartbeat {
-    pub(super) fn new(record: &LeaderRecord, read_at: Time, over: bool) -> Heartbeat {
-        Heartbeat { epoch: record.epoch, read_at, term_ms: record.term_ms, over }
+    pub(super) fn new(record: &LeaderRecord, read_at: Time, ended: bool) -> Heartbeat {
+        Heartbeat { epoch: record.epoch, read_at, term_ms: record.term_ms, ended }
     }
 }
 
-/// How a leader's term begins: what its predecessors may still do, and how to read the times that the last of
-/// them recorded.
+/// How long earlier leaders may still send commands, and how to interpret times recorded by the
+/// last one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Succession {
-    /// When this term began: its own recorded times count from here.
+    /// Start of this term, the origin of its recorded times.
     pub began: Time,
     predecessor: Epoch,
     commands_until: Time,
@@ -35,7 +35,7 @@
 }
 
 impl Succession {
-    /// A term that begins now, after a leader whose last sign of life is `heartbeat`.
+    /// Creates the state for a term that starts now, after a leader with the given last heartbeat.
     pub(super) fn new(
         now: Time,
         began: Time,
@@ -54,9 +54,9 @@
                 term_ms: 0,
             };
         };
-        // It counts its authority from before it sent the sign, and that was before the sign was read.
+        // Its authority counts from before the heartbeat was sent, hence from before it was read.
         let commands_until =
-            if heartbeat.over { now } else { latest.min(heartbeat.read_at + limits.authority) };
+            if heartbeat.ended { now } else { latest.min(heartbeat.read_at + limits.authority) };
         Succession {
             began,
             predecessor: heartbeat.epoch,
@@ -66,23 +66,23 @@
         }
     }
 
-    /// When the last leader's recorded times are known: it wrote the roster that has them.
+    /// Returns whether `writer` is the last leader, whose recorded times can be interpreted.
     pub(crate) fn follows(&self, writer: Epoch) -> bool {
         self.predecessor == writer
     }
 
-    /// The last leader gives no orders from then on.
+    /// Returns the time from which the last leader sends no commands.
     pub(crate) fn commands_until(&self) -> Time {
         self.commands_until
     }
 
-    /// A time of the last leader's term on this process's clock, or a moment later: the sign that tells how long
-    /// that leader had led was sent before it was read.
+    /// Converts a time of the last leader's term to this process's clock. The result may be
+    /// slightly late, since a heartbeat is sent before it is read.
     pub(crate) fn local_time(&self, term_ms: u64) -> Time {
         self.read_at + Duration::from_millis(term_ms.saturating_sub(self.term_ms))
     }
 
-    /// A time of this term, in milliseconds from its beginning, rounded up.
+    /// Converts a time to milliseconds since the start of this term, rounded up.
     pub(crate) fn term_ms(&self, at: Time) -> u64 {
         u64::try_from(at.since(self.began).as_millis()).unwrap_or(u64::MAX).saturating_add(1)
     }
--- a/crates/workflow/src/ledger/mod.rs
+++ b/crates/workflow/src/ledger/mod.rs
@@ -1,9 +1,9 @@
-//! What the records of the store add up to: every workflow and how far it is.
+//! State of all workflows, folded from the store's records.
 //!
-//! Each process folds the same records, so each can tell a client the state of any workflow, and each
-//! can lead at once. Pages of the newest records aren't a snapshot: a later page may hold what was
-//! written after the first, and is met again in the tail. So each record counts only if its offset is
-//! higher than that of the last one of its key.
+//! Every process folds the same records, so each can report the state of any workflow and can lead
+//! at once. Pages of the newest records aren't a consistent snapshot: a later page may hold records
+//! written after the first, which appear again when the log's tail is read. So a record only counts
+//! if its offset is higher than that of the last one with the same key.
 
 use {
     crate::{
@@ -18,36 +18,36 @@
     },
 };
 
-/// What a client is told of a workflow.
+/// State of a workflow as reported to clients.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkflowState {
-    /// Accepted, nothing started yet.
+    /// Accepted; no task has been started.
     Queued,
-    /// Some task was started.
+    /// A task has been started.
     Running,
-    /// It has ended.
+    /// Ended.
     Ended(Outcome),
 }
 
-/// A workflow as the records have it.
+/// Recorded state of a workflow.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
-    /// The queue.
+    /// The queue's name.
     pub route: CompactString,
-    /// The submission; none once the workflow has ended.
+    /// The submission; `None` once the workflow has ended.
     pub submission: Option<Arc<Submission>>,
-    /// A client asked to cancel it.
+    /// Whether a client cancelled it.
     pub cancelled: bool,
-    /// What the leader recorded.
+    /// Progress recorded by the leader.
     pub progress: Progress,
     submitted: bool,
-    timed: bool,
+    scheduled: bool,
     progress_at: Option<Offset>,
 }
 
 impl Entry {
-    /// What a client is told. A cancelled workflow is shown as such from the moment that the
-    /// cancellation is recorded.
+    /// Returns the state reported to clients. A workflow counts as cancelled once the cancellation
+    /// is recorded.
     pub fn state(&self) -> WorkflowState {
         match self.progress.outcome {
             Some(outcome) => WorkflowState::Ended(outcome),
@@ -57,35 +57,35 @@
         }
     }
 
-    /// Whether a submission was read; a cancellation may be read before it.
+    /// Returns whether the submission was read. A cancellation may be read before it.
     pub fn is_submitted(&self) -> bool {
         self.submitted
     }
 
-    /// Whether it waits for its first start.
+    /// Returns whether the workflow waits for its first start.
     fn is_pending(&self) -> bool {
-        self.submitted && !self.timed && self.state() == WorkflowState::Queued
+        self.submitted && !self.scheduled && self.state() == WorkflowState::Queued
     }
 }
 
-/// What a record changed.
+/// The change made by a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LedgerChange {
-    /// Nothing new.
+    /// No change.
     None,
     /// A new workflow.
     Submitted(WorkflowId),
-    /// A workflow is to be cancelled.
+    /// A workflow was cancelled.
     Cancelled(WorkflowId),
-    /// A workflow's progress.
+    /// A workflow's progress changed.
     Progressed(WorkflowId),
-    /// The leader's record.
+    /// The leader record changed.
     Leader,
-    /// The roster.
+    /// The roster changed.
     Roster,
 }
 
-/// The fold of all records.
+/// State folded from all records.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     entries: HashMap<WorkflowId, Entry>,
@@ -96,47 +96,47 @@
 }
 
 impl Ledger {
-    /// A workflow, if its submission was read.
+    /// Returns a workflow whose submission was read.
     pub fn get(&self, id: WorkflowId) -> Option<&Entry> {
         self.entries.get(&id).filter(|entry| entry.submitted)
     }
 
-    /// How many workflows anything is kept of.
+    /// Returns the number of workflows with any record.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is kept of any workflow.
+    /// Returns whether there are no records of any workflow.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All workflows.
+    /// Iterates over all submitted workflows.
     pub fn iter(&self) -> impl Iterator<Item = (WorkflowId, &Entry)> {
         self.entries.iter().filter(|(_, entry)| entry.submitted).map(|(id, entry)| (*id, entry))
     }
 
-    /// The newest leader's record.
+    /// Returns the newest leader record.
     pub fn leader(&self) -> Option<&LeaderRecord> {
         self.leader.as_ref().map(|(_, leader)| leader)
     }
 
-    /// Workers that may run something by a leader's orders.
+    /// Returns the workers that may run tasks on a leader's command.
     pub fn roster(&self) -> Option<&Roster> {
         self.roster.as_ref().map(|(_, roster)| roster)
     }
 
-    /// What the last leader had learned of images.
+    /// Returns the interference model that the last leader recorded.
     pub fn interference_model(&self) -> Option<&InterferenceModel> {
         self.interference_model.as_ref().map(|(_, interference_model)| interference_model)
     }
 
-    /// How far a wave of upkeep is.
+    /// Returns the progress of a maintenance wave.
     pub fn wave(&self, number: u64) -> Option<&WaveProgress> {
         self.waves.get(&number).map(|(_, progress)| progress)
     }
 
-    /// Whether a client's record has been taken in.
+    /// Returns whether a client's record has been applied.
     pub fn contains(&self, record: &Record) -> bool {
         match Key::from_bytes(&record.key) {
             Ok(Key::Submission(id)) => self.get(id).is_some(),
@@ -145,17 +145,17 @@
         }
     }
 
-    /// How many of a queue's workflows wait for their first start. Those that run by the clock aren't
-    /// counted.
+    /// Returns the number of a queue's workflows that wait for their first start, not counting
+    /// those with a schedule.
     pub fn pending(&self, route: &str) -> usize {
         self.entries.values().filter(|entry| entry.route == route && entry.is_pending()).count()
     }
 
-    /// Takes a record in.
+    /// Applies a record.
     ///
     /// # Errors
     ///
-    /// The record can't be read; the ledger stays as it was.
+    /// The record can't be read; the ledger is unchanged.
     pub fn apply(
         &mut self,
         offset: Offset,
@@ -186,7 +186,7 @@
     }
 
     fn apply_leader(&mut self, offset: Offset, value: &[u8]) -> Result<LedgerChange, RecordError> {
-        if self.leader.as_ref().is_some_and(|(at, _)| *at >= offset) {
+        if self.leader.as_ref().is_some_and(|(stored_offset, _)| *stored_offset >= offset) {
             return Ok(LedgerChange::None);
         }
         self.leader = Some((offset, read_value(value)?));
@@ -194,7 +194,7 @@
     }
 
     fn apply_roster(&mut self, offset: Offset, value: &[u8]) -> Result<LedgerChange, RecordError> {
-        if self.roster.as_ref().is_some_and(|(at, _)| *at >= offset) {
+        if self.roster.as_ref().is_some_and(|(stored_offset, _)| *stored_offset >= offset) {
             return Ok(LedgerChange::None);
         }
         self.roster = Some((offset, read_value(value)?));
@@ -206,7 +206,11 @@
         offset: Offset,
         value: &[u8],
     ) -> Result<LedgerChange, RecordError> {
-        if self.interference_model.as_ref().is_some_and(|(at, _)| *at >= offset) {
+        if self
+            .interference_model
+            .as_ref()
+            .is_some_and(|(stored_offset, _)| *stored_offset >= offset)
+        {
             return Ok(LedgerChange::None);
         }
         self.interference_model = Some((offset, read_value(value)?));
@@ -219,28 +223,28 @@
         offset: Offset,
         value: &[u8],
     ) -> Result<LedgerChange, RecordError> {
-        if self.waves.get(&number).is_none_or(|(at, _)| *at < offset) {
+        if self.waves.get(&number).is_none_or(|(stored_offset, _)| *stored_offset < offset) {
             self.waves.insert(number, (offset, read_value(value)?));
         }
         Ok(LedgerChange::None)
     }
 
-    /// The first submission of an id counts: a client that got no answer sends it again, and another
-    /// process may have recorded it already.
+    /// Only the first submission of an ID counts. A client without an answer submits again,
+    /// possibly after another process has recorded the first.
     fn apply_submission(
         &mut self,
         id: WorkflowId,
         value: &[u8],
     ) -> Result<LedgerChange, RecordError> {
-        // Also a repeated one is read: if it can't be, the store's newest record of this key is of no use to
-        // processes that start later.
+        // Repeated submissions are read too: an unreadable one replaces the readable one in the
+        // store, which later processes depend on.
         let submission: Submission = read_value(value)?;
         if self.entries.get(&id).is_some_and(|entry| entry.submitted) {
             return Ok(LedgerChange::None);
         }
         let entry = self.entries.entry(id).or_default();
         entry.submitted = true;
-        entry.timed = submission.workflow.repeat.is_some();
+        entry.scheduled = submission.workflow.repeat.is_some();
         entry.route = submission.route.clone();
         if entry.progress.outcome.is_none() {
             entry.submission = Some(Arc::new(submission));
@@ -254,11 +258,11 @@
         offset: Offset,
         value: &[u8],
     ) -> Result<LedgerChange, RecordError> {
-        let known = self.entries.get(&id).and_then(|entry| entry.progress_at);
-        if known.is_some_and(|at| at >= offset) {
+        let last_offset = self.entries.get(&id).and_then(|entry| entry.progress_at);
+        if last_offset.is_some_and(|stored_offset| stored_offset >= offset) {
             return Ok(LedgerChange::None);
         }
-        // Read first: what can't be read must not leave an entry behind.
+        // Read first, so that an unreadable record leaves no entry behind.
         let progress = read_value(value)?;
         let entry = self.entries.entry(id).or_default();
         entry.progress = progress;
--- a/crates/workflow/src/spec.rs
+++ b/crates/workflow/src/spec.rs
@@ -180,22 +180,22 @@
 
     /// Returns the estimated duration of the critical path, in milliseconds.
     pub fn critical_path_ms(&self) -> u64 {
-        let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
+        let mut ends_ms: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let begin = step.after.iter().map(|after| ends[usize::from(*after)]).max();
-            ends.push(begin.unwrap_or(0) + u64::from(step.estimate_ms));
+            let begin_ms = step.after.iter().map(|after| ends_ms[usize::from(*after)]).max();
+            ends_ms.push(begin_ms.unwrap_or(0) + u64::from(step.estimate_ms));
         }
-        ends.into_iter().max().unwrap_or(0)
+        ends_ms.into_iter().max().unwrap_or(0)
     }
 
     /// Returns the estimated work of one occurrence in core-milliseconds, counting an accelerator
     /// as eight cores.
     pub fn work(&self) -> u64 {
-        let of = |step: &Step| {
+        let core_ms = |step: &Step| {
             let cpu =
                 u64::from(step.resources.cpu.0) + 8_000 * u64::from(step.resources.accelerators.0);
             u64::from(step.count) * cpu * u64::from(step.estimate_ms) / 1_000
         };
-        self.steps.iter().map(of).sum()
+        self.steps.iter().map(core_ms).sum()
     }
 }
