--- a/crates/workflow/tests/support/advisor.rs
+++ b/crates/workflow/tests/support/advisor.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the service that says which workers may run a step.
+//! Fake policy service that decides which workers may run a step.
 
 use {
     compact_str::{CompactString, format_compact},
@@ -13,12 +13,12 @@
 #[derive(Default)]
 pub struct Advisor {
     pub allowed: BTreeSet<WorkerId>,
-    /// It turns calls away.
+    /// Rejects calls as overloaded.
     pub busy: bool,
-    /// It gives no answer.
+    /// Doesn't answer.
     pub unresponsive: bool,
     pub calls: u32,
-    /// Workers that were asked about, in all calls.
+    /// Total number of candidate workers over all calls.
     pub asked_workers: usize,
     issued: BTreeMap<CompactString, Time>,
 }
@@ -28,7 +28,7 @@
 }
 
 impl Advisor {
-    /// Answers, and says how long that takes.
+    /// Returns the decision and how long it takes.
     pub fn answer(
         &mut self,
         now: Time,
@@ -45,19 +45,20 @@
         }
         self.asked_workers += workers.len();
         let count = u32::try_from(workers.len()).expect("few workers");
-        let takes =
+        let duration =
             Duration::from_millis(u64::from(terms.decision_ms + terms.per_worker_ms * count));
         let valid = Duration::from_millis(u64::from(terms.validity_ms));
         let mut tickets = Vec::new();
         for worker in workers.iter().filter(|worker| self.allowed.contains(*worker)) {
-            self.issued.insert(ticket(step, worker), now + takes + valid);
+            self.issued.insert(ticket(step, worker), now + duration + valid);
             tickets.push((worker.clone(), ticket(step, worker)));
         }
-        (AdviceResult::Allowed { tickets, validity_ms: terms.validity_ms }, takes)
+        (AdviceResult::Allowed { tickets, validity_ms: terms.validity_ms }, duration)
     }
 
-    /// Whether a worker takes a start with this ticket.
-    pub fn accepts(&self, now: Time, step: StepId, worker: &WorkerId, given: &str) -> bool {
-        given == ticket(step, worker) && self.issued.get(given).is_some_and(|until| now < *until)
+    /// Returns whether a worker accepts a start with this ticket.
+    pub fn accepts(&self, now: Time, step: StepId, worker: &WorkerId, presented: &str) -> bool {
+        presented == ticket(step, worker)
+            && self.issued.get(presented).is_some_and(|until| now < *until)
     }
 }
--- a/crates/workflow/tests/support/checker.rs
+++ b/crates/workflow/tests/support/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold, as seen at the workers.
+//! Checks scheduling invariants against what workers observe.
 
 use {
     egretlb_workflow::{EndKind, RunId, Submission, TaskId, WorkerId, WorkflowId},
@@ -8,24 +8,24 @@
     },
 };
 
-/// After so many workers have crashed under a task, its starts are counted.
-const CRASHES: u32 = 3;
+/// Number of crashes of a task after which its starts are counted.
+const COUNTED_CRASHES: u32 = 3;
 
-/// So many starts of such a task are too many.
-const STARTS_AFTER_CRASHES: u32 = 3;
+/// Number of starts after those crashes that violates the platform's limit.
+const FORBIDDEN_STARTS: u32 = 3;
 
-/// Faults found, and what they are judged by.
+/// Records violations and the state needed to detect them.
 #[derive(Default)]
 pub struct Checker {
     pub violations: Vec<String>,
     pub starts: u32,
     running: BTreeMap<TaskId, BTreeSet<(WorkerId, RunId)>>,
-    /// Ends `done` that a worker still lists, by worker and number.
+    /// Ends that the leader hasn't acknowledged, by worker and number.
     unacknowledged: BTreeMap<WorkerId, BTreeMap<u64, (TaskId, EndKind)>>,
     done: BTreeSet<TaskId>,
     acknowledged_done: BTreeSet<TaskId>,
     failed: BTreeMap<TaskId, u32>,
-    /// Workers that each culprit has crashed, and its starts after the third.
+    /// Workers crashed by each task, and its starts after the third crash.
     crashing_tasks: BTreeMap<TaskId, (u32, u32)>,
     pub cancelled: BTreeSet<WorkflowId>,
 }
@@ -52,10 +52,10 @@
             self.violations.push(format!("{task} run {run} started after its last attempt"));
         }
         if let Some((crashes, starts)) = self.crashing_tasks.get_mut(&task)
-            && *crashes >= CRASHES
+            && *crashes >= COUNTED_CRASHES
         {
             *starts += 1;
-            if *starts >= STARTS_AFTER_CRASHES {
+            if *starts >= FORBIDDEN_STARTS {
                 self.violations.push(format!("{task} run {run} started after {crashes} crashes"));
             }
         }
@@ -90,11 +90,11 @@
         }
     }
 
-    /// A worker's ends up to `number` are acknowledged: they stand.
+    /// Makes a worker's ends up to `number` final.
     pub fn acknowledged(&mut self, worker: &WorkerId, number: u64) {
         let Some(ends) = self.unacknowledged.get_mut(worker) else { return };
-        let rest = ends.split_off(&(number + 1));
-        for (_, (task, kind)) in std::mem::replace(ends, rest) {
+        let remaining = ends.split_off(&(number + 1));
+        for (_, (task, kind)) in std::mem::replace(ends, remaining) {
             match kind {
                 EndKind::Done => {
                     self.acknowledged_done.insert(task);
@@ -105,17 +105,17 @@
         }
     }
 
-    /// A task has crashed its worker.
+    /// Counts a worker crash caused by a task.
     pub fn crashed_by(&mut self, crashing_task: TaskId) {
         self.crashing_tasks.entry(crashing_task).or_default().0 += 1;
     }
 
-    /// How many workers a task has crashed.
+    /// Returns the number of workers that a task has crashed.
     pub fn crashes_by(&self, crashing_task: TaskId) -> u32 {
         self.crashing_tasks.get(&crashing_task).map_or(0, |(crashes, _)| *crashes)
     }
 
-    /// A worker crashed: ends that nobody took note of are void.
+    /// Drops the unacknowledged ends of a crashed worker.
     pub fn discard_ends(&mut self, worker: &WorkerId) {
         self.unacknowledged.remove(worker);
     }
--- a/crates/workflow/tests/support/crashing_tasks.rs
+++ b/crates/workflow/tests/support/crashing_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash each worker that starts them.
+//! Tasks that crash every worker that starts them.
 
 use {
     super::{worker::Run, world::World},
@@ -7,16 +7,16 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long a member of a gang waits for the others.
+/// How long a gang member waits for the others.
 const GANG_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Which tasks crash their worker, and when what they crashed is back.
+/// Crashing tasks and the workers they have brought down.
 pub struct CrashingTasks {
-    /// How long after its start each task crashes its worker.
+    /// Time from a task's start to the worker's crash.
     pub tasks: BTreeMap<TaskId, Duration>,
-    /// How long a worker is away.
+    /// How long a crashed worker is down.
     pub away: Duration,
-    /// Their starts get no answer.
+    /// Whether starts of these tasks get no answer.
     pub unanswered: bool,
     down: Vec<(Time, usize)>,
 }
@@ -29,7 +29,7 @@
 }
 
 impl CrashingTasks {
-    /// Whether an order gets no answer since its worker crashes at once.
+    /// Returns whether a command gets no answer because the worker crashes first.
     pub fn drops_answer(&self, effect: &Effect) -> bool {
         let Effect::Start { task, .. } = effect else { return false };
         self.unanswered && self.tasks.contains_key(task)
@@ -37,7 +37,7 @@
 }
 
 impl World {
-    /// Ends the members of a gang of which one is lost.
+    /// Ends the other members of a gang that lost one.
     fn break_gang(&mut self, lost: TaskId) {
         for worker in &mut self.workers {
             let of_gang = |task: &TaskId| task.step_id() == lost.step_id();
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Ends members of a gang that have waited in vain for the others.
+    /// Ends members of incomplete gangs after [`GANG_TIMEOUT`].
     pub fn end_incomplete_gangs(&mut self) {
         let now = self.now;
         let mut present: BTreeMap<(StepId, RunId), u32> = BTreeMap::new();
@@ -61,8 +61,8 @@
         }
         for worker in &mut self.workers {
             let incomplete = |(task, run): &(&TaskId, &Run)| {
-                let there = present.get(&(task.step_id(), run.run)).copied().unwrap_or(0);
-                run.step.gang && there < run.step.count && worker.waited(now, run) >= GANG_TIMEOUT
+                let present = present.get(&(task.step_id(), run.run)).copied().unwrap_or(0);
+                run.step.gang && present < run.step.count && worker.waited(now, run) >= GANG_TIMEOUT
             };
             let ended: Vec<TaskId> =
                 worker.running.iter().filter(incomplete).map(|(t, _)| *t).collect();
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Crashes the workers at which a culprit has run for as long as it takes, and brings back those whose time is
-    /// over.
+    /// Crashes workers on which a crashing task's time is up, and restarts those that have been
+    /// down long enough.
     pub fn run_crashing_tasks(&mut self) {
         let now = self.now;
         for number in 0..self.workers.len() {
@@ -87,10 +87,10 @@
             lost.into_iter().for_each(|task| self.break_gang(task));
             self.crashing_tasks.down.push((now + self.crashing_tasks.away, number));
         }
-        let (back, down) = self.crashing_tasks.down.drain(..).partition(|(at, _)| *at <= now);
+        let (restored, down) = self.crashing_tasks.down.drain(..).partition(|(at, _)| *at <= now);
         self.crashing_tasks.down = down;
-        let back: Vec<(Time, usize)> = back;
-        for (_, number) in back {
+        let restored: Vec<(Time, usize)> = restored;
+        for (_, number) in restored {
             self.revive(number);
         }
     }
--- a/crates/workflow/tests/support/fleet.rs
+++ b/crates/workflow/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's VMs and their upkeep.
+//! Fake platform API for VMs and their maintenance.
 
 use {
     compact_str::format_compact,
@@ -10,20 +10,20 @@
     },
 };
 
-/// How long an upkeep takes.
-const UPKEEP: Duration = Duration::from_secs(2);
+/// Duration of the maintenance of a VM.
+const MAINTENANCE_TIME: Duration = Duration::from_secs(2);
 
 #[derive(Default)]
 pub struct Fleet {
-    /// The worker on each VM; none while the VM is down.
+    /// The worker on each VM; `None` while the VM is down.
     pub vms: BTreeMap<VmId, Option<WorkerId>>,
     /// VMs that are down, and until when.
     pub down: BTreeMap<VmId, Time>,
     pub done: BTreeSet<VmId>,
-    tokens: BTreeMap<VmId, Epoch>,
-    /// The most VMs that were down at one time.
+    last_epochs: BTreeMap<VmId, Epoch>,
+    /// Maximum number of VMs that were down at once.
     pub max_down: usize,
-    /// What the operator was told, in order.
+    /// Wave states reported to the operator, in order.
     pub reported: Vec<egretlb_workflow::WaveState>,
 }
 
@@ -41,31 +41,31 @@
         self.vms.iter().map(entry).collect()
     }
 
-    /// Begins an upkeep; returns the worker that ends by it.
+    /// Starts maintenance of a VM; returns the worker that it shuts down.
     pub fn begin(
         &mut self,
         now: Time,
         epoch: Epoch,
         vm: &VmId,
     ) -> (MaintenanceResult, Option<WorkerId>) {
-        let token = self.tokens.entry(vm.clone()).or_insert(epoch);
-        if epoch < *token {
+        let last_epoch = self.last_epochs.entry(vm.clone()).or_insert(epoch);
+        if epoch < *last_epoch {
             return (MaintenanceResult::Outranked, None);
         }
-        *token = epoch;
+        *last_epoch = epoch;
         if self.done.contains(vm) {
             return (MaintenanceResult::Started, None);
         }
-        let Some(known) = self.vms.get_mut(vm) else { return (MaintenanceResult::NotInWave, None) };
-        let Some(worker) = known.take() else { return (MaintenanceResult::Busy, None) };
+        let Some(slot) = self.vms.get_mut(vm) else { return (MaintenanceResult::NotInWave, None) };
+        let Some(worker) = slot.take() else { return (MaintenanceResult::Busy, None) };
         self.done.insert(vm.clone());
-        self.down.insert(vm.clone(), now + UPKEEP);
+        self.down.insert(vm.clone(), now + MAINTENANCE_TIME);
         self.max_down = self.max_down.max(self.down.len());
         (MaintenanceResult::Started, Some(worker))
     }
 
-    /// VMs whose upkeep ends now.
-    pub fn back(&mut self, now: Time) -> Vec<VmId> {
+    /// Returns VMs whose maintenance ends now.
+    pub fn end_maintenance(&mut self, now: Time) -> Vec<VmId> {
         let due = self.down.iter().filter(|(_, until)| **until <= now);
         let due: Vec<VmId> = due.map(|(vm, _)| vm.clone()).collect();
         for vm in &due {
--- a/crates/workflow/tests/support/lines.rs
+++ b/crates/workflow/tests/support/lines.rs
@@ -1,4 +1,4 @@
-//! The log lines of a test, as the reducers write them.
+//! Captures log lines per test.
 
 use {
     log::{
@@ -9,11 +9,11 @@
 };
 
 thread_local! {
-    /// Tests run side by side; each has a thread of its own.
+    /// Tests run in parallel, each on its own thread.
     static LINES: RefCell<Vec<Line>> = const { RefCell::new(Vec::new()) };
 }
 
-/// A line at a level that production writes.
+/// A log line at a level enabled in production.
 #[derive(Clone, Debug, Default)]
 pub struct Line {
     pub event: String,
@@ -49,20 +49,20 @@
     fn flush(&self) {}
 }
 
-/// Begins to collect this test's lines.
+/// Starts capturing this thread's lines.
 pub fn collect() {
-    // All tests of a program share the logger; whichever is first sets it.
+    // All tests of a binary share the logger; the first call sets it.
     let _ = log::set_logger(&Collector);
     log::set_max_level(LevelFilter::Info);
     LINES.take();
 }
 
-/// All lines since the last call.
+/// Returns all lines since the last call.
 pub fn take() -> Vec<Line> {
     LINES.take()
 }
 
-/// The lines of one event among `lines`.
+/// Returns the lines of one event.
 pub fn of<'a>(lines: &'a [Line], event: &str) -> Vec<&'a Line> {
     lines.iter().filter(|line| line.event == event).collect()
 }
--- a/crates/workflow/tests/support/messages.rs
+++ b/crates/workflow/tests/support/messages.rs
@@ -1,4 +1,4 @@
-//! The world's messages: appends, orders and their answers, and the faults that befall them.
+//! Simulated messages: appends, commands and answers, with injected faults.
 
 use {
     super::{
@@ -62,7 +62,7 @@
 }
 
 impl Answer {
-    /// What a node knows when a worker's answer doesn't reach it.
+    /// Returns the result that a node sees if the worker's answer is lost.
     fn lost(self) -> Answer {
         match self {
             Answer::Poll(id, _) => Answer::Poll(id, PollResult::Failed),
@@ -74,23 +74,23 @@
     }
 }
 
-/// What an order meets at the address that it is sent to.
+/// Outcome of sending a command to an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Delivery {
-    /// The worker.
+    /// The worker receives it.
     Worker,
-    /// No answer; it isn't carried out.
-    Silence,
-    /// Nothing listens there, or something on the way turns connections away.
-    Refusal,
-    /// A later incarnation of the worker.
+    /// No answer, and not executed.
+    NoAnswer,
+    /// The connection is refused.
+    Refused,
+    /// A later incarnation of the worker receives it.
     Successor,
 }
 
-/// A hanging append is given up after this.
-const HANGS: Duration = Duration::from_millis(2_400);
+/// Timeout of a hanging append.
+const HUNG_APPEND_TIMEOUT: Duration = Duration::from_millis(2_400);
 
-/// What advice costs in this world.
+/// Cost of a policy decision in the simulation.
 pub const ADVICE_TERMS: AdviceTerms =
     AdviceTerms { decision_ms: 60, per_worker_ms: 10, validity_ms: 3_000 };
 
@@ -169,28 +169,30 @@
         claim: bool,
     ) {
         let (sent, records, fence) = append;
-        let reached = self.nodes[node].reaches_store && !self.store_down;
-        if !reached && self.nodes[node].calls_hang {
-            if self.now.since(sent) >= HANGS && self.now.since(sent) < HANGS + STEP {
+        let reachable = self.nodes[node].reaches_store && !self.store_down;
+        if !reachable && self.nodes[node].calls_hang {
+            if self.now.since(sent) >= HUNG_APPEND_TIMEOUT
+                && self.now.since(sent) < HUNG_APPEND_TIMEOUT + STEP
+            {
                 let (records, result) = (records.clone(), AppendResult::Unknown);
                 self.send(Msg::Appended { node, incarnation, sent, records, fence, claim, result });
             }
-            let again = Msg::Append { node, incarnation, sent, records, fence, claim };
-            self.messages.push((self.now + STEP, again));
+            let retry = Msg::Append { node, incarnation, sent, records, fence, claim };
+            self.messages.push((self.now + STEP, retry));
             return;
         }
         let mut result = AppendResult::Rejected;
-        if reached && sent + STEP * 3 >= self.now && self.is_late() {
+        if reachable && sent + STEP * 3 >= self.now && self.is_delayed() {
             let wait = Duration::from_millis(self.rng.random_range(100..3_000));
-            let held_up =
+            let delayed =
                 Msg::Append { node, incarnation, sent, records: records.clone(), fence, claim };
-            self.messages.push((self.now + wait, held_up));
+            self.messages.push((self.now + wait, delayed));
             let result = AppendResult::Unknown;
             let lost = Msg::Appended { node, incarnation, sent, records, fence, claim, result };
-            self.messages.push((sent + HANGS, lost));
+            self.messages.push((sent + HUNG_APPEND_TIMEOUT, lost));
             return;
         }
-        if reached {
+        if reachable {
             result = self.store.append(&records, Some(fence));
             if self.rng.random_range(0..1_000) < self.lost_appends {
                 result = AppendResult::Unknown;
@@ -199,7 +201,7 @@
         self.send(Msg::Appended { node, incarnation, sent, records, fence, claim, result });
     }
 
-    fn is_late(&mut self) -> bool {
+    fn is_delayed(&mut self) -> bool {
         self.late_appends > 0 && self.rng.random_range(0..1_000) < self.late_appends
     }
 
@@ -246,19 +248,22 @@
         let Some(index) = self.workers.iter().position(|worker| worker.info.id == id) else {
             return;
         };
-        let late = self.rng.random_range(0..1_000) < self.late_commands;
-        if late && now.since(sent) < Duration::from_millis(100) {
+        let is_late = self.rng.random_range(0..1_000) < self.late_commands;
+        if is_late && now.since(sent) < Duration::from_millis(100) {
             let wait = Duration::from_millis(self.rng.random_range(2_000..12_000));
             let lost = Msg::Command { node, incarnation, epoch, sent, effect: effect.clone() };
             self.messages.push((now + wait, lost));
         }
         let ignores_commands = self.workers[index].ignores_commands && !polls;
-        let delivery =
-            if late || ignores_commands { Delivery::Silence } else { self.delivery(node, index) };
+        let delivery = if is_late || ignores_commands {
+            Delivery::NoAnswer
+        } else {
+            self.delivery(node, index)
+        };
         let answer_lost = self.nodes[node].answers_lost_from.contains(&index)
             || self.crashing_tasks.drops_answer(&effect);
-        // A call without an answer is given up after half a second.
-        let wait = if answer_lost || delivery == Delivery::Silence {
+        // Unanswered calls time out after half a second.
+        let wait = if answer_lost || delivery == Delivery::NoAnswer {
             Duration::from_millis(500)
         } else {
             STEP
@@ -273,7 +278,7 @@
         self.messages.push((now + wait, Msg::Answer { node, incarnation, epoch, sent, answer }));
     }
 
-    /// When the next order may be sent to a worker; none if orders don't wait for each other.
+    /// Returns when the next command may be sent to a worker, or `None` if it needn't wait.
     fn next_free(&mut self, id: &WorkerId) -> Option<Time> {
         let (now, max) = (self.now, self.max_concurrent_commands?);
         let busy = self.busy_until.entry(id.clone()).or_default();
@@ -282,24 +287,24 @@
         busy.len().checked_sub(max).map(|first| busy[first])
     }
 
-    /// What orders of a node to a worker meet.
+    /// Returns the outcome of sending a command from a node to a worker.
     fn delivery(&self, node: usize, index: usize) -> Delivery {
         let node = &self.nodes[node];
         let worker = &self.workers[index];
         let addr = worker.info.addr;
         let listens = |other: &Worker| other.up && other.info.addr == addr;
-        let there = self.workers.iter().position(listens);
-        match there {
-            _ if node.unreachable.contains(&index) => Delivery::Silence,
-            _ if node.refused_by.contains(&index) => Delivery::Refusal,
-            Some(there) if there == index => Delivery::Worker,
+        let current = self.workers.iter().position(listens);
+        match current {
+            _ if node.unreachable.contains(&index) => Delivery::NoAnswer,
+            _ if node.refused_by.contains(&index) => Delivery::Refused,
+            Some(current) if current == index => Delivery::Worker,
             Some(_) => Delivery::Successor,
-            None if worker.vm_up => Delivery::Refusal,
-            None => Delivery::Silence,
+            None if worker.vm_up => Delivery::Refused,
+            None => Delivery::NoAnswer,
         }
     }
 
-    /// What a worker answers to an order, or what else becomes of it.
+    /// Executes a command and returns its answer.
     fn carry_out(
         &mut self,
         index: usize,
@@ -313,22 +318,22 @@
             Effect::Poll { epoch, recorded, until_ms, .. } => {
                 let result = match delivery {
                     Delivery::Worker => worker.poll(now, epoch, recorded, until_ms, checker),
-                    Delivery::Silence => PollResult::Failed,
-                    Delivery::Refusal => PollResult::Refused,
+                    Delivery::NoAnswer => PollResult::Failed,
+                    Delivery::Refused => PollResult::Refused,
                     Delivery::Successor => PollResult::OtherIncarnation,
                 };
                 Answer::Poll(id, result)
             }
             Effect::Start { epoch, task, run, submission, until_ms, ticket, .. } => {
                 let step = task.step_id();
-                let ticketed =
+                let ticket_valid =
                     submission.advice.is_none() || self.advisor.accepts(now, step, &id, &ticket);
                 let command = StartCommand { epoch, task, run, submission, until_ms };
                 let result = match delivery {
-                    Delivery::Worker if !ticketed => StartResult::BadTicket,
+                    Delivery::Worker if !ticket_valid => StartResult::BadTicket,
                     Delivery::Worker => worker.start(now, &command, checker),
-                    Delivery::Silence => StartResult::Unknown,
-                    Delivery::Refusal => StartResult::NotSent,
+                    Delivery::NoAnswer => StartResult::Unknown,
+                    Delivery::Refused => StartResult::NotSent,
                     Delivery::Successor => StartResult::OtherIncarnation,
                 };
                 Answer::Start(id, task, run, result)
@@ -336,7 +341,7 @@
             Effect::Stop { epoch, task, run, .. } => {
                 let result = match delivery {
                     Delivery::Worker => worker.stop(now, epoch, task, run, checker),
-                    Delivery::Silence | Delivery::Refusal => StopResult::Unknown,
+                    Delivery::NoAnswer | Delivery::Refused => StopResult::Unknown,
                     Delivery::Successor => StopResult::OtherIncarnation,
                 };
                 Answer::Stop(id, task, run, result)
@@ -344,7 +349,7 @@
             Effect::Pace { epoch, task, run, percent, .. } => {
                 let result = match delivery {
                     Delivery::Worker => worker.pace(now, epoch, (task, run), percent),
-                    Delivery::Silence | Delivery::Refusal => PaceResult::Unknown,
+                    Delivery::NoAnswer | Delivery::Refused => PaceResult::Unknown,
                     Delivery::Successor => PaceResult::OtherIncarnation,
                 };
                 Answer::Pace(id, task, run, result)
@@ -358,7 +363,7 @@
         })
     }
 
-    /// What a node asks itself when the turn of a start comes.
+    /// Returns whether the node still wants to send a start.
     fn wants(
         &self,
         node: usize,
@@ -368,7 +373,7 @@
         run: RunId,
     ) -> bool {
         let node = &self.nodes[node];
-        // A node that was killed meanwhile had sent it already.
+        // A node that was killed in the meantime had already sent it.
         let runs = node.incarnation == incarnation && node.leads(self.now);
         let wants = |scheduler: &Scheduler| scheduler.wants_start(self.now, id, task, run);
         !runs || node.scheduler.as_ref().is_none_or(wants)
@@ -429,9 +434,9 @@
             }
             AppendResult::Rejected | AppendResult::Unknown => {
                 let incarnation = node.incarnation;
-                let again =
+                let retry =
                     Msg::Append { node: index, incarnation, sent, records, fence, claim: false };
-                self.messages.push((now + Duration::from_millis(60), again));
+                self.messages.push((now + Duration::from_millis(60), retry));
             }
             AppendResult::Conflict | AppendResult::Fenced => {}
         }
--- a/crates/workflow/tests/support/mod.rs
+++ b/crates/workflow/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A world in virtual time: a store, workers, and nodes that each run the crate's reducers. Every call
-//! takes some milliseconds; faults are set by the tests.
+//! Simulation in virtual time: a store, workers, and nodes that run the crate's state machines.
+//! Every call takes some milliseconds; tests inject faults.
 
 #![allow(dead_code)]
 
@@ -21,7 +21,7 @@
     egretlb_workflow::{Step, Submission, Workflow},
 };
 
-/// A step of `count` tasks that run for `ms` on one core each.
+/// Creates a step of `count` tasks that run for `ms` on one core each.
 pub fn step(count: u32, ms: u32) -> Step {
     Step {
         count,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A step of `count` lasting tasks of `cores` each.
+/// Creates a step of `count` long-running tasks of `cores` each.
 pub fn long_running(count: u32, cores: u32) -> Step {
     let mut step = step(count, 0);
     step.resources.cpu = MilliCores(cores * 1_000);
@@ -43,7 +43,8 @@
     step
 }
 
-/// A submission of these steps with three attempts, to the service of the world's workers.
+/// Creates a submission of these steps with three attempts, for the service of the simulated
+/// workers.
 pub fn submission(steps: Vec<Step>) -> Submission {
     Submission {
         route: CompactString::const_new("queue"),
--- a/crates/workflow/tests/support/node.rs
+++ b/crates/workflow/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! A node of the world: the reducers of one process.
+//! Simulated node that runs the state machines of one process.
 
 use {
     egretlb_types::{Epoch, Offset, Seq, Time},
@@ -11,20 +11,20 @@
 pub struct Node {
     pub name: usize,
     pub up: bool,
-    /// Until then the process stands still.
+    /// The process is paused until then.
     pub frozen_until: Time,
     pub ledger: Ledger,
     pub leadership: Leadership,
     pub scheduler: Option<Scheduler>,
     pub next: Offset,
     pub reaches_store: bool,
-    /// While it can't reach the store its calls hang, and arrive once it can.
+    /// Whether calls to an unreachable store hang and arrive once it is reachable again.
     pub calls_hang: bool,
     /// Workers that it can't reach.
     pub unreachable: Vec<usize>,
-    /// Workers that take its orders and whose answers are lost.
+    /// Workers that execute its commands but whose answers are lost.
     pub answers_lost_from: Vec<usize>,
-    /// Workers that are well and whose network turns its connections away.
+    /// Healthy workers whose network refuses its connections.
     pub refused_by: Vec<usize>,
     pub elections: u32,
     pub directory: Vec<WorkerInfo>,
@@ -32,7 +32,7 @@
     limits: Limits,
 }
 
-/// What a node wants done.
+/// An effect to be performed by the simulation.
 pub enum Action {
     Claim { epoch: Epoch, seq: Seq, records: Vec<egretlb_workflow::Record> },
     Effect(Epoch, Effect),
@@ -73,7 +73,7 @@
         self.leadership.authority(now).is_some()
     }
 
-    /// Takes a record in.
+    /// Applies a record.
     pub fn read(&mut self, now: Time, offset: Offset, key: &[u8], value: &[u8]) -> Vec<Action> {
         self.next = offset.next();
         let change = self.ledger.apply(offset, key, value).expect("a record of this crate");
--- a/crates/workflow/tests/support/store.rs
+++ b/crates/workflow/tests/support/store.rs
@@ -1,5 +1,4 @@
-//! A stand-in of the platform's store: one partition of keyed records with conditional and fenced
-//! appends.
+//! Fake store: one partition of keyed records with fenced appends.
 
 use {
     egretlb_types::{Epoch, Offset, Seq},
@@ -11,7 +10,7 @@
     records: Vec<Record>,
     epoch: Epoch,
     seq: Option<Seq>,
-    /// Appends of this term are refused.
+    /// Epoch whose appends are rejected.
     pub refused: Option<Epoch>,
 }
 
--- a/crates/workflow/tests/support/worker.rs
+++ b/crates/workflow/tests/support/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in of a worker: runs under leases on its own clock, fencing tokens, stopped runs that never
-//! begin, ends until they are acknowledged.
+//! Fake worker: runs tasks under leases on its own clock, checks fencing tokens, rejects stopped
+//! runs, and lists ends until they are acknowledged.
 
 use {
     super::checker::Checker,
@@ -14,24 +14,25 @@
 
 pub struct Run {
     pub run: RunId,
-    /// Milliseconds of work that were left when that last changed, and when that was.
+    /// Remaining work in milliseconds at the time `updated_ms`.
     left_ms: u64,
-    since: u64,
-    /// When it began.
-    began: u64,
-    /// How long all of it takes.
-    whole_ms: u64,
-    /// The share at which it works, in percent.
+    updated_ms: u64,
+    /// Start time.
+    started_ms: u64,
+    /// Total work in milliseconds.
+    total_ms: u64,
+    /// Pace in percent.
     pub pace: u32,
-    /// When it ends by an order.
-    stops_at: Option<u64>,
+    /// When it ends after a stop command.
+    stops_at_ms: Option<u64>,
     pub step: Step,
 }
 
 impl Run {
-    /// What is left of its work at `clock`, at a worker that takes `slowness` times as long, in percent.
-    fn left_at(&self, clock: u64, slowness: u64) -> u64 {
-        let worked = clock.saturating_sub(self.since) * u64::from(self.pace) / slowness;
+    /// Returns the remaining work at `clock_ms`, on a worker that takes `slowness` percent of the
+    /// normal time.
+    fn left_at(&self, clock_ms: u64, slowness: u64) -> u64 {
+        let worked = clock_ms.saturating_sub(self.updated_ms) * u64::from(self.pace) / slowness;
         self.left_ms.saturating_sub(worked)
     }
 }
@@ -47,13 +48,13 @@
 pub struct Worker {
     pub info: WorkerInfo,
     pub up: bool,
-    /// Its VM runs, so that connections are refused once the worker is gone.
+    /// Whether its VM runs, so that connections are refused once the worker has exited.
     pub vm_up: bool,
-    /// Its entry is in the directory while it is up.
+    /// Whether the directory has its entry while it is up.
     pub listed: bool,
-    /// Its entry is in the directory although it is gone.
+    /// Whether the directory still has its entry after it is gone.
     pub stale_entry: bool,
-    /// The worker's clock runs at this share of real time, in thousandths.
+    /// Clock rate relative to real time, in thousandths.
     pub rate: u64,
     pub running: BTreeMap<TaskId, Run>,
     pub ended: Vec<End>,
@@ -62,29 +63,29 @@
     pub lease_until: u64,
     pub stopped: BTreeMap<TaskId, RunId>,
     pub fails_all: bool,
-    /// Orders get no answer and aren't carried out; polls are answered.
+    /// Whether commands get no answer and aren't executed. Polls are answered.
     pub ignores_commands: bool,
-    /// Tail latency that serving tasks have alone, in milliseconds.
+    /// Tail latency of latency-critical tasks without best-effort tasks, in milliseconds.
     pub tail_ms: u32,
-    /// What each filler at full pace adds to it.
+    /// Tail latency added by each best-effort task at full pace, in milliseconds.
     pub interference_ms: u32,
-    /// Work takes so many times as long, in percent.
+    /// Run time in percent of the normal one.
     pub slowness: u64,
-    /// How long a stop takes, in milliseconds.
+    /// Duration of a stop, in milliseconds.
     pub stop_ms: u64,
-    /// Paces that were set.
+    /// All paces that were set.
     pub paces: Vec<u32>,
-    /// Rows of its runs can't be read.
+    /// Whether rows of its runs are unreadable.
     pub unreadable_runs: bool,
-    /// Ends with these numbers can't be read.
+    /// Numbers of ends that are unreadable.
     pub unreadable_ends: RangeInclusive<u64>,
-    /// So many of the next runs that are done end in an unknown way.
+    /// Number of next successful runs that end in an unknown way.
     pub unknown_ends: u32,
-    /// Its entry in the directory can't be read.
+    /// Whether its directory entry is unreadable.
     pub unreadable_entry: bool,
 }
 
-/// The longest lease that is granted, in milliseconds.
+/// Maximum lease that is granted, in milliseconds.
 const MAX_LEASE_MS: u64 = 6_000;
 
 impl Worker {
@@ -134,8 +135,8 @@
     }
 
     fn renew(&mut self, now: Time, until_ms: u64) {
-        let longest = self.clock_ms(now) + MAX_LEASE_MS;
-        self.lease_until = self.lease_until.max(until_ms.min(longest));
+        let max_until = self.clock_ms(now) + MAX_LEASE_MS;
+        self.lease_until = self.lease_until.max(until_ms.min(max_until));
     }
 
     pub fn finish(&mut self, task: TaskId, kind: EndKind, checker: &mut Checker) {
@@ -147,13 +148,13 @@
         self.next_end += 1;
     }
 
-    /// Lets runs end and leases lapse.
+    /// Ends finished and stopped runs, and all runs when the lease has expired.
     pub fn advance(&mut self, now: Time, checker: &mut Checker) {
         if !self.up {
             return;
         }
-        let clock = self.clock_ms(now);
-        let due = self.running.iter().filter(|(_, run)| run.left_at(clock, self.slowness) == 0);
+        let clock_ms = self.clock_ms(now);
+        let due = self.running.iter().filter(|(_, run)| run.left_at(clock_ms, self.slowness) == 0);
         let due: Vec<TaskId> = due.map(|(task, _)| *task).collect();
         for task in due {
             let unknown = self.unknown_ends > 0;
@@ -165,13 +166,13 @@
             };
             self.finish(task, kind, checker);
         }
-        let stops = |run: &Run| run.stops_at.is_some_and(|at| at <= clock);
+        let stops = |run: &Run| run.stops_at_ms.is_some_and(|at| at <= clock_ms);
         let stopped = self.running.iter().filter(|(_, run)| stops(run));
         let stopped: Vec<TaskId> = stopped.map(|(task, _)| *task).collect();
         for task in stopped {
             self.finish(task, EndKind::Stopped, checker);
         }
-        if clock >= self.lease_until {
+        if clock_ms >= self.lease_until {
             let all: Vec<TaskId> = self.running.keys().copied().collect();
             for task in all {
                 self.finish(task, EndKind::Lapsed, checker);
@@ -201,8 +202,8 @@
             if run.step.long_running {
                 return 100;
             }
-            let worked = run.whole_ms - run.left_at(clock_ms, self.slowness);
-            u32::try_from(worked * 100 / run.whole_ms.max(1)).unwrap_or(100)
+            let worked = run.total_ms - run.left_at(clock_ms, self.slowness);
+            u32::try_from(worked * 100 / run.total_ms.max(1)).unwrap_or(100)
         };
         let fillers = self.running.values().filter(|run| run.step.best_effort);
         let tail_ms =
@@ -244,23 +245,23 @@
             return StartResult::Late;
         }
         self.renew(now, until_ms);
-        if self.running.get(&task).is_some_and(|known| known.run == run) {
+        if self.running.get(&task).is_some_and(|active| active.run == run) {
             return StartResult::Started { clock_ms };
         }
         if self.stopped.get(&task).is_some_and(|last| *last >= run) {
             return StartResult::OldRun;
         }
         let step = submission.workflow.steps[usize::from(task.step)].clone();
-        let used: u32 = self.running.values().map(|run| counted(&run.step)).sum();
-        if used + counted(&step) > self.info.capacity.cpu.0 {
+        let used: u32 = self.running.values().map(|run| reserved_cpu(&run.step)).sum();
+        if used + reserved_cpu(&step) > self.info.capacity.cpu.0 {
             return StartResult::NoCapacity;
         }
         checker.started(&self.info.id, task, run, submission);
         let runtime = if step.long_running { u64::MAX / 4 } else { u64::from(step.estimate_ms) };
-        let (left_ms, since, whole_ms) = (runtime, clock_ms, runtime);
-        let began = clock_ms;
-        let (pace, stops_at) = (100, None);
-        let run = Run { run, left_ms, since, began, whole_ms, pace, stops_at, step };
+        let (left_ms, updated_ms, total_ms) = (runtime, clock_ms, runtime);
+        let started_ms = clock_ms;
+        let (pace, stops_at_ms) = (100, None);
+        let run = Run { run, left_ms, updated_ms, started_ms, total_ms, pace, stops_at_ms, step };
         self.running.insert(task, run);
         StartResult::Started { clock_ms }
     }
@@ -277,11 +278,11 @@
             return StopResult::Outranked;
         }
         self.token = epoch;
-        let (clock, stop_ms) = (self.clock_ms(now), self.stop_ms);
-        if let Some(known) = self.running.get_mut(&task)
-            && known.run == run
+        let (clock_ms, stop_ms) = (self.clock_ms(now), self.stop_ms);
+        if let Some(active) = self.running.get_mut(&task)
+            && active.run == run
         {
-            known.stops_at.get_or_insert(clock + stop_ms);
+            active.stops_at_ms.get_or_insert(clock_ms + stop_ms);
             if stop_ms == 0 {
                 self.finish(task, EndKind::Stopped, checker);
             }
@@ -302,24 +303,24 @@
             return PaceResult::Outranked;
         }
         self.token = epoch;
-        let (clock, slowness) = (self.clock_ms(now), self.slowness);
-        if let Some(known) = self.running.get_mut(&task)
-            && known.run == run
+        let (clock_ms, slowness) = (self.clock_ms(now), self.slowness);
+        if let Some(active) = self.running.get_mut(&task)
+            && active.run == run
         {
-            known.left_ms = known.left_at(clock, slowness);
-            known.since = clock;
-            known.pace = percent;
+            active.left_ms = active.left_at(clock_ms, slowness);
+            active.updated_ms = clock_ms;
+            active.pace = percent;
         }
         self.paces.push(percent);
         PaceResult::Paced
     }
 
-    /// How long ago a run here began.
+    /// Returns the time since a run started.
     pub fn waited(&self, now: Time, run: &Run) -> Duration {
-        Duration::from_millis(self.clock_ms(now).saturating_sub(run.began))
+        Duration::from_millis(self.clock_ms(now).saturating_sub(run.started_ms))
     }
 
-    /// A task here that crashes its worker so long after its start.
+    /// Returns a task that is due to crash this worker.
     pub fn crashing_task(&self, now: Time, after: &BTreeMap<TaskId, Duration>) -> Option<TaskId> {
         let due = |(task, run): &(&TaskId, &Run)| {
             after.get(*task).is_some_and(|after| self.waited(now, run) >= *after)
@@ -327,21 +328,20 @@
         self.running.iter().find(due).map(|(task, _)| *task)
     }
 
-    /// What runs doesn't get on for so many milliseconds.
+    /// Stalls all runs for a time.
     pub fn stall_runs(&mut self, span_ms: u64) {
         for run in self.running.values_mut() {
-            run.since += span_ms;
+            run.updated_ms += span_ms;
         }
     }
 
-    /// Its VM loses power. All that runs is gone without a trace; the worker comes back with another id, or
-    /// not.
+    /// Crashes the VM. All runs vanish; a restarted worker has another ID.
     pub fn crash(&mut self, checker: &mut Checker) {
         self.exit(checker);
         self.vm_up = false;
     }
 
-    /// Its process ends, and the VM runs on.
+    /// Ends the worker process; its VM keeps running.
     pub fn exit(&mut self, checker: &mut Checker) {
         self.up = false;
         for (task, run) in std::mem::take(&mut self.running) {
@@ -351,6 +351,6 @@
     }
 }
 
-fn counted(step: &Step) -> u32 {
+fn reserved_cpu(step: &Step) -> u32 {
     if step.best_effort { 0 } else { step.resources.cpu.0 }
 }
--- a/crates/workflow/tests/support/world.rs
+++ b/crates/workflow/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! The world: time passes in steps of 5 ms, and messages take one to three of them.
+//! The simulation. Time advances in steps of 5 ms, and messages take one to three steps.
 
 use {
     super::{
@@ -16,10 +16,10 @@
 
 pub const STEP: Duration = Duration::from_millis(5);
 
-/// How often nodes read the store.
+/// Interval of store reads, in steps.
 const READ_EVERY: u64 = 4;
 
-/// How often the leader reads the directory, and how often the others do, in steps.
+/// Intervals of directory reads on the leader and on followers, in steps.
 const DIRECTORY_EVERY: u64 = 50;
 const DIRECTORY_FOLLOWER_EVERY: u64 = 300;
 
@@ -28,21 +28,21 @@
     pub rng: SmallRng,
     pub store: Store,
     pub store_down: bool,
-    /// Appends that take effect without an answer, in thousandths.
+    /// Rate of appends that are stored but get no answer, in thousandths.
     pub lost_appends: u32,
-    /// Appends that get no answer and arrive at the store 0.1 to 3 s later, in thousandths.
+    /// Rate of appends that get no answer and reach the store 0.1 to 3 s later, in thousandths.
     pub late_appends: u32,
-    /// Orders that get no answer and are carried out 2 to 12 s later, in thousandths.
+    /// Rate of commands that get no answer and are executed 2 to 12 s later, in thousandths.
     pub late_commands: u32,
-    /// How long orders wait at the node before they are sent, as on a VM that is too weak for its load.
+    /// How long commands wait at the node before they are sent, as on an overloaded VM.
     pub command_wait: Duration,
-    /// Whether orders wait while so many at the same worker have no answer; none if they don't wait.
+    /// Maximum number of unanswered commands per worker; `None` for no limit.
     pub max_concurrent_commands: Option<usize>,
-    /// When the last orders at each worker are answered or given up.
+    /// When the last commands to each worker are answered or time out.
     pub busy_until: BTreeMap<WorkerId, Vec<Time>>,
     pub advisor: Advisor,
     pub fleet: Fleet,
-    /// Waves that the operator asks for; nodes read them at once.
+    /// Waves requested by the operator; nodes read them at once.
     pub waves: Vec<(u64, Wave)>,
     pub nodes: Vec<Node>,
     pub workers: Vec<Worker>,
@@ -100,19 +100,19 @@
         self.workers.len() - 1
     }
 
-    /// A worker that is gone comes back at its address, with another id, unless one is there already.
+    /// Restarts a worker at its address with another ID, unless one runs there already.
     pub fn revive(&mut self, number: usize) -> usize {
         let addr = self.workers[number].info.addr;
-        let there = |worker: &Worker| worker.up && worker.info.addr == addr;
-        if let Some(there) = self.workers.iter().position(there) {
-            return there;
+        let current = |worker: &Worker| worker.up && worker.info.addr == addr;
+        if let Some(current) = self.workers.iter().position(current) {
+            return current;
         }
         let revived = self.add_worker(8);
         self.workers[revived].info.addr = addr;
         revived
     }
 
-    /// A client's workflow, recorded at once.
+    /// Records a client's workflow at once.
     pub fn submit(&mut self, id: u64, submission: &Submission) -> WorkflowId {
         let id = WorkflowId(id);
         self.store.append(&[Record::new(Key::Submission(id), submission)], None);
@@ -125,7 +125,7 @@
         self.checker.cancelled.insert(id);
     }
 
-    /// The node that may give orders, if there is one.
+    /// Returns the node that may send commands, if any.
     pub fn leader(&self) -> Option<usize> {
         let leads = |node: &&Node| node.runs(self.now) && node.leads(self.now);
         let newest = |node: &&Node| node.leadership.term();
@@ -146,7 +146,7 @@
         self.nodes[node].frozen_until = self.now + span;
     }
 
-    /// What clients are told of a workflow, by the records.
+    /// Returns the recorded state of a workflow.
     pub fn state(&self, id: WorkflowId) -> Option<WorkflowState> {
         let mut ledger = egretlb_workflow::Ledger::default();
         for (offset, record) in self.store.from(Offset(0)) {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Runs until `done`, at most for `limit`; returns how long it took.
+    /// Runs until `done` or for `limit`; returns the time it took.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -190,7 +190,7 @@
         }
         self.run_crashing_tasks();
         self.end_incomplete_gangs();
-        self.end_upkeep();
+        self.end_maintenance();
         self.deliver();
         for index in 0..self.nodes.len() {
             if self.nodes[index].runs(self.now) {
@@ -199,16 +199,16 @@
         }
     }
 
-    /// VMs come back from their upkeep, with new workers.
-    fn end_upkeep(&mut self) {
-        for vm in self.fleet.back(self.now) {
+    /// Brings VMs back from maintenance, with new workers.
+    fn end_maintenance(&mut self) {
+        for vm in self.fleet.end_maintenance(self.now) {
             let number = self.add_worker(8);
             let worker = self.workers[number].info.id.clone();
             self.fleet.vms.insert(vm, Some(worker));
         }
     }
 
-    /// Puts each worker on a VM of its number.
+    /// Assigns each worker to the VM with its number.
     pub fn assign_vms(&mut self) {
         for (number, worker) in self.workers.iter().enumerate() {
             self.fleet.vms.insert(super::fleet::vm(number), Some(worker.info.id.clone()));
@@ -221,9 +221,10 @@
         let readable = self.nodes[index].reaches_store && !self.store_down;
         let node = &self.nodes[index];
         let leads = node.scheduler.is_some();
-        let every = if leads { DIRECTORY_EVERY } else { DIRECTORY_FOLLOWER_EVERY };
+        let interval = if leads { DIRECTORY_EVERY } else { DIRECTORY_FOLLOWER_EVERY };
         if readable
-            && ((self.steps + 70 * index as u64).is_multiple_of(every) || node.directory.is_empty())
+            && ((self.steps + 70 * index as u64).is_multiple_of(interval)
+                || node.directory.is_empty())
         {
             self.read_directory(index);
         }
@@ -277,16 +278,16 @@
             .collect();
         let node = &mut self.nodes[index];
         present.retain(|info| !lost.contains(&info.id));
-        let mut kept = node.directory.clone();
-        kept.retain(|known| lost.contains(&known.id));
-        kept.iter_mut().for_each(WorkerInfo::mark_unreadable);
+        let mut unreadable = node.directory.clone();
+        unreadable.retain(|known| lost.contains(&known.id));
+        unreadable.iter_mut().for_each(WorkerInfo::mark_unreadable);
         let gone: Vec<WorkerId> = node
             .directory
             .iter()
-            .filter(|known| !present.iter().chain(&kept).any(|info| info.id == known.id))
+            .filter(|known| !present.iter().chain(&unreadable).any(|info| info.id == known.id))
             .map(|known| known.id.clone())
             .collect();
-        node.directory = present.iter().chain(&kept).cloned().collect();
+        node.directory = present.iter().chain(&unreadable).cloned().collect();
         if let Some(scheduler) = &mut node.scheduler {
             for info in present {
                 scheduler.on_directory(now, DirectoryChange::Present(info));
