--- a/crates/workflow/src/colocation/caution.rs
+++ b/crates/workflow/src/colocation/caution.rs
@@ -17,7 +17,7 @@
 /// Maximum increase of the factor per second.
 const CAUTION_GROWTH: f32 = 1.0;
 
-/// The factor by which the interference of best-effort tasks is multiplied.
+/// Safety factor on the estimated interference of best-effort tasks.
 #[derive(Debug)]
 pub(super) struct Caution {
     factor: f32,
--- a/crates/workflow/src/colocation/load.rs
+++ b/crates/workflow/src/colocation/load.rs
@@ -8,8 +8,8 @@
 /// Share of a prediction error attributed to a change of slope.
 const SLOPE_GAIN: f32 = 0.06;
 
-/// Maximum slope per second. A load that varies threefold over 14 to 20 s changes the headroom by at most
-/// 0.5 per second.
+/// Maximum slope per second. A load that varies threefold over 14 to 20 s changes the headroom by
+/// at most 0.5 per second.
 const MAX_SLOPE: f32 = 0.6;
 
 /// Forecast span: samples are 400 ms old on average, and decisions hold for about as long.
--- a/crates/workflow/src/leadership/mod.rs
+++ b/crates/workflow/src/leadership/mod.rs
@@ -129,7 +129,7 @@
 }
 
 /// Interval between ticks beyond which the process counts as paused, so that its last read is out
-/// of date. Ticks come every 50 ms; a busy VM delays them by some 100 ms.
+/// of date. Ticks come every 50 ms; a busy VM delays them by tenths of a second.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
 
 /// Upper bound of the first sequence number, which is random. The store treats a second append with
--- a/crates/workflow/tests/support/messages.rs
+++ b/crates/workflow/tests/support/messages.rs
@@ -57,7 +57,7 @@
     Pace(WorkerId, TaskId, RunId, PaceResult),
     Advice(StepId, AdviceResult),
     Vms(Option<VmList>),
-    Upkeep(u64, VmId, MaintenanceResult),
+    Maintenance(u64, VmId, MaintenanceResult),
     WaveReported(u64, WaveState),
 }
 
@@ -98,8 +98,8 @@
     pub fn perform(&mut self, node: usize, actions: Vec<Action>) {
         let incarnation = self.nodes[node].incarnation;
         let sent = self.now;
-        for enqueue in actions {
-            match enqueue {
+        for action in actions {
+            match action {
                 Action::Claim { epoch, seq, records } => {
                     let fence = (epoch, seq);
                     self.send(Msg::Append { node, incarnation, sent, records, fence, claim: true });
@@ -109,8 +109,10 @@
                     if leadership.term() != Some(epoch) {
                         continue;
                     }
-                    let Some((_, seq, sign)) = leadership.heartbeat(sent, false) else { continue };
-                    records.push(sign);
+                    let Some((_, seq, heartbeat)) = leadership.heartbeat(sent, false) else {
+                        continue;
+                    };
+                    records.push(heartbeat);
                     let fence = (epoch, seq);
                     self.send(Msg::Append {
                         node,
@@ -271,7 +273,7 @@
         if !polls {
             self.busy_until.entry(id.clone()).or_default().push(now + wait);
         }
-        let Some(mut answer) = self.carry_out(index, id, effect, delivery) else { return };
+        let Some(mut answer) = self.execute(index, id, effect, delivery) else { return };
         if answer_lost {
             answer = answer.lost();
         }
@@ -305,7 +307,7 @@
     }
 
     /// Executes a command and returns its answer.
-    fn carry_out(
+    fn execute(
         &mut self,
         index: usize,
         id: WorkerId,
@@ -467,7 +469,7 @@
             }
             Answer::Advice(step, result) => scheduler.on_advice(now, step, result),
             Answer::Vms(listed) => scheduler.on_vms(sent, listed),
-            Answer::Upkeep(wave, vm, result) => {
+            Answer::Maintenance(wave, vm, result) => {
                 scheduler.on_maintenance(now, wave, &vm, result, &mut effects);
             }
             Answer::WaveReported(wave, state) => scheduler.on_wave_reported(wave, state, true),
--- a/crates/workflow/tests/support/services.rs
+++ b/crates/workflow/tests/support/services.rs
@@ -48,7 +48,7 @@
                         worker.crash(&mut self.checker);
                     }
                 }
-                Answer::Upkeep(*wave, vm.clone(), result)
+                Answer::Maintenance(*wave, vm.clone(), result)
             }
             _ => return,
         };
