--- a/crates/workflow/src/colocation/mod.rs
+++ b/crates/workflow/src/colocation/mod.rs
@@ -118,8 +118,8 @@
         let mut exposure = Exposure::new();
         for (image, cores) in used {
             if let Some(column) = self.model.column(image) {
-                let known = exposure.get(column).copied().unwrap_or(0.0);
-                set_share(&mut exposure, column, known + worker.share(cores));
+                let previous = exposure.get(column).copied().unwrap_or(0.0);
+                set_share(&mut exposure, column, previous + worker.share(cores));
             }
         }
         exposure
@@ -333,9 +333,9 @@
 
     /// Returns how much acceptance rises without a latency-critical image, per task of it.
     pub(crate) fn acceptance_gain_without(&self, worker: &Neighbours, image: ImageNo) -> f32 {
-        let count = worker.latency_critical().iter().find(|(known, _)| *known == image);
+        let count = worker.latency_critical().iter().find(|(other, _)| *other == image);
         let Some((_, count)) = count else { return 0.0 };
-        let others = worker.latency_critical().iter().copied().filter(|(known, _)| *known != image);
+        let others = worker.latency_critical().iter().copied().filter(|(other, _)| *other != image);
         (self.acceptance_of(others) - self.acceptance(worker)) / *count as f32
     }
 }
--- a/crates/workflow/src/crash.rs
+++ b/crates/workflow/src/crash.rs
@@ -23,7 +23,7 @@
 /// How strongly a worker's loss implicates one of its runs, from weakest to strongest.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub enum CrashEvidence {
-    /// The run had been at work for a while.
+    /// The run had been working for a while.
     Late,
     /// The worker may only be unreachable, or the run may never have started.
     Unsure,
--- a/crates/workflow/tests/support/worker.rs
+++ b/crates/workflow/tests/support/worker.rs
@@ -205,9 +205,9 @@
             let worked = run.total_ms - run.left_at(clock_ms, self.slowness);
             u32::try_from(worked * 100 / run.total_ms.max(1)).unwrap_or(100)
         };
-        let fillers = self.running.values().filter(|run| run.step.best_effort);
-        let tail_ms =
-            self.tail_ms + fillers.map(|run| self.interference_ms * run.pace / 100).sum::<u32>();
+        let best_effort_runs = self.running.values().filter(|run| run.step.best_effort);
+        let tail_ms = self.tail_ms
+            + best_effort_runs.map(|run| self.interference_ms * run.pace / 100).sum::<u32>();
         let figure = |run: &Run| if run.step.target_ms > 0 { tail_ms } else { 1_000 };
         let running = self.running.iter().map(|(task, run)| RunningTask {
             task: *task,
