--- a/crates/workflow/tests/leads_again.rs
+++ b/crates/workflow/tests/leads_again.rs
@@ -12,8 +12,8 @@
 const SEEDS: u64 = 200;
 const WORKERS: usize = 4;
 
-/// Maximum time from the end of the faults to a leader: 2.5 s until a lost claim is abandoned, 1.2
-/// s without a heartbeat, and up to 0.4 s of takeover delay.
+/// Maximum time from the end of the faults to a leader: 2.5 s until a lost claim is abandoned,
+/// 1.2 s without a heartbeat, and up to 0.4 s of takeover delay.
 const MAX_ELECTION_TIME: Duration = Duration::from_millis(4_200);
 
 /// How long after the faults delayed appends may arrive. A delayed claim makes its sender leader.
--- a/crates/workflow/tests/odd_records.rs
+++ b/crates/workflow/tests/odd_records.rs
@@ -59,10 +59,10 @@
             for record in own_records() {
                 apply(&mut ledger, &record.key, &record.value).expect("a record of this crate");
             }
-            for (kind, name, value, valid_version) in &draw {
-                // A valid first byte gets further into the decoder.
+            for (kind, name, value, has_version_prefix) in &draw {
+                // Some values start with a version byte.
                 let value =
-                    if *valid_version { [&[2], &value[..]].concat() } else { value.clone() };
+                    if *has_version_prefix { [&[2], &value[..]].concat() } else { value.clone() };
                 let _ = apply(&mut ledger, &key(*kind, name), &value);
             }
             let entry = ledger.get(WORKFLOW).expect("it was submitted");
