--- a/crates/runtime/src/append.rs
+++ b/crates/runtime/src/append.rs
@@ -1,10 +1,10 @@
-//! Group commit of what clients submit: what arrives while an append is under way goes into the next.
+//! Group commit of clients' records: those that arrive during an append are included in the next one.
 
 use {
     crate::{
         clock::Clock,
         platform::{Append, Store},
-        reads::Reads,
+        reads::RecordWatch,
     },
     egretlb_types::Time,
     egretlb_workflow::{AppendResult, Record},
@@ -19,36 +19,34 @@
     },
 };
 
-/// What became of a client's record.
+/// Whether a client's record is stored.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Stored {
     /// It is in the store.
     Yes,
-    /// It is not, and never will be.
+    /// It isn't in the store and never will be.
     No,
-    /// Nobody can say.
+    /// It may be in the store.
     Unknown,
 }
 
-/// An append that is rejected is tried so often in all, within a tenth of a second: a store that is
-/// merely busy has drained some of its queue by then, and the client may find a better VM.
-const TRIES: u32 = 2;
+/// Maximum number of tries of an append that the store rejects. Failing early lets the client try another VM.
+const MAX_REJECTED_TRIES: u32 = 2;
 
-/// The pause before the next try.
-const RETRY: Duration = Duration::from_millis(60);
+/// Pause between tries.
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// An append without an answer may have taken effect, so nothing true can be said of it but that; it is
-/// repeated, which does no harm, until this long after its first try. Clients wait for 3 s.
-const PERSIST: Duration = Duration::from_millis(2_600);
+/// How long an unanswered append is retried, after its first try. It may have taken effect, and retries are
+/// harmless. Clients wait for 3 s.
+const MAX_RETRY_TIME: Duration = Duration::from_millis(2_600);
 
-/// While an append has been without success for this long, what arrives is refused at once: it wasn't
-/// sent, and would only wait. A slow store takes half a second for an append.
+/// Age of an append after which new records are rejected at once instead of queued. A slow store takes 0.5 s.
 pub(crate) const STUCK_AFTER: Duration = Duration::from_millis(1_000);
 
-/// The most bytes of one append, below the store's bound of 2 MB.
-const MAX_BYTES: usize = 1024 * 1024;
+/// Maximum size of an append; the store's limit is 2 MB.
+const MAX_APPEND_BYTES: usize = 1024 * 1024;
 
-struct Waiting {
+struct QueuedRecord {
     record: Record,
     tx: oneshot::Sender<Stored>,
 }
@@ -56,95 +54,95 @@
 /// Appends clients' records in batches.
 pub(crate) struct Appender {
     store: Rc<dyn Store>,
-    reads: Rc<Reads>,
-    waiting: RefCell<Vec<Waiting>>,
-    notify: Notify,
+    watch: Rc<RecordWatch>,
+    queue: RefCell<Vec<QueuedRecord>>,
+    queued: Notify,
     clock: Clock,
-    /// Since when the append under way has had no success.
-    trying: Cell<Option<Time>>,
+    /// Start of the append in progress.
+    append_started: Cell<Option<Time>>,
 }
 
 impl Appender {
-    /// Appends to `store`; `reads` tells of appends whose answer is lost.
-    pub(crate) fn new(store: Rc<dyn Store>, reads: Rc<Reads>) -> Appender {
+    /// An appender to `store`. `watch` detects appends whose answer was lost.
+    pub(crate) fn new(store: Rc<dyn Store>, watch: Rc<RecordWatch>) -> Appender {
         Appender {
             store,
-            reads,
-            waiting: RefCell::default(),
-            notify: Notify::new(),
+            watch,
+            queue: RefCell::default(),
+            queued: Notify::new(),
             clock: Clock,
-            trying: Cell::new(None),
+            append_started: Cell::new(None),
         }
     }
 
-    /// Whether appends don't get through.
+    /// Whether the append in progress is older than [`STUCK_AFTER`].
     pub(crate) fn is_stuck(&self) -> bool {
-        self.trying.get().is_some_and(|since| self.clock.now().since(since) >= STUCK_AFTER)
+        self.append_started.get().is_some_and(|since| self.clock.now().since(since) >= STUCK_AFTER)
     }
 
-    /// Appends a record.
+    /// Appends a record and waits for the outcome.
     pub(crate) async fn append(&self, record: Record) -> Stored {
         if self.is_stuck() {
             return Stored::No;
         }
         let (tx, rx) = oneshot::channel();
-        self.waiting.borrow_mut().push(Waiting { record, tx });
-        self.notify.notify_one();
-        // The appender only goes away with the process.
+        self.queue.borrow_mut().push(QueuedRecord { record, tx });
+        self.queued.notify_one();
+        // The sender is dropped only when the process ends.
         rx.await.unwrap_or(Stored::Unknown)
     }
 
-    /// Appends for as long as the process runs.
+    /// Appends queued records in batches until the process ends.
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
-            let batch = self.take();
+            let batch = self.take_batch();
             if batch.is_empty() {
-                self.notify.notified().await;
+                self.queued.notified().await;
                 continue;
             }
             let (records, senders): (Vec<Record>, Vec<_>) =
-                batch.into_iter().map(|waiting| (waiting.record, waiting.tx)).unzip();
+                batch.into_iter().map(|queued| (queued.record, queued.tx)).unzip();
             let append = Append { records, fence: None };
             let stored = self.commit(&append).await;
             for tx in senders {
-                // A client that has left doesn't wait for the result.
+                // Fails if the client has disconnected.
                 let _ = tx.send(stored);
             }
         }
     }
 
-    fn take(&self) -> Vec<Waiting> {
-        let mut waiting = self.waiting.borrow_mut();
+    fn take_batch(&self) -> Vec<QueuedRecord> {
+        let mut queue = self.queue.borrow_mut();
         let mut bytes = 0;
-        let fits = |next: &&Waiting| {
+        let fits = |next: &&QueuedRecord| {
             bytes += next.record.size();
-            bytes <= MAX_BYTES
+            bytes <= MAX_APPEND_BYTES
         };
-        let count = waiting.iter().take_while(fits).count().max(1).min(waiting.len());
-        waiting.drain(..count).collect()
+        let count = queue.iter().take_while(fits).count().max(1).min(queue.len());
+        queue.drain(..count).collect()
     }
 
     async fn commit(&self, append: &Append) -> Stored {
-        let begun = self.clock.now();
-        self.trying.set(Some(begun));
+        let started = self.clock.now();
+        self.append_started.set(Some(started));
         let records = append.records.len();
-        let stored = self.persist(begun, append).await;
-        self.trying.set(None);
+        let stored = self.append_until_settled(started, append).await;
+        self.append_started.set(None);
         if stored != Stored::Yes {
             log::warn!(records, stored:? = stored; "append_given_up");
-            self.refuse_waiting();
+            self.reject_queued();
         }
         stored
     }
 
-    async fn persist(&self, begun: Time, append: &Append) -> Stored {
+    async fn append_until_settled(&self, started: Time, append: &Append) -> Stored {
         let mut uncertain = false;
         let mut tries = 0;
         loop {
-            // An append whose answer is lost is found among what is read.
+            // An append whose answer was lost shows up in the reads.
             let result = tokio::select! {
                 result = self.store.append(append) => result,
-                () = self.reads.clients_records(&append.records) => AppendResult::Done,
+                () = self.watch.wait_for_records(&append.records) => AppendResult::Done,
             };
             match result {
                 AppendResult::Done => return Stored::Yes,
@@ -152,24 +150,24 @@
                 AppendResult::Conflict | AppendResult::Fenced | AppendResult::Rejected => {}
             }
             tries += 1;
-            if !uncertain && tries >= TRIES {
+            if !uncertain && tries >= MAX_REJECTED_TRIES {
                 return Stored::No;
             }
-            if uncertain && self.clock.now().since(begun) >= PERSIST {
+            if uncertain && self.clock.now().since(started) >= MAX_RETRY_TIME {
                 return Stored::Unknown;
             }
             if self.is_stuck() {
-                self.refuse_waiting();
+                self.reject_queued();
             }
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// What waits behind an append that doesn't get through was never sent.
-    fn refuse_waiting(&self) {
-        for waiting in self.waiting.borrow_mut().drain(..) {
-            // A client that has left doesn't wait for the result.
-            let _ = waiting.tx.send(Stored::No);
+    /// Rejects the queued records; they haven't been sent.
+    fn reject_queued(&self) {
+        for queued in self.queue.borrow_mut().drain(..) {
+            // Fails if the client has disconnected.
+            let _ = queued.tx.send(Stored::No);
         }
     }
 }
--- a/crates/runtime/src/commands.rs
+++ b/crates/runtime/src/commands.rs
@@ -1,4 +1,4 @@
-//! Orders to workers, as the scheduler decides them.
+//! Execution of the scheduler's effects: commands to workers, and calls to other services.
 
 use {
     crate::{
@@ -20,36 +20,36 @@
     },
 };
 
-/// Orders under way at one worker, each on a connection of its own: one that gets no answer doesn't
-/// stop the others. More would open connections that are seldom used again.
-const ORDERS_AT_ONCE: usize = 2;
+/// Maximum number of concurrent commands per worker, each on its own connection, so that an unanswered one doesn't
+/// block the others.
+const MAX_CONCURRENT_COMMANDS: usize = 2;
 
-/// The pause after the operator couldn't be told how far a wave is.
-const TELL_RETRY: Duration = Duration::from_millis(200);
+/// Pause after a failed report of a wave's state.
+const WAVE_REPORT_RETRY: Duration = Duration::from_millis(200);
 
-/// Whose turn it is to send an order to a worker.
+/// Limits the concurrent commands per worker.
 #[derive(Debug, Default)]
-pub(crate) struct Turns {
-    at: RefCell<HashMap<SocketAddr, Arc<Semaphore>>>,
+pub(crate) struct CommandSlots {
+    by_addr: RefCell<HashMap<SocketAddr, Arc<Semaphore>>>,
 }
 
-impl Turns {
-    /// Waits for a turn at `addr`, which ends when what is returned is dropped.
-    async fn take(&self, addr: SocketAddr) -> Option<OwnedSemaphorePermit> {
-        let new = || Arc::new(Semaphore::new(ORDERS_AT_ONCE));
-        let semaphore = Arc::clone(self.at.borrow_mut().entry(addr).or_insert_with(new));
+impl CommandSlots {
+    /// Waits for a free slot for the worker at `addr`; dropping the permit releases it.
+    async fn acquire(&self, addr: SocketAddr) -> Option<OwnedSemaphorePermit> {
+        let new = || Arc::new(Semaphore::new(MAX_CONCURRENT_COMMANDS));
+        let semaphore = Arc::clone(self.by_addr.borrow_mut().entry(addr).or_insert_with(new));
         // The semaphore is never closed.
         semaphore.acquire_owned().await.ok()
     }
 }
 
 impl Node {
-    /// Performs what the scheduler decided.
+    /// Performs an effect of the scheduler.
     pub(crate) fn perform(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Poll { worker, addr, epoch, recorded, until_ms, wait_ms } => {
                 let call = PollCall { worker, addr, epoch, recorded, until_ms, wait_ms };
-                spawn_local(Rc::clone(self).hold(call));
+                spawn_local(Rc::clone(self).poll(call));
             }
             Effect::Start { .. } => {
                 spawn_local(Rc::clone(self).start(effect));
@@ -69,13 +69,13 @@
                 spawn_local(Rc::clone(self).list_vms());
             }
             Effect::BeginMaintenance { vm, wave, epoch } => {
-                spawn_local(Rc::clone(self).upkeep(vm, wave, epoch));
+                spawn_local(Rc::clone(self).begin_maintenance(vm, wave, epoch));
             }
             Effect::ReportWave { wave, state } => {
                 spawn_local(Rc::clone(self).report_wave(wave, state));
             }
             Effect::Record { records } => {
-                spawn_local(Rc::clone(self).record(records));
+                spawn_local(Rc::clone(self).append_as_leader(records));
             }
             Effect::Outranked => {
                 log::warn!("outranked");
@@ -84,9 +84,8 @@
         }
     }
 
-    /// Whether orders of this epoch may still be sent. A process may have been paused since they were
-    /// decided.
-    fn may_order(&self, epoch: Epoch) -> bool {
+    /// Whether commands of this epoch may still be sent. The process may have been paused since the decision.
+    fn may_send(&self, epoch: Epoch) -> bool {
         self.core.borrow().leadership.authority(self.clock.now()) == Some(epoch)
     }
 
@@ -105,10 +104,10 @@
         });
     }
 
-    async fn hold(self: Rc<Self>, call: PollCall) {
+    async fn poll(self: Rc<Self>, call: PollCall) {
         let (worker, epoch, sent) = (call.worker.clone(), call.epoch, self.clock.now());
-        let result = if self.may_order(epoch) {
-            self.heed(self.workers.poll(call).await)
+        let result = if self.may_send(epoch) {
+            self.take_decoded(self.workers.poll(call).await)
         } else {
             PollResult::Failed
         };
@@ -117,12 +116,12 @@
         });
     }
 
-    /// Whether a start that was decided may still be sent.
+    /// Whether a decided start may still be sent.
     fn may_start(&self, epoch: Epoch, worker: &WorkerId, task: TaskId, run: RunId) -> bool {
         let core = self.core.borrow();
         let now = self.clock.now();
         let wanted = |scheduler: &Scheduler| scheduler.wants_start(now, worker, task, run);
-        self.may_order(epoch) && core.scheduler.as_ref().is_some_and(wanted)
+        self.may_send(epoch) && core.scheduler.as_ref().is_some_and(wanted)
     }
 
     async fn start(self: Rc<Self>, effect: Effect) {
@@ -131,7 +130,7 @@
         else {
             return;
         };
-        let turn = self.turns.take(addr).await;
+        let slot = self.command_slots.acquire(addr).await;
         let result = if self.may_start(epoch, &worker, task, run) {
             let payload = submission.workflow.payload.as_str();
             let worker = &worker;
@@ -142,7 +141,7 @@
         } else {
             StartResult::Withheld
         };
-        drop(turn);
+        drop(slot);
         self.with_scheduler(epoch, |scheduler, now, out| {
             scheduler.on_start(now, &worker, task, run, result, out);
         });
@@ -150,9 +149,9 @@
 
     async fn stop(self: Rc<Self>, call: StopCall) {
         let StopCall { worker, addr, epoch, task, run } = call.clone();
-        let _turn = self.turns.take(addr).await;
+        let _slot = self.command_slots.acquire(addr).await;
         let result =
-            if self.may_order(epoch) { self.workers.stop(call).await } else { StopResult::Unknown };
+            if self.may_send(epoch) { self.workers.stop(call).await } else { StopResult::Unknown };
         self.with_scheduler(epoch, |scheduler, now, out| {
             scheduler.on_stop(now, &worker, task, run, result, out);
         });
@@ -160,36 +159,36 @@
 
     async fn pace(self: Rc<Self>, call: PaceCall) {
         let PaceCall { worker, addr, epoch, task, run, .. } = call.clone();
-        let _turn = self.turns.take(addr).await;
+        let _slot = self.command_slots.acquire(addr).await;
         let result =
-            if self.may_order(epoch) { self.workers.pace(call).await } else { PaceResult::Unknown };
+            if self.may_send(epoch) { self.workers.pace(call).await } else { PaceResult::Unknown };
         self.with_scheduler(epoch, |scheduler, now, out| {
             scheduler.on_pace(now, &worker, task, run, result, out);
         });
     }
 
     async fn advise(self: Rc<Self>, step: StepId, workers: Vec<WorkerId>) {
-        let known = {
+        let term_and_terms = {
             let core = self.core.borrow();
             let submission =
                 core.ledger.get(step.workflow).and_then(|entry| entry.submission.clone());
             core.leadership.term().zip(submission.and_then(|submission| submission.advice))
         };
-        let Some((epoch, terms)) = known else { return };
-        let result = self.heed(self.advisor.advise(step, &workers, terms).await);
+        let Some((epoch, terms)) = term_and_terms else { return };
+        let result = self.take_decoded(self.advisor.advise(step, &workers, terms).await);
         self.with_scheduler(epoch, |scheduler, now, _| scheduler.on_advice(now, step, result));
     }
 
     async fn list_vms(self: Rc<Self>) {
         let Some(epoch) = self.core.borrow().leadership.term() else { return };
         let sent = self.clock.now();
-        let listed = self.heed(self.fleet.list().await);
+        let listed = self.take_decoded(self.fleet.list().await);
         self.with_scheduler(epoch, |scheduler, _, _| scheduler.on_vms(sent, listed));
     }
 
-    async fn upkeep(self: Rc<Self>, vm: VmId, wave: u64, epoch: Epoch) {
-        let result = if self.may_order(epoch) {
-            self.fleet.start_maintenance(&self.name, epoch, &vm, wave).await
+    async fn begin_maintenance(self: Rc<Self>, vm: VmId, wave: u64, epoch: Epoch) {
+        let result = if self.may_send(epoch) {
+            self.fleet.begin_maintenance(&self.name, epoch, &vm, wave).await
         } else {
             MaintenanceResult::Unknown
         };
@@ -200,14 +199,14 @@
 
     async fn report_wave(self: Rc<Self>, wave: u64, state: WaveState) {
         let Some(epoch) = self.core.borrow().leadership.term() else { return };
-        let told = if self.may_order(epoch) {
+        let result = if self.may_send(epoch) {
             self.store.report_wave(wave, state).await
         } else {
             AppendResult::Unknown
         };
-        let stored = told == AppendResult::Done;
+        let stored = result == AppendResult::Done;
         if !stored {
-            sleep(TELL_RETRY).await;
+            sleep(WAVE_REPORT_RETRY).await;
         }
         self.with_scheduler(epoch, |scheduler, _, _| {
             scheduler.on_wave_reported(wave, state, stored)
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -1,15 +1,15 @@
-//! A node: its state, and the performing of what it decides.
+//! A node: its state, its main loop, and the execution of leadership effects.
 
 use {
     crate::{
         append::{Appender, STUCK_AFTER},
         bad_entries::{BadEntry, BadEntryLog, Decoded, LogAction},
         clock::Clock,
-        commands::Turns,
-        core::{Core, Effects, Reading},
-        peers::{Leader, Waiting},
+        commands::CommandSlots,
+        core::{Core, Effects, ReadProgress},
+        peers::{LeaderClient, PendingRecord},
         platform::{Advisor, Append, Fence, Fleet, Formats, Platform, Store, Topic, Workers},
-        reads::Reads,
+        reads::RecordWatch,
         relays::{self, Relays},
     },
     compact_str::CompactString,
@@ -33,60 +33,60 @@
     },
 };
 
-/// Several events are followed by one pass over what waits; a task waits this much longer for it.
+/// Pause after a scheduler pass, so that several events share the next one.
 const TICK_GAP: Duration = Duration::from_millis(3);
 
-/// How often a leader looks at its timers.
+/// Maximum interval between two ticks of a leader.
 const LEADER_TICK: Duration = Duration::from_millis(20);
 
-/// How often a follower looks whether it has to take over.
+/// Maximum interval between two ticks of a follower, which check whether to take over.
 const FOLLOWER_TICK: Duration = Duration::from_millis(60);
 
-/// What a node is started with.
+/// Startup parameters of a node.
 #[derive(Clone, Debug)]
 pub struct NodeOptions {
-    /// The name of its VM.
+    /// Name of the VM.
     pub name: CompactString,
-    /// The VM's data centre.
+    /// Data centre of the VM.
     pub data_centre: CompactString,
-    /// Drawn at random at each start.
+    /// Random number that identifies this start of the process.
     pub incarnation: u64,
-    /// The VM's share of the processor, in thousandths of a core.
+    /// CPU share of the VM, in thousandths of a core.
     pub cpu_millicores: u32,
-    /// Spans of time.
+    /// Time limits of leadership and scheduler.
     pub limits: Limits,
 }
 
-/// The place among the followers, from 0 for the one that claims first to 999. A weak VM would
-/// lead late and badly, so it claims after the strong ones. What
-/// is left of the range tells VMs of one strength apart.
-fn place(options: &NodeOptions) -> u32 {
+/// Delay before a follower claims leadership, in thousandths of the takeover spread: 0 to 999 for VMs fit to lead. It
+/// grows as the CPU share shrinks; a random part separates VMs of equal share.
+fn claim_rank(options: &NodeOptions) -> u32 {
     let mut hasher = DefaultHasher::new();
     options.incarnation.hash(&mut hasher);
-    let chance = u32::try_from(hasher.finish() % u64::from(CHANCE_RANGE)).unwrap_or(0);
-    let weakness =
-        FULL_POWER.saturating_sub(options.cpu_millicores) * (999 - CHANCE_RANGE) / FULL_POWER;
-    let behind = if options.cpu_millicores < FIT_POWER { FIT_RANGE } else { 0 };
-    weakness + chance + behind
+    let jitter = u32::try_from(hasher.finish() % u64::from(JITTER_RANGE)).unwrap_or(0);
+    let cpu_penalty = FULL_RANK_MILLICORES.saturating_sub(options.cpu_millicores)
+        * (999 - JITTER_RANGE)
+        / FULL_RANK_MILLICORES;
+    let unfit_penalty =
+        if options.cpu_millicores < MIN_LEADER_MILLICORES { UNFIT_RANK_PENALTY } else { 0 };
+    cpu_penalty + jitter + unfit_penalty
 }
 
-/// A VM with a smaller share of a core is unfit to lead, in thousandths: it would carry out
-/// starts seconds after they were decided, and after the cancellation of their workflows was acknowledged.
-const FIT_POWER: u32 = 200;
+/// Minimum CPU share for a leader, in thousandths of a core. With less, starts are sent seconds after they are
+/// decided, possibly after the cancellation of their workflows was acknowledged.
+const MIN_LEADER_MILLICORES: u32 = 200;
 
-/// Unfit VMs come so much later, in thousandths of the spread: 1.6 s, and half of that after a leader
-/// that gave up its term. A slow store delays what VMs read by half a second, which otherwise lets a
-/// weak one come first.
-const FIT_RANGE: u32 = 4_000;
+/// Rank added for VMs below [`MIN_LEADER_MILLICORES`], in thousandths of the takeover spread: 1.6 s, or half of that
+/// after a leader that released its term. It exceeds the differences in read delay of a slow store.
+const UNFIT_RANK_PENALTY: u32 = 4_000;
 
-/// VMs with this share of a core and more are equally fit to lead, in thousandths.
-const FULL_POWER: u32 = 500;
+/// CPU share from which VMs are equally fit to lead, in thousandths of a core.
+const FULL_RANK_MILLICORES: u32 = 500;
 
-/// The part of the range that chance decides.
-const CHANCE_RANGE: u32 = 300;
+/// Size of the random part of the rank.
+const JITTER_RANGE: u32 = 300;
 
-/// What goes on without a topic of the store, for the log.
-fn still_works(topic: Topic) -> &'static str {
+/// What remains available without a topic of the store, as a log value.
+fn available_without(topic: Topic) -> &'static str {
     match topic {
         Topic::Work => "what runs; orders for 4 s; known states",
         Topic::Operator => "the configuration in force",
@@ -107,37 +107,42 @@
     cpu_millicores: u32,
     formats: Rc<dyn Formats>,
     pub(crate) appender: Rc<Appender>,
-    pub(crate) leader: Leader,
+    pub(crate) leader: LeaderClient,
     pub(crate) metrics: WorkflowMetrics,
-    /// Clients' records for the leader's next append.
-    pub(crate) waiting: RefCell<Vec<Waiting>>,
-    /// Since when the leader's append under way has had no success.
-    pub(crate) recording: Cell<Option<Time>>,
-    /// How long the last of the leader's appends took that needed no repetition.
-    pub(crate) append_took: Cell<Duration>,
-    /// Topics whose reads fail, and since when.
-    lost: RefCell<BTreeMap<Topic, Time>>,
+    /// Clients' records to include in the leader's next append.
+    pub(crate) pending_records: RefCell<Vec<PendingRecord>>,
+    /// Start of the leader's append in progress.
+    pub(crate) append_started: Cell<Option<Time>>,
+    /// Duration of the leader's last append that succeeded at the first try.
+    pub(crate) last_append_duration: Cell<Duration>,
+    /// Topics whose reads fail, with the time of the first failure.
+    failing_topics: RefCell<BTreeMap<Topic, Time>>,
     bad_entries: RefCell<BadEntryLog>,
     pub(crate) clock: Clock,
-    pub(crate) turns: Turns,
+    pub(crate) command_slots: CommandSlots,
     wake: Notify,
-    pub(crate) reads: Rc<Reads>,
+    pub(crate) watch: Rc<RecordWatch>,
 }
 
 impl Node {
-    /// A node that follows nothing yet.
+    /// Creates a node that doesn't read or serve yet.
     pub fn new(options: NodeOptions, platform: Platform) -> Rc<Node> {
         let Platform { store, workers, advisor, fleet, formats } = platform;
         let (name, data_centre, cpu_millicores) =
             (options.name.clone(), options.data_centre.clone(), options.cpu_millicores);
         let clock = Clock;
-        let place = place(&options);
-        let leadership =
-            Leadership::new(clock.now(), options.name, options.incarnation, place, options.limits);
+        let claim_rank = claim_rank(&options);
+        let leadership = Leadership::new(
+            clock.now(),
+            options.name,
+            options.incarnation,
+            claim_rank,
+            options.limits,
+        );
         let core = Rc::new(RefCell::new(Core::new(leadership, options.limits)));
-        let reads = Rc::new(Reads::new(Rc::clone(&core)));
+        let watch = Rc::new(RecordWatch::new(Rc::clone(&core)));
         let relays = Rc::new(Relays::new(workers, Rc::clone(&core), clock));
-        let appender = Appender::new(Rc::clone(&store), Rc::clone(&reads));
+        let appender = Appender::new(Rc::clone(&store), Rc::clone(&watch));
         Rc::new(Node {
             core,
             store,
@@ -150,17 +155,17 @@
             cpu_millicores,
             formats,
             appender: Rc::new(appender),
-            leader: Leader::default(),
+            leader: LeaderClient::default(),
             metrics: WorkflowMetrics::new(),
-            waiting: RefCell::default(),
-            recording: Cell::new(None),
-            append_took: Cell::default(),
-            lost: RefCell::default(),
+            pending_records: RefCell::default(),
+            append_started: Cell::new(None),
+            last_append_duration: Cell::default(),
+            failing_topics: RefCell::default(),
             bad_entries: RefCell::default(),
             clock,
-            turns: Turns::default(),
+            command_slots: CommandSlots::default(),
             wake: Notify::new(),
-            reads,
+            watch,
         })
     }
 
@@ -176,41 +181,41 @@
         self.clock
     }
 
-    /// Whether its VM has so little of a core that others come first.
-    pub(crate) fn is_weak(&self) -> bool {
-        self.cpu_millicores < FIT_POWER
+    /// Whether the VM's CPU share is below the minimum for a leader.
+    pub(crate) fn has_low_cpu(&self) -> bool {
+        self.cpu_millicores < MIN_LEADER_MILLICORES
     }
 
     pub(crate) fn core(&self) -> Ref<'_, Core> {
         self.core.borrow()
     }
 
-    /// A workflow was accepted here; its record will be read soon.
-    pub(crate) fn accepted(&self, id: WorkflowId) {
+    /// Marks a workflow as accepted until its record has been read.
+    pub(crate) fn mark_accepted(&self, id: WorkflowId) {
         let mut core = self.core.borrow_mut();
         if core.ledger.get(id).is_none() {
             core.accepted.insert(id);
         }
     }
 
-    /// Whether this process may give orders now.
-    pub(crate) fn may_lead(&self) -> bool {
+    /// Whether this process leads and may send commands now.
+    pub(crate) fn has_authority(&self) -> bool {
         let core = self.core.borrow();
         core.scheduler.is_some() && core.leadership.authority(self.clock.now()).is_some()
     }
 
-    /// Where followers may hand records in, once this process leads.
+    /// Sets the address at which this process takes followers' records when it leads.
     pub(crate) fn listen_at(&self, addr: SocketAddr) {
         self.core.borrow_mut().leadership.listen_at(addr);
     }
 
-    /// Adds a client's record to the leader's next append; false if appends don't get through.
-    pub(crate) fn add_waiting(self: &Rc<Self>, waiting: Waiting) -> bool {
+    /// Adds a client's record to the leader's next append; false if appends are stuck.
+    pub(crate) fn add_pending_record(self: &Rc<Self>, pending: PendingRecord) -> bool {
         let stuck = |since| self.clock.now().since(since) >= STUCK_AFTER;
-        if self.recording.get().is_some_and(stuck) {
+        if self.append_started.get().is_some_and(stuck) {
             return false;
         }
-        self.waiting.borrow_mut().push(waiting);
+        self.pending_records.borrow_mut().push(pending);
         self.step(|core, _, _| {
             if let Some(scheduler) = &mut core.scheduler {
                 scheduler.request_append();
@@ -223,29 +228,29 @@
         self.core.borrow().scheduler.is_some()
     }
 
-    /// Starts what runs beside the clients: following the topics, appending, ticking.
+    /// Spawns the background tasks: reading topics, appending, relaying, ticking.
     pub(crate) fn spawn(self: &Rc<Self>) {
         for topic in [Topic::Operator, Topic::Work, Topic::Directory] {
             spawn_local(crate::follow::follow(Rc::clone(self), topic));
         }
         spawn_local(Rc::clone(&self.appender).run());
         spawn_local(relays::offer(Rc::clone(self)));
-        spawn_local(Rc::clone(self).tick_on());
+        spawn_local(Rc::clone(self).tick_loop());
     }
 
-    async fn tick_on(self: Rc<Self>) {
+    async fn tick_loop(self: Rc<Self>) {
         loop {
             let pause = if self.leads() { LEADER_TICK } else { FOLLOWER_TICK };
-            // Both a wake and the pause's end lead to the same pass.
+            // A wake and the end of the pause have the same effect.
             let _ = timeout(pause, self.wake.notified()).await;
             let wall_ms = self.clock.wall_ms();
-            self.step_quietly(|core, now, out| core.tick(now, wall_ms, out));
-            self.measure();
+            self.step_without_wake(|core, now, out| core.tick(now, wall_ms, out));
+            self.update_metrics();
             sleep(TICK_GAP).await;
         }
     }
 
-    fn measure(&self) {
+    fn update_metrics(&self) {
         let metrics = &self.metrics;
         metrics.set_relays(self.relays.count());
         let core = &mut *self.core.borrow_mut();
@@ -270,15 +275,15 @@
         measures.start_waits.into_iter().for_each(|wait| metrics.started_after(wait));
     }
 
-    /// Takes an event in, and has a pass over what waits follow soon.
+    /// Applies an event, performs its effects, and wakes the tick loop if this process leads.
     pub(crate) fn step(self: &Rc<Self>, event: impl FnOnce(&mut Core, Time, &mut Effects)) {
-        self.step_quietly(event);
+        self.step_without_wake(event);
         if self.leads() {
             self.wake.notify_one();
         }
     }
 
-    fn step_quietly(self: &Rc<Self>, event: impl FnOnce(&mut Core, Time, &mut Effects)) {
+    fn step_without_wake(self: &Rc<Self>, event: impl FnOnce(&mut Core, Time, &mut Effects)) {
         let mut out = Effects::default();
         event(&mut self.core.borrow_mut(), self.clock.now(), &mut out);
         for effect in out.leadership {
@@ -287,16 +292,16 @@
         for effect in out.scheduler {
             self.perform(effect);
         }
-        self.tell(&out.bad);
+        self.log_bad_entries(&out.bad_entries);
     }
 
-    /// Tells of entries that can't be read, of each once, and returns what could be.
-    pub(crate) fn heed<T>(&self, decoded: Decoded<T>) -> T {
-        self.tell(&decoded.bad);
+    /// Reports the unreadable entries and returns the value.
+    pub(crate) fn take_decoded<T>(&self, decoded: Decoded<T>) -> T {
+        self.log_bad_entries(&decoded.bad);
         decoded.value
     }
 
-    pub(crate) fn tell(&self, bad: &[BadEntry]) {
+    pub(crate) fn log_bad_entries(&self, bad: &[BadEntry]) {
         let now = self.clock.now();
         for entry in bad {
             let action = self.bad_entries.borrow_mut().record(now, entry);
@@ -310,41 +315,41 @@
         }
     }
 
-    pub(crate) fn directory_loaded(self: &Rc<Self>, found: &HashSet<WorkerId>) {
-        self.step(|core, now, _| core.on_directory_loaded(now, found));
+    pub(crate) fn on_directory_loaded(self: &Rc<Self>, listed: &HashSet<WorkerId>) {
+        self.step(|core, now, _| core.on_directory_loaded(now, listed));
     }
 
-    /// A read of the system's own records is sent.
-    pub(crate) fn read_sent(&self, now: Time) {
+    /// Handles the sending of a read of the work records.
+    pub(crate) fn on_read_sent(&self, now: Time) {
         self.core.borrow_mut().leadership.on_read_sent(now);
     }
 
-    pub(crate) fn read_done(self: &Rc<Self>, topic: Topic, reading: Reading) {
+    pub(crate) fn on_read_done(self: &Rc<Self>, topic: Topic, progress: ReadProgress) {
         if topic == Topic::Work {
             let core = &mut *self.core.borrow_mut();
-            let known_to = reading.known_to.or(core.work.known_to);
-            core.work = Reading { known_to, ..reading };
+            let complete_until = progress.complete_until.or(core.work_progress.complete_until);
+            core.work_progress = ReadProgress { complete_until, ..progress };
             core.leadership.on_read(self.clock.now());
         }
-        if let Some(since) = self.lost.borrow_mut().remove(&topic) {
+        if let Some(since) = self.failing_topics.borrow_mut().remove(&topic) {
             let after_ms = self.clock.now().since(since).as_millis() as u64;
             log::info!(topic:% = topic, after_ms; "store_regained");
         }
         if topic == Topic::Work {
-            self.reads.announce();
+            self.watch.notify_read();
         }
     }
 
-    pub(crate) fn read_failed(self: &Rc<Self>, topic: Topic) {
+    pub(crate) fn on_read_failed(self: &Rc<Self>, topic: Topic) {
         let now = self.clock.now();
-        if !self.lost.borrow().contains_key(&topic) {
-            log::warn!(topic:% = topic, works = still_works(topic); "store_lost");
-            self.lost.borrow_mut().insert(topic, now);
+        if !self.failing_topics.borrow().contains_key(&topic) {
+            log::warn!(topic:% = topic, works = available_without(topic); "store_lost");
+            self.failing_topics.borrow_mut().insert(topic, now);
         }
         log::debug!(topic:% = topic; "read_failed");
         if topic == Topic::Work {
             let mut core = self.core.borrow_mut();
-            core.work.at_end = false;
+            core.work_progress.at_end = false;
             core.leadership.on_read_failed(now);
         }
     }
@@ -360,7 +365,7 @@
                 let leader = self.core.borrow().leader();
                 log::info!(leader:% = leader; "deposed");
                 self.core.borrow_mut().scheduler = None;
-                self.relays.end();
+                self.relays.end_term();
             }
         }
     }
@@ -368,7 +373,7 @@
     fn begin_term(self: &Rc<Self>, epoch: Epoch, succession: Succession) {
         let (now, wall_ms) = (self.clock.now(), self.clock.wall_ms());
         let core = &mut *self.core.borrow_mut();
-        let directory = core.directory_changes();
+        let directory = core.directory_snapshot();
         let term = (epoch, succession);
         let mut scheduler =
             Scheduler::new(now, wall_ms, term, core.limits, &core.ledger, directory);
@@ -377,14 +382,14 @@
             unaccounted = scheduler.unreconciled_count();
             "elected"
         );
-        for (number, (asked, wave)) in &core.waves {
-            // What has passed of the wave's time is over.
-            let within = wave.within.saturating_sub(now.since(*asked));
+        for (number, (requested_at, wave)) in &core.waves {
+            // Subtracts the time since the request.
+            let within = wave.within.saturating_sub(now.since(*requested_at));
             let wave = Wave { within, ..wave.clone() };
             scheduler.on_wave(now, *number, Some(wave), &core.ledger);
         }
         core.scheduler = Some(scheduler);
-        self.relays.begin(epoch);
+        self.relays.begin_term(epoch);
         self.metrics.elected();
         self.wake.notify_one();
     }
