--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a process's control, and what it wants done.
+//! Inputs and outputs of the control reducer.
 
 use {
     crate::{
@@ -11,10 +11,10 @@
     std::{fmt, sync::Arc},
 };
 
-/// Something that happened.
+/// An input of the control reducer.
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
-    /// Time has passed; some ten times a second.
+    /// Time has passed; sent about ten times a second.
     Tick,
     /// The answer to [`ControlEffect::Read`].
     ReadDone {
@@ -32,69 +32,69 @@
     },
     /// A peer's heartbeat arrived.
     HeartbeatReceived(Heartbeat),
-    /// The platform's VM list says that the VM of this address has gone; a hint.
+    /// The platform's VM list no longer holds the VM with this address. Only a hint.
     VmGone {
         /// The VM's IP address, without a port.
         addr: CompactString,
     },
-    /// The shard was read back, and its snapshot under `epoch` is durable in this node's journal.
+    /// The shard is recovered, and its snapshot under `epoch` is durable in this node's journal.
     RecoveryDone {
         /// The shard.
         shard: ShardId,
         /// The epoch of [`ControlEffect::Recover`].
         epoch: Epoch,
     },
-    /// Nothing of this node's journal before `from` is needed for the shards that it owns.
+    /// The shards that this node owns need no record of its journal before `from`.
     JournalLowWaterMark {
         /// The oldest record needed.
         from: Offset,
     },
     /// An operator proposes a configuration.
     Propose {
-        /// Drawn at random by the operator's command.
+        /// Random id, set by the operator's command.
         id: ProposalId,
         /// The version that the operator changed.
         base: ConfigVersion,
-        /// Who proposes.
+        /// Name of the operator.
         by: CompactString,
         /// The whole document.
         document: String,
     },
     /// A peer's answer to [`ControlEffect::FetchConfig`].
     PeerConfig {
-        /// The version in force there.
+        /// The version in force at the peer.
         version: ConfigVersion,
         /// Its document.
         document: String,
     },
-    /// The process is to end: give up all shards.
+    /// The process is shutting down: release all shards.
     Shutdown,
 }
 
-/// The last owner of a shard that acted for it.
+/// The last settled owner of a shard.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Predecessor {
     /// The process whose journal holds the shard.
     pub node: NodeId,
-    /// The epoch of its entries.
+    /// The epoch of the owner's entries.
     pub epoch: Epoch,
-    /// Where to begin to read the journal.
+    /// The offset to read the journal from.
     pub start: Offset,
 }
 
-/// How a proposal ended for the operator.
+/// The result of a proposal, as reported to the operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ProposalOutcome {
-    /// It is in force under this version.
+    /// The proposal is accepted as this version.
     Accepted {
         /// The version.
         version: ConfigVersion,
     },
-    /// Another change came first, and this one is void.
+    /// Another change was accepted first, so the proposal is void.
     Superseded {
-        /// The version that is accepted instead.
+        /// The version accepted instead.
         version: ConfigVersion,
-        /// Its document, to be compared with.
+        /// The document of that version.
         document: String,
     },
     /// The document has faults.
@@ -102,9 +102,9 @@
         /// All faults.
         faults: CompactString,
     },
-    /// It was never in the log, which is out of reach; propose it again later.
+    /// The log can't be reached and doesn't hold the proposal; it can be proposed again.
     Unavailable,
-    /// The log may hold it: look at the version in force before proposing again.
+    /// The log may hold the proposal: check the version in force before proposing again.
     Unconfirmed,
 }
 
@@ -114,34 +114,34 @@
             ProposalOutcome::Accepted { version } => write!(f, "accepted as version {version}"),
             ProposalOutcome::Superseded { version, .. } => write!(
                 f,
-                "version {version} was accepted first; compare with it and propose on it again"
+                "version {version} was accepted first; compare with it and propose again on that base"
             ),
             ProposalOutcome::Invalid { faults } => write!(f, "the document has faults: {faults}"),
             ProposalOutcome::Unavailable => {
-                write!(f, "the log can't be reached and nothing was proposed; propose it again")
+                write!(f, "the log can't be reached and the proposal was not stored; propose it again")
             }
             ProposalOutcome::Unconfirmed => write!(
                 f,
-                "the log's answer was lost; see `egretlb config show` before proposing again"
+                "the append was not confirmed; check `egretlb config show` before proposing again"
             ),
         }
     }
 }
 
-/// What an operator should know about.
+/// A condition that operators should know about.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Alarm {
-    /// No read of the control stream reached its end for as long as authority lasts.
+    /// No read of the control stream reached its end within the lease.
     LogOutOfReach,
     /// The beginning of the control stream has expired and no snapshot is left.
     StateLost,
-    /// Some shards have had no settled owner for half a minute.
+    /// Some shards have had no settled owner for 30 s.
     ShardsWithoutOwner,
-    /// This process hears no more than half of the schedulers.
+    /// This process has recent contact with at most half of the schedulers.
     FewPeersHeard,
-    /// The control stream holds records that this version can't read.
+    /// The control stream holds records that this version can't decode.
     UnreadableRecords,
-    /// The accepted configuration doesn't pass this version's checks and isn't in force here.
+    /// The accepted configuration fails this version's validation, so it isn't in force here.
     ConfigNotUnderstood,
 }
 
@@ -158,80 +158,80 @@
     }
 }
 
-/// Something to be done by the runtime.
+/// An action for the runtime to perform.
 #[derive(Clone, Debug)]
 pub enum ControlEffect {
-    /// Read the control stream; several reads may be under way.
+    /// Read the control stream; several reads may be in flight.
     Read {
-        /// Where from.
+        /// The offset to read from.
         from: Offset,
     },
     /// Append to the control stream.
     Append {
-        /// Comes back with the answer.
+        /// Returned with the answer.
         ticket: Ticket,
         /// The record.
         bytes: Vec<u8>,
     },
-    /// Read the shard's state back, then write its snapshot under `epoch` to this node's journal,
-    /// then report [`ControlEvent::RecoveryDone`]. Without a predecessor the shard is empty.
+    /// Recover the shard's state, write its snapshot under `epoch` to this node's journal, then
+    /// send [`ControlEvent::RecoveryDone`]. Without a predecessor the shard is empty.
     Recover {
         /// The shard.
         shard: ShardId,
         /// This node's epoch.
         epoch: Epoch,
-        /// Whose journal to read.
+        /// The journal to recover from.
         from: Option<Predecessor>,
     },
-    /// This node may decide for the shard, whenever [`egretlb_types::Authority`] says so.
+    /// This node owns the shard and may act for it while [`egretlb_types::Authority`] allows it.
     ShardOwned {
         /// The shard.
         shard: ShardId,
         /// The epoch.
         epoch: Epoch,
     },
-    /// This node's term for the shard is over, or its claim was overtaken before it settled.
+    /// This node no longer owns the shard, or another claim replaced its claim before it settled.
     ShardLost {
         /// The shard.
         shard: ShardId,
-        /// The epoch that is over.
+        /// The epoch that ended.
         epoch: Epoch,
     },
-    /// A configuration comes into force in this process.
+    /// A configuration came into force in this process.
     ConfigInForce {
-        /// Its version; always higher than the one before.
+        /// Its version; higher than the previous one.
         version: ConfigVersion,
         /// Its text.
         text: Arc<str>,
-        /// What it says.
+        /// The parsed document.
         document: Arc<ConfigDocument>,
     },
-    /// The end of a proposal that was made to this process.
+    /// The result of a proposal made to this process.
     ProposalDecided {
         /// The proposal.
         id: ProposalId,
-        /// How it ended.
+        /// The result.
         outcome: ProposalOutcome,
     },
-    /// Send a heartbeat; nothing comes back.
+    /// Send a heartbeat; no answer is expected.
     Heartbeat {
-        /// Whom to.
+        /// The recipient.
         to: NodeInfo,
-        /// What to send.
+        /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// Ask for a peer's configuration in force; the answer is [`ControlEvent::PeerConfig`].
+    /// Request a peer's configuration in force; the answer is [`ControlEvent::PeerConfig`].
     FetchConfig {
-        /// Whom to ask; without one, all peers that the settings name.
+        /// The peer; `None` for all peers in the settings.
         from: Option<NodeInfo>,
     },
-    /// An alarm begins or ends.
+    /// An alarm is raised or cleared.
     Alarm {
-        /// Which.
+        /// The alarm.
         alarm: Alarm,
-        /// Whether it begins.
+        /// Whether it is raised.
         raised: bool,
     },
-    /// All shards are given up and the process may end.
+    /// All shards are released and the process may exit.
     ShutdownDone,
 }
--- a/crates/control/src/fold.rs
+++ b/crates/control/src/fold.rs
@@ -1,4 +1,4 @@
-//! Reading the control stream into a state, also when its beginning has expired.
+//! Folds the control stream into a state, also if the start of the stream has expired.
 
 use {
     crate::{
@@ -9,52 +9,52 @@
     egretlb_types::{NodeId, Offset},
 };
 
-/// What a page of the stream brought.
+/// What one read of the stream changed.
 #[derive(Clone, Debug, Default)]
 pub struct Folded {
-    /// What its records changed.
+    /// Changes made by its records.
     pub changes: Changes,
-    /// Who wrote the records.
+    /// Processes that wrote the records.
     pub authors: Vec<NodeId>,
     /// Whether the stream's end was reached.
     pub reached_end: bool,
-    /// Whether the stream's end was reached without a state: all snapshots have expired.
+    /// Whether the stream's end was reached without a state, because every snapshot has expired.
     pub state_lost: bool,
-    /// Whether the reader had to begin again, since its offset had expired.
+    /// Whether the reader restarted because its offset had expired.
     pub restarted: bool,
-    /// Records that couldn't be read.
+    /// Number of records that couldn't be decoded.
     pub unreadable: u32,
 }
 
-/// The fold of one reader, which may have to begin at a snapshot.
+/// The fold of one reader, which may have to start at a snapshot.
 ///
-/// A snapshot holds the records before some offset, and others may have been appended between
-/// that offset and the snapshot's own. A reader without a state therefore keeps what it reads,
-/// and applies the part that the snapshot doesn't hold.
+/// A snapshot holds the records before some offset; others may lie between that offset and the
+/// snapshot. A reader without a state therefore buffers what it reads and applies the records that
+/// the snapshot doesn't hold.
 #[derive(Clone, Debug)]
 pub struct ControlFold {
     state: Option<ControlState>,
     next: Offset,
     since_snapshot: u64,
-    kept_from: Offset,
-    kept: Vec<(Offset, ControlRecord)>,
+    buffered_from: Offset,
+    buffered: Vec<(Offset, ControlRecord)>,
     base_check: bool,
 }
 
 impl ControlFold {
-    /// A fold that begins at the start of the stream.
+    /// A fold that starts at the beginning of the stream.
     pub fn new() -> Self {
         ControlFold {
             state: Some(ControlState::default()),
             next: Offset(0),
             since_snapshot: 0,
-            kept_from: Offset(0),
-            kept: Vec::new(),
+            buffered_from: Offset(0),
+            buffered: Vec::new(),
             base_check: true,
         }
     }
 
-    /// For tests of the checker only.
+    /// Accepts proposals on any base. Only for tests of the checker.
     pub(crate) fn without_base_check(mut self) -> Self {
         self.base_check = false;
         if let Some(state) = &mut self.state {
@@ -63,28 +63,29 @@
         self
     }
 
-    /// The state at [`ControlFold::next`], unless the reader is still looking for a snapshot.
+    /// The state at [`ControlFold::next`]; `None` while the reader looks for a snapshot.
     pub fn state(&self) -> Option<&ControlState> {
         self.state.as_ref()
     }
 
-    /// Where to read on.
+    /// The offset to read next.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// How many records lie behind the newest snapshot.
+    /// Number of records since the newest snapshot.
     pub fn since_snapshot(&self) -> u64 {
         self.since_snapshot
     }
 
-    /// The snapshot of what was folded.
+    /// A snapshot record of the current state.
     pub fn snapshot(&self) -> Option<ControlRecord> {
         let state = self.state.as_ref()?.encode();
         Some(ControlRecord::Snapshot { next: self.next, state })
     }
 
-    /// Folds an answer. Answers to overlapping reads are welcome; what was folded is skipped.
+    /// Folds the answer to a read. Records that are folded already are skipped, so reads may
+    /// overlap.
     pub fn fold(&mut self, outcome: ReadOutcome, validator: &Validator) -> Folded {
         let mut folded = Folded::default();
         match outcome {
@@ -94,7 +95,7 @@
                 for record in records {
                     self.fold_record(&record, validator, &mut folded);
                 }
-                // A page of expired or compacted records may be empty and still move on.
+                // A page of expired or compacted records may be empty and still advance the offset.
                 folded.reached_end = end && next <= self.next;
                 folded.state_lost = folded.reached_end && self.state.is_none();
             }
@@ -102,16 +103,15 @@
         folded
     }
 
-    /// The state is given up: between it and `oldest` records are missing that may have moved
-    /// shards. A process that was paused for longer than the retention would go on with owners
-    /// of long ago.
+    /// Drops the state: the missing records before `oldest` may have changed owners, for example if
+    /// the process was paused for longer than the retention.
     fn restart(&mut self, oldest: Offset, folded: &mut Folded) {
         if oldest <= self.next {
             return;
         }
         self.state = None;
-        self.kept.clear();
-        self.kept_from = oldest;
+        self.buffered.clear();
+        self.buffered_from = oldest;
         self.next = oldest;
         folded.restarted = true;
     }
@@ -130,17 +130,23 @@
         if let ControlRecord::Snapshot { next, state } = &decoded {
             self.since_snapshot = record.offset.0.saturating_sub(next.0);
             if self.state.is_none() {
-                self.install(*next, state, validator, folded);
+                self.install_snapshot(*next, state, validator, folded);
             }
         }
         match &mut self.state {
             Some(state) => folded.changes.extend(state.apply(record.offset, &decoded, validator)),
-            None => self.kept.push((record.offset, decoded)),
+            None => self.buffered.push((record.offset, decoded)),
         }
     }
 
-    fn install(&mut self, next: Offset, state: &[u8], validator: &Validator, folded: &mut Folded) {
-        if next < self.kept_from {
+    fn install_snapshot(
+        &mut self,
+        next: Offset,
+        state: &[u8],
+        validator: &Validator,
+        folded: &mut Folded,
+    ) {
+        if next < self.buffered_from {
             // Records between the snapshot and the first one read here are missing.
             return;
         }
@@ -151,7 +157,7 @@
         if !self.base_check {
             state.without_base_check();
         }
-        for (offset, record) in self.kept.drain(..).filter(|(offset, _)| *offset >= next) {
+        for (offset, record) in self.buffered.drain(..).filter(|(offset, _)| *offset >= next) {
             folded.changes.extend(state.apply(offset, &record, validator));
         }
         self.state = Some(state);
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,15 +1,13 @@
 //! Membership, shard ownership and configuration, folded from the control stream.
 //!
-//! Every process reads one stream and folds it by the same pure function ([`ControlState`]), so
-//! that all reach the same outcome on every race: who is a node, who owns a shard, which
-//! configuration is in force. [`Control`] is the reducer of one process around that fold: it
-//! joins, claims shards of lost owners, waits until their authority has certainly lapsed, and
-//! says at the last moment before an unsafe step whether this process still may
-//! ([`egretlb_types::Authority`]).
+//! Every process reads one stream and folds it with the same pure function ([`ControlState`]), so
+//! all agree on the members, the owner of each shard and the configuration in force. [`Control`] is
+//! the reducer of one process around that fold: it joins, claims shards of failed owners, waits
+//! until the previous owner's authority has expired, and checks right before an unsafe step that
+//! this process still has authority ([`egretlb_types::Authority`]).
 //!
-//! The trade-off: nothing here needs a consensus group or a replicated store, only the platform's
-//! log. In return a shard whose owner dies has no owner for some seconds, since its successor
-//! waits out what it can't know.
+//! This needs no consensus group and no replicated store, only the platform's log. In return, a
+//! shard whose owner fails has no owner for some seconds, until its authority has expired.
 
 mod event;
 mod fold;
@@ -27,7 +25,7 @@
     record::{ConfigVersion, ControlRecord, NodeInfo, ProposalId, Role, ShardEpoch, ShardEpochs},
     reducer::{Control, InForce},
     state::{
-        Accepted, Change, Changes, ConfigState, ControlState, Decision, Phase, ShardState,
+        AcceptedConfig, Change, Changes, ConfigState, ControlState, Decision, Phase, ShardState,
         Validator,
     },
 };
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -1,23 +1,22 @@
-//! What a process is told about itself and its surroundings.
+//! Options of the control reducer.
 
 use {
     crate::record::{NodeInfo, Role},
     std::time::Duration,
 };
 
-/// Which protections are on. All of them, but in tests which show that the checker notices the
-/// harm that each one prevents.
+/// Safety checks that tests switch off to show that the checker detects the resulting violations.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Protections {
-    /// A successor waits until its predecessor's authority must have lapsed.
+    /// A successor waits until its predecessor's authority has expired.
     pub await_lease_expiry: bool,
-    /// Authority counts from when the read was sent, not from when its answer came.
+    /// Authority starts when a read is sent, not when its answer arrives.
     pub lease_from_send: bool,
-    /// A successor acts only after its own snapshot is durable.
+    /// A successor settles only after its own snapshot is durable.
     pub snapshot_before_settle: bool,
     /// A proposal is void unless it names the current version as its base.
     pub base_check: bool,
-    /// A version is put in force only if it is higher than the one in force.
+    /// A version comes into force only if it is higher than the current one.
     pub monotonic_versions: bool,
 }
 
@@ -33,7 +32,7 @@
     }
 }
 
-/// How a process takes part.
+/// Options of one process.
 #[derive(Clone, Debug)]
 pub struct ControlOptions {
     pub(crate) info: NodeInfo,
@@ -43,7 +42,8 @@
 }
 
 impl ControlOptions {
-    /// The defaults for the process `info`; `seed` spreads what different processes do.
+    /// The defaults for the process `info`; `seed` varies the random choices of different
+    /// processes.
     pub fn new(info: NodeInfo, seed: u64) -> Self {
         ControlOptions {
             info,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// How long the log keeps a record at least.
+    /// Sets the minimum time that the log keeps a record.
     pub fn retention(mut self, retention: Duration) -> Self {
         self.retention = retention;
         self
     }
 
-    /// For tests of the checker only.
+    /// Only for tests of the checker.
     #[doc(hidden)]
     pub fn protections(mut self, protections: Protections) -> Self {
         self.protections = protections;
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -8,35 +8,35 @@
     std::{fmt, num::ParseIntError, str::FromStr},
 };
 
-/// The layout of [`ControlRecord`]. A process skips records of a layout that it doesn't know, and
-/// raises an alarm: processes of two layouts would disagree on what holds.
+/// Encoding version of [`ControlRecord`]. A process skips records of an unknown version and raises
+/// an alarm, since its state may differ from that of other processes.
 const LAYOUT: u8 = 1;
 
-/// What a process does.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub enum Role {
-    /// Takes callers' requests; follows the control stream, owns nothing.
+    /// Handles callers' requests; follows the control stream and owns nothing.
     Entry,
     /// Owns shards.
     Scheduler,
 }
 
-/// Who a process is and where it is reached.
+/// Identity and addresses of a process.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// The process's incarnation.
+    /// Id of this incarnation of the process.
     pub node: NodeId,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Where it runs.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Where its peers call it, as `ip:port`.
+    /// Address for peers, as `ip:port`.
     pub peer_addr: CompactString,
-    /// Where it answers HTTP, as `ip:port`.
+    /// Address of its HTTP server, as `ip:port`.
     pub http_addr: CompactString,
 }
 
-/// A shard and an epoch of it.
+/// A shard and one of its epochs.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct ShardEpoch {
     /// The shard.
@@ -45,11 +45,11 @@
     pub epoch: Epoch,
 }
 
-/// Some shards with an epoch of each.
+/// Shards with an epoch of each.
 pub type ShardEpochs = SmallVec<[ShardEpoch; 4]>;
 
-/// The version of a configuration: one more than the offset of the proposal that was accepted.
-/// Zero stands for no configuration at all. Offsets grow, so versions do.
+/// The version of a configuration: the offset of the accepted proposal plus one, or zero for no
+/// configuration. Offsets grow, so versions do too.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -57,7 +57,7 @@
 pub struct ConfigVersion(pub u64);
 
 impl ConfigVersion {
-    /// No configuration was accepted yet; the base of the first proposal.
+    /// No configuration; the base of the first proposal.
     pub const NONE: ConfigVersion = ConfigVersion(0);
 
     /// The version that a proposal at `offset` gets if it is accepted.
@@ -80,7 +80,7 @@
     }
 }
 
-/// One proposal, drawn at random by whoever makes it; the same when it is appended again.
+/// Random id of a proposal; unchanged when the proposal is appended again.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ProposalId(pub u64);
@@ -91,86 +91,87 @@
     }
 }
 
-/// A record of the control stream. Every record may be appended twice, and late, without harm:
-/// each names the state that it applies to, and is void on any other.
+/// A record of the control stream. Records are idempotent and may be appended twice or late: each
+/// names the state that it applies to, and is void on any other.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ControlRecord {
-    /// A process takes part, or answers a [`ControlRecord::LivenessCheck`] by joining again.
+    /// A process joins, or joins again to answer a [`ControlRecord::LivenessCheck`].
     Join(NodeInfo),
-    /// A process has gone, by its own word or after a long silence.
+    /// A process is removed, at its own request or because it was unresponsive for long.
     Leave {
-        /// The process that has gone.
+        /// The removed process.
         node: NodeId,
     },
-    /// A process claims shards, each for the epoch after the current one.
+    /// A process claims shards, each under the epoch after the current one.
     Claim {
         /// The claimant.
         owner: NodeId,
         /// The shards with the epochs claimed.
         shards: ShardEpochs,
     },
-    /// The claimant's journal holds a snapshot of each shard: it may act from here on.
+    /// The claimant's journal holds a snapshot of each shard, so the claimant may act for them.
     Settled {
         /// The claimant.
         owner: NodeId,
         /// The shards with the epochs claimed.
         shards: ShardEpochs,
     },
-    /// The owner will not act for the shards any more; its successor need not wait.
+    /// The owner no longer acts for the shards, so a successor need not wait.
     Release {
         /// The owner.
         owner: NodeId,
         /// The shards with the owner's epochs.
         shards: ShardEpochs,
     },
-    /// A process that hears few others asks through the log whether these are still there.
+    /// A process with contact to few others asks these processes to confirm in the log that they
+    /// are alive.
     LivenessCheck {
         /// The process that asks.
         by: NodeId,
-        /// The processes that it doesn't hear.
-        of: SmallVec<[NodeId; 4]>,
+        /// The processes to confirm.
+        nodes: SmallVec<[NodeId; 4]>,
     },
-    /// A whole new configuration.
+    /// A complete new configuration.
     Propose {
-        /// Names the proposal to whoever made it.
+        /// Id of the proposal.
         id: ProposalId,
-        /// The version that it changes; on any other it is void.
+        /// The version that it changes; void if this isn't the current version.
         base: ConfigVersion,
-        /// Who proposes, for people.
+        /// Name of the operator.
         by: CompactString,
         /// The whole document.
         document: String,
     },
-    /// The fold of all records before `next`, so that earlier ones may expire.
+    /// The state after all records before `next`, so that these may expire.
     Snapshot {
-        /// The first offset that isn't part of the fold.
+        /// The first offset that isn't included.
         next: Offset,
         /// The encoded [`crate::ControlState`].
         state: Vec<u8>,
     },
-    /// A successor of `owner` needs nothing of its journal before `from`.
+    /// A successor of `owner` needs no record of its journal before `from`.
     LowWaterMark {
         /// The owner of the journal.
         owner: NodeId,
-        /// The oldest record of it that is needed.
+        /// The oldest record needed.
         from: Offset,
     },
 }
 
 impl ControlRecord {
-    /// The record as bytes.
+    /// Encodes the record.
     pub fn encode(&self) -> Vec<u8> {
-        // Writing to a growing buffer can't fail for types without maps of unknown length.
+        // Can't fail: no type here holds a map of unknown length.
         postcard::to_extend(self, vec![LAYOUT]).unwrap_or_default()
     }
 
-    /// Reads a record; `None` for one of another layout or a broken one.
+    /// Decodes a record; `None` if it is invalid or has another encoding version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (layout, rest) = bytes.split_first()?;
         (*layout == LAYOUT).then(|| postcard::from_bytes(rest).ok())?
     }
 
-    /// The process that wrote the record and so was there a moment ago, if the record says it.
+    /// The process that wrote the record, and so was alive a moment ago, if the record names it.
     pub fn author(&self) -> Option<NodeId> {
         match self {
             ControlRecord::Join(info) => Some(info.node),
--- a/crates/control/src/reducer/alarms.rs
+++ b/crates/control/src/reducer/alarms.rs
@@ -1,4 +1,4 @@
-//! Alarms, told when they begin and when they end.
+//! Alarms, reported when they are raised and cleared.
 
 use {
     crate::event::{Alarm, ControlEffect},
--- a/crates/control/src/reducer/in_force.rs
+++ b/crates/control/src/reducer/in_force.rs
@@ -1,4 +1,4 @@
-//! The configuration that is in force in this process.
+//! The configuration in force in this process.
 
 use {
     crate::{
@@ -13,26 +13,26 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How often a process that can't read the log asks a peer for a configuration.
-const FETCH_EVERY: Duration = Duration::from_secs(1);
+/// Time between two requests for a peer's configuration, made while the log can't be read.
+const FETCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A configuration in force.
 #[derive(Clone, Debug, Default)]
 pub struct InForce {
-    /// Its version; zero if there is none yet.
+    /// Its version; zero for no configuration.
     pub version: ConfigVersion,
     /// Its text.
     pub text: Arc<str>,
-    /// What it says.
+    /// The parsed document.
     pub document: Arc<ConfigDocument>,
 }
 
-/// What is in force, and where something newer may be had while the log is out of reach.
+/// The configuration in force, and which peer has a newer one while the log can't be read.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfigHolder {
     protections: Protections,
     in_force: InForce,
-    newer_at: Option<(NodeId, ConfigVersion)>,
+    newer_peer_version: Option<(NodeId, ConfigVersion)>,
     fetch_at: Time,
 }
 
@@ -41,7 +41,7 @@
         ConfigHolder {
             protections,
             in_force: InForce::default(),
-            newer_at: None,
+            newer_peer_version: None,
             fetch_at: Time::ZERO,
         }
     }
@@ -50,8 +50,8 @@
         &self.in_force
     }
 
-    /// Puts a version in force if it is higher. The log is read from its beginning after a
-    /// restart, and a peer may be behind: both show versions that were superseded long ago.
+    /// Puts a version in force if it is higher. A restarted process reads the log from its
+    /// beginning, and a peer may lag behind: both show old versions.
     pub(crate) fn adopt(
         &mut self,
         version: ConfigVersion,
@@ -61,8 +61,8 @@
         out: &mut Vec<ControlEffect>,
     ) {
         let newer = version > self.in_force.version;
-        let other = !self.protections.monotonic_versions && version != self.in_force.version;
-        if !newer && !other {
+        let downgrade = !self.protections.monotonic_versions && version != self.in_force.version;
+        if !newer && !downgrade {
             return;
         }
         let Ok(document) = validator(text) else {
@@ -76,22 +76,24 @@
         out.push(ControlEffect::ConfigInForce { version, text, document });
     }
 
-    pub(crate) fn heard(&mut self, heartbeat: &Heartbeat) {
-        let best = self.newer_at.map_or(self.in_force.version, |(_, version)| version);
-        if heartbeat.config > best {
-            self.newer_at = Some((heartbeat.from, heartbeat.config));
+    pub(crate) fn record_peer_version(&mut self, heartbeat: &Heartbeat) {
+        let newest = self.newer_peer_version.map_or(self.in_force.version, |(_, version)| version);
+        if heartbeat.config > newest {
+            self.newer_peer_version = Some((heartbeat.from, heartbeat.config));
         }
     }
 
-    /// Whom to ask now, if the log is out of reach: the peer with the newest version; without
-    /// any configuration, all peers that the settings name (`Some(None)`).
-    pub(crate) fn fetch(&mut self, now: Time) -> Option<Option<NodeId>> {
-        self.newer_at = self.newer_at.filter(|(_, version)| *version > self.in_force.version);
-        let nothing = self.in_force.version == ConfigVersion::NONE;
-        if now < self.fetch_at || (self.newer_at.is_none() && !nothing) {
+    /// The peer to request a configuration from now, while the log can't be read: the one with the
+    /// newest version, or all peers in the settings (`Some(None)`) if there is no configuration
+    /// yet.
+    pub(crate) fn due_fetch(&mut self, now: Time) -> Option<Option<NodeId>> {
+        self.newer_peer_version =
+            self.newer_peer_version.filter(|(_, version)| *version > self.in_force.version);
+        let no_config = self.in_force.version == ConfigVersion::NONE;
+        if now < self.fetch_at || (self.newer_peer_version.is_none() && !no_config) {
             return None;
         }
-        self.fetch_at = now + FETCH_EVERY;
-        Some(self.newer_at.map(|(node, _)| node))
+        self.fetch_at = now + FETCH_INTERVAL;
+        Some(self.newer_peer_version.map(|(node, _)| node))
     }
 }
--- a/crates/control/src/reducer/mod.rs
+++ b/crates/control/src/reducer/mod.rs
@@ -1,15 +1,15 @@
-//! The reducer of one process's control.
+//! The control reducer of one process.
 
-mod act;
 mod alarms;
-mod gate;
-mod holdings;
+mod appends;
+mod due_actions;
+mod failure_detector;
 mod in_force;
+mod maintenance;
+mod owned_shards;
 mod proposals;
 mod reads;
 mod succession;
-mod suspicion;
-mod upkeep;
 
 pub use crate::reducer::in_force::InForce;
 
@@ -22,14 +22,14 @@
         record::{ConfigVersion, ControlRecord, NodeInfo, ProposalId},
         reducer::{
             alarms::Alarms,
-            gate::Appends,
-            holdings::Holdings,
+            appends::Appends,
+            failure_detector::FailureDetector,
             in_force::ConfigHolder,
+            maintenance::StreamMaintenance,
+            owned_shards::OwnedShards,
             proposals::Proposals,
             reads::{LEASE, Reads},
             succession::Succession,
-            suspicion::Suspicion,
-            upkeep::StreamUpkeep,
         },
         state::{Change, ControlState, Validator},
     },
@@ -39,15 +39,16 @@
     std::{fmt, sync::Arc, time::Duration},
 };
 
-/// How far a shutdown has come.
+/// Progress of a shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Running {
-    Up,
-    Leaving,
+enum Lifecycle {
+    Running,
+    Draining,
     Left,
 }
 
-/// The control of one process: reads and writes the control stream, and knows who owns what.
+/// The control reducer of one process: reads and writes the control stream and tracks shard
+/// ownership.
 pub struct Control {
     options: ControlOptions,
     validator: Arc<Validator>,
@@ -55,20 +56,20 @@
     reads: Reads,
     appends: Appends,
     gossip: Gossip,
-    suspicion: Suspicion,
+    detector: FailureDetector,
     succession: Succession,
-    holdings: Holdings,
+    owned_shards: OwnedShards,
     proposals: Proposals,
     config: ConfigHolder,
-    upkeep: StreamUpkeep,
+    maintenance: StreamMaintenance,
     alarms: Alarms,
-    running: Running,
+    lifecycle: Lifecycle,
     member_since: Option<Time>,
-    asked_to_show: bool,
+    must_rejoin: bool,
 }
 
 impl Control {
-    /// The control of a process that has just started and knows nothing.
+    /// The control reducer of a process that has just started.
     pub fn new(options: ControlOptions, validator: Arc<Validator>) -> Self {
         let me = options.info.node;
         let fold = ControlFold::new();
@@ -77,22 +78,22 @@
             reads: Reads::new(options.seed),
             appends: Appends::new(options.seed.wrapping_add(1)),
             gossip: Gossip::new(options.info.clone(), options.seed.wrapping_add(2)),
-            suspicion: Suspicion::default(),
+            detector: FailureDetector::default(),
             succession: Succession::new(me, options.protections),
-            holdings: Holdings::new(me),
+            owned_shards: OwnedShards::new(me),
             proposals: Proposals::default(),
             config: ConfigHolder::new(options.protections),
-            upkeep: StreamUpkeep::new(options.retention),
+            maintenance: StreamMaintenance::new(options.retention),
             alarms: Alarms::default(),
-            running: Running::Up,
+            lifecycle: Lifecycle::Running,
             member_since: None,
-            asked_to_show: false,
+            must_rejoin: false,
             options,
             validator,
         }
     }
 
-    /// Takes an event at `now` and says what is to be done.
+    /// Handles an event at `now` and appends the resulting effects to `out`.
     pub fn step(&mut self, now: Time, event: ControlEvent, out: &mut Vec<ControlEffect>) {
         match event {
             ControlEvent::Tick => {}
@@ -100,10 +101,12 @@
             ControlEvent::AppendDone { ticket, outcome } => {
                 self.append_done(now, ticket, outcome);
             }
-            ControlEvent::HeartbeatReceived(heartbeat) => self.heartbeat(now, &heartbeat, out),
+            ControlEvent::HeartbeatReceived(heartbeat) => {
+                self.heartbeat_received(now, &heartbeat, out)
+            }
             ControlEvent::VmGone { addr } => self.vm_gone(now, &addr),
             ControlEvent::RecoveryDone { shard, epoch } => self.recovered(shard, epoch, out),
-            ControlEvent::JournalLowWaterMark { from } => self.upkeep.journal_live(from),
+            ControlEvent::JournalLowWaterMark { from } => self.maintenance.set_low_water_mark(from),
             ControlEvent::Propose { id, base, by, document } => {
                 self.propose(now, id, base, by, document, out);
             }
@@ -112,26 +115,25 @@
             }
             ControlEvent::Shutdown => self.shut_down(out),
         }
-        self.act(now, out);
+        self.run_due_actions(now, out);
     }
 
-    /// The process itself.
+    /// This process.
     pub fn info(&self) -> &NodeInfo {
         &self.options.info
     }
 
-    /// What the control stream says, as far as this process has read; `None` while it is looking
-    /// for a snapshot.
+    /// The control state at [`Control::next`]; `None` while this process looks for a snapshot.
     pub fn state(&self) -> Option<&ControlState> {
         self.fold.state()
     }
 
-    /// The offset that this process reads next: its state holds everything before it.
+    /// The offset to read next; the state holds every record before it.
     pub fn next(&self) -> Offset {
         self.fold.next()
     }
 
-    /// The process that acts for the shard, as far as this process has read.
+    /// The process that acts for the shard, as of the last read.
     pub fn owner_of(&self, shard: ShardId) -> Option<&NodeInfo> {
         self.state()?.owner_of(shard)
     }
@@ -141,36 +143,36 @@
         self.config.in_force()
     }
 
-    /// Whether a read of the control stream has reached its end lately.
+    /// Whether a read that reached the end of the control stream was sent within the lease.
     pub fn has_fresh_read(&self, now: Time) -> bool {
         self.reads.has_fresh_read(now)
     }
 
-    /// Until when this process may act for the shard, unless it reads the log again before; `None`
-    /// if it may not now. The runtime checks its clock against it right before an unsafe call: a
-    /// process that was paused in between must notice.
+    /// Until when this process may act for the shard unless another read extends it; `None` if it
+    /// may not act now. The runtime checks its clock against this right before an unsafe call,
+    /// since the process may have been paused in between.
     pub fn authority_until(&self, now: Time, shard: ShardId) -> Option<Time> {
         self.epoch_if_held(now, shard)?;
-        self.reads.fresh().map(|sent| sent + LEASE)
+        self.reads.last_complete_read().map(|sent| sent + LEASE)
     }
 
-    /// The alarms that are on.
+    /// The raised alarms.
     pub fn alarms(&self) -> impl Iterator<Item = Alarm> {
         self.alarms.raised()
     }
 
-    /// The epoch under which this process is taking the shard over. What is read back for any
-    /// other epoch came too late, and must not replace what was read back since.
+    /// The epoch under which this process is taking the shard over. State recovered for any other
+    /// epoch is outdated and must be dropped.
     pub fn takeover_epoch(&self, shard: ShardId) -> Option<Epoch> {
         self.succession.epoch(shard)
     }
 
-    /// How many shards this process owns, and how many it is taking over.
+    /// Number of shards that this process owns, and number that it is taking over.
     pub fn shard_counts(&self) -> (usize, usize) {
-        (self.holdings.len(), self.succession.takeovers())
+        (self.owned_shards.len(), self.succession.takeovers())
     }
 
-    /// How long the process was last heard of, by gossip; `None` if it doesn't take part.
+    /// Time since the last contact with the process; `None` if it isn't a member.
     pub fn time_since_contact(&self, now: Time, node: NodeId) -> Option<Duration> {
         self.gossip.time_since_contact(now, node)
     }
@@ -198,50 +200,50 @@
         if folded.state_lost {
             self.alarms.set(Alarm::StateLost, true, out);
         }
-        let moved = self.fold.next() != before;
-        if moved {
-            self.follow(now, &folded, out);
+        let advanced = self.fold.next() != before;
+        if advanced {
+            self.apply_folded(now, &folded, out);
         }
         if folded.reached_end && self.fold.state().is_some() {
             self.reached_end(now, sent, out);
-        } else if moved {
-            self.reads.hurry();
+        } else if advanced {
+            self.reads.make_due();
         }
     }
 
     fn reached_end(&mut self, now: Time, sent: Time, out: &mut Vec<ControlEffect>) {
         self.alarms.set(Alarm::StateLost, false, out);
-        let counted = if self.options.protections.lease_from_send { sent } else { now };
-        if self.reads.reached_end(now, counted) {
-            // Nobody could be heard of as in touch while this process, or the log, was away.
-            // Without this pause all would claim everything when the log comes back.
-            self.gossip.excuse(now);
-            self.suspicion.excuse();
+        let lease_start = if self.options.protections.lease_from_send { sent } else { now };
+        if self.reads.reached_end(now, lease_start) {
+            // No heartbeat counts as contact while this process or the log is unavailable. Without the
+            // reset, every process would claim every shard once the log recovers.
+            self.gossip.reset_idle_times(now);
+            self.detector.reset();
         }
     }
 
-    /// Follows what was folded.
-    fn follow(&mut self, now: Time, folded: &Folded, out: &mut Vec<ControlEffect>) {
-        let was_in_touch = self.reads.has_fresh_read(now);
+    /// Applies the changes of a read to the other components.
+    fn apply_folded(&mut self, now: Time, folded: &Folded, out: &mut Vec<ControlEffect>) {
+        let was_fresh = self.reads.has_fresh_read(now);
         if let Some(state) = self.fold.state() {
-            self.gossip.follow(now, state);
-            self.succession.follow(now, state, out);
-            self.holdings.follow(state, out);
+            self.gossip.update_members(now, state);
+            self.succession.update(now, state, out);
+            self.owned_shards.update(state, out);
         }
         if self.fold.since_snapshot() == 0 {
-            self.upkeep.saw_snapshot(now);
+            self.maintenance.snapshot_read(now);
         }
-        if !was_in_touch {
+        if !was_fresh {
             self.succession.take_stuck();
         }
-        // What was read while catching up happened some time ago, and shows nobody alive now.
-        if was_in_touch {
+        // Records read while catching up are old and don't show that their author is alive.
+        if was_fresh {
             for author in &folded.authors {
-                self.suspicion.seen_in_log(now, *author);
+                self.detector.record_log_activity(now, *author);
             }
-            self.follow_doubts(now, folded);
+            self.record_liveness_checks(now, folded);
             for node in self.succession.take_stuck() {
-                self.suspicion.stuck(now, node);
+                self.detector.record_stuck(now, node);
             }
         }
         let current = self.fold.state().map(|state| state.config().current());
@@ -251,25 +253,30 @@
         }
     }
 
-    fn follow_doubts(&mut self, now: Time, folded: &Folded) {
+    fn record_liveness_checks(&mut self, now: Time, folded: &Folded) {
         let me = self.me();
         for change in &folded.changes {
-            let Change::LivenessCheck { of, .. } = change else { continue };
-            for node in of {
-                self.suspicion.doubted(now, *node);
+            let Change::LivenessCheck { nodes, .. } = change else { continue };
+            for node in nodes {
+                self.detector.record_liveness_check(now, *node);
             }
-            self.asked_to_show |= of.contains(&me);
+            self.must_rejoin |= nodes.contains(&me);
         }
     }
 
     fn append_done(&mut self, now: Time, ticket: Ticket, outcome: AppendOutcome) {
-        if self.appends.done(now, ticket, outcome) {
-            self.reads.hurry();
+        if self.appends.answered(now, ticket, outcome) {
+            self.reads.make_due();
         }
     }
 
-    fn heartbeat(&mut self, now: Time, heartbeat: &Heartbeat, out: &mut Vec<ControlEffect>) {
-        self.config.heard(heartbeat);
+    fn heartbeat_received(
+        &mut self,
+        now: Time,
+        heartbeat: &Heartbeat,
+        out: &mut Vec<ControlEffect>,
+    ) {
+        self.config.record_peer_version(heartbeat);
         if !self.gossip.receive(now, heartbeat) {
             return;
         }
@@ -289,7 +296,7 @@
 
     fn vm_gone(&mut self, now: Time, addr: &str) {
         if let Some(state) = self.fold.state() {
-            self.suspicion.vm_gone(now, addr, state);
+            self.detector.vm_gone(now, addr, state);
         }
     }
 
@@ -302,7 +309,7 @@
         document: String,
         out: &mut Vec<ControlEffect>,
     ) {
-        // A document with faults never reaches the log.
+        // An invalid document never reaches the log.
         if let Err(faults) = (self.validator)(&document) {
             out.push(ControlEffect::ProposalDecided {
                 id,
@@ -312,7 +319,7 @@
         }
         let record = ControlRecord::Propose { id, base, by, document };
         self.proposals.add(now, id, base, record, out);
-        self.reads.hurry();
+        self.reads.make_due();
     }
 
     fn adopt(&mut self, version: ConfigVersion, text: &str, out: &mut Vec<ControlEffect>) {
@@ -321,34 +328,34 @@
         }
     }
 
-    /// A snapshot that is durable after its claim was overtaken is of no use, and must not be kept
-    /// alive in the journal.
+    /// A snapshot that becomes durable after another claim replaced this one is useless and must
+    /// not stay in the journal.
     fn recovered(&mut self, shard: ShardId, epoch: Epoch, out: &mut Vec<ControlEffect>) {
         self.succession.recovered(shard, epoch);
-        if self.succession.epoch(shard).is_none() && self.holdings.epoch(shard).is_none() {
+        if self.succession.epoch(shard).is_none() && self.owned_shards.epoch(shard).is_none() {
             out.push(ControlEffect::ShardLost { shard, epoch });
         }
     }
 
     fn shut_down(&mut self, out: &mut Vec<ControlEffect>) {
-        if self.running == Running::Up {
-            self.running = Running::Leaving;
-            self.reads.hurry();
+        if self.lifecycle == Lifecycle::Running {
+            self.lifecycle = Lifecycle::Draining;
+            self.reads.make_due();
         }
         if let Some(state) = self.fold.state() {
-            self.holdings.release_all(state, out);
+            self.owned_shards.release_all(state, out);
         }
     }
 }
 
 impl Authority for Control {
-    /// Counted from the sending of the last read that reached the end: what was in the log then
-    /// shows this process as settled owner, and no successor acts before this has lapsed.
+    /// Authority starts when the last read that reached the end was sent: the log then showed this
+    /// process as settled owner, and no successor acts before the lease has expired.
     fn epoch_if_held(&self, now: Time, shard: ShardId) -> Option<Epoch> {
         if !self.reads.has_fresh_read(now) {
             return None;
         }
-        self.holdings.epoch(shard)
+        self.owned_shards.epoch(shard)
     }
 }
 
@@ -357,7 +364,7 @@
         f.debug_struct("Control")
             .field("node", &self.options.info.node)
             .field("next", &self.fold.next())
-            .field("running", &self.running)
+            .field("lifecycle", &self.lifecycle)
             .finish_non_exhaustive()
     }
 }
--- a/crates/control/src/reducer/holdings.rs
+++ b/crates/control/src/reducer/owned_shards.rs
@@ -1,4 +1,4 @@
-//! The shards that this process owns, and those that it is giving up.
+//! The shards that this process owns or is releasing.
 
 use {
     crate::{
@@ -11,35 +11,39 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Time between two steps of balancing.
-const BALANCE_EVERY: Duration = Duration::from_secs(2);
+/// Time between two balancing steps.
+const BALANCE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Shards given up in one step of balancing. Each is without an owner for about a second, and
-/// when ten processes are replaced together nearly every shard moves.
-const BALANCE_AT_ONCE: usize = 4;
+/// Maximum number of shards released in one balancing step. Each has no owner for about a second.
+const MAX_MOVES_PER_BALANCE: usize = 4;
 
 #[derive(Clone, Debug)]
-pub(crate) struct Holdings {
+pub(crate) struct OwnedShards {
     me: NodeId,
     owned: BTreeMap<ShardId, Epoch>,
     releasing: BTreeMap<ShardId, Epoch>,
     balance_at: Time,
 }
 
-impl Holdings {
+impl OwnedShards {
     pub(crate) fn new(me: NodeId) -> Self {
-        Holdings { me, owned: BTreeMap::new(), releasing: BTreeMap::new(), balance_at: Time::ZERO }
+        OwnedShards {
+            me,
+            owned: BTreeMap::new(),
+            releasing: BTreeMap::new(),
+            balance_at: Time::ZERO,
+        }
     }
 
-    /// Follows the state: says which shards became this process's, and which are lost.
+    /// Follows the state and reports shards gained and lost.
     ///
-    /// A process that has given up its state, since the records it wanted next have expired, asks
-    /// for nothing here until it has found a snapshot. It keeps its shards without authority: a
-    /// shard that was lost and then owned again under the same epoch would be empty.
-    pub(crate) fn follow(&mut self, state: &ControlState, out: &mut Vec<ControlEffect>) {
+    /// Not called while the process has no state because its next records have expired. It keeps
+    /// its shards without authority until it finds a snapshot: a shard that was reported lost and
+    /// then owned again under the same epoch would be empty.
+    pub(crate) fn update(&mut self, state: &ControlState, out: &mut Vec<ControlEffect>) {
         let is_mine = |shard: ShardId, epoch: Epoch| {
-            let of = state.shard(shard);
-            of.owner() == Some(self.me) && of.epoch() == epoch
+            let ownership = state.shard(shard);
+            ownership.owner() == Some(self.me) && ownership.epoch() == epoch
         };
         self.releasing.retain(|shard, epoch| is_mine(*shard, *epoch));
         let lost: Vec<ShardId> = self
@@ -49,19 +53,19 @@
             .map(|(shard, _)| *shard)
             .collect();
         for shard in lost {
-            self.lose(shard, out);
+            self.remove(shard, out);
         }
-        for (shard, of) in state.shards() {
-            let mine = of.owner() == Some(self.me) && of.phase() == Phase::Settled;
+        for (shard, ownership) in state.shards() {
+            let mine = ownership.owner() == Some(self.me) && ownership.phase() == Phase::Settled;
             let new = !self.owned.contains_key(&shard) && !self.releasing.contains_key(&shard);
             if mine && new {
-                self.owned.insert(shard, of.epoch());
-                out.push(ControlEffect::ShardOwned { shard, epoch: of.epoch() });
+                self.owned.insert(shard, ownership.epoch());
+                out.push(ControlEffect::ShardOwned { shard, epoch: ownership.epoch() });
             }
         }
     }
 
-    /// The epoch of the shard if this process owns it and isn't giving it up.
+    /// The epoch of the shard if this process owns it and isn't releasing it.
     pub(crate) fn epoch(&self, shard: ShardId) -> Option<Epoch> {
         self.owned.get(&shard).copied()
     }
@@ -70,18 +74,18 @@
         self.owned.len()
     }
 
-    /// Gives up everything.
+    /// Releases all shards.
     pub(crate) fn release_all(&mut self, state: &ControlState, out: &mut Vec<ControlEffect>) {
         let me = Some(self.me);
-        for (shard, of) in state.shards().filter(|(_, of)| of.owner() == me) {
-            self.release(shard, of.epoch(), out);
+        for (shard, ownership) in state.shards().filter(|(_, ownership)| ownership.owner() == me) {
+            self.release(shard, ownership.epoch(), out);
         }
     }
 
-    /// Gives up a few shards that prefer another process.
+    /// Releases a few shards that prefer another process.
     ///
-    /// Only the owner moves a shard away from itself, so that the successor need not wait; and
-    /// only a few at a time, the next ones once these are settled elsewhere.
+    /// Only the owner moves a shard, so that the successor needn't wait. The next shards follow
+    /// once these are settled elsewhere.
     pub(crate) fn balance(
         &mut self,
         now: Time,
@@ -92,38 +96,38 @@
         if now < self.balance_at || !self.releasing.is_empty() {
             return;
         }
-        if state.shards().any(|(_, of)| of.phase() != Phase::Settled) {
+        if state.shards().any(|(_, ownership)| ownership.phase() != Phase::Settled) {
             return;
         }
-        self.balance_at = now + BALANCE_EVERY;
-        let moving: Vec<ShardEpoch> = self
+        self.balance_at = now + BALANCE_INTERVAL;
+        let to_move: Vec<ShardEpoch> = self
             .owned
             .iter()
             .filter(|(shard, _)| preferred(**shard, candidates) != Some(self.me))
             .map(|(shard, epoch)| ShardEpoch { shard: *shard, epoch: *epoch })
-            .take(BALANCE_AT_ONCE)
+            .take(MAX_MOVES_PER_BALANCE)
             .collect();
-        for of in moving {
-            self.release(of.shard, of.epoch, out);
+        for shard in to_move {
+            self.release(shard.shard, shard.epoch, out);
         }
     }
 
-    /// The shards whose release must get into the log.
-    pub(crate) fn to_release(&self) -> ShardEpochs {
+    /// The shards whose release isn't in the log yet.
+    pub(crate) fn pending_releases(&self) -> ShardEpochs {
         self.releasing
             .iter()
             .map(|(shard, epoch)| ShardEpoch { shard: *shard, epoch: *epoch })
             .collect()
     }
 
-    /// From here on this process doesn't act for the shard, whatever becomes of the append: the
-    /// successor doesn't wait, so the release must be true before it can be in the log.
+    /// From here on this process doesn't act for the shard, even if the append fails: the successor
+    /// doesn't wait, so the release must be true before it can be in the log.
     fn release(&mut self, shard: ShardId, epoch: Epoch, out: &mut Vec<ControlEffect>) {
         self.releasing.insert(shard, epoch);
-        self.lose(shard, out);
+        self.remove(shard, out);
     }
 
-    fn lose(&mut self, shard: ShardId, out: &mut Vec<ControlEffect>) {
+    fn remove(&mut self, shard: ShardId, out: &mut Vec<ControlEffect>) {
         if let Some(epoch) = self.owned.remove(&shard) {
             out.push(ControlEffect::ShardLost { shard, epoch });
         }
--- a/crates/control/src/reducer/proposals.rs
+++ b/crates/control/src/reducer/proposals.rs
@@ -1,24 +1,24 @@
-//! Operators' proposals that this process brings into the log.
+//! Operators' proposals that this process appends to the log.
 
 use {
     crate::{
         event::{ControlEffect, ProposalOutcome},
         record::{ConfigVersion, ControlRecord, ProposalId},
-        reducer::gate::{Appends, Purpose},
+        reducer::appends::{Appends, Purpose},
         state::{ConfigState, Decision},
     },
     egretlb_types::Time,
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// An operator is told after this long that the log doesn't answer.
-const GIVE_UP_AFTER: Duration = Duration::from_secs(20);
+/// An operator gets an answer after this long if the log doesn't respond.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The most proposals that wait here; more are answered as out of reach.
-const WAITING_MAX: usize = 16;
+/// Maximum number of pending proposals; more are answered as unavailable.
+const MAX_PENDING: usize = 16;
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct PendingProposal {
     record: ControlRecord,
     base: ConfigVersion,
     since: Time,
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Proposals {
-    waiting: BTreeMap<ProposalId, Waiting>,
+    pending: BTreeMap<ProposalId, PendingProposal>,
 }
 
 impl Proposals {
@@ -38,14 +38,14 @@
         record: ControlRecord,
         out: &mut Vec<ControlEffect>,
     ) {
-        if self.waiting.len() >= WAITING_MAX {
+        if self.pending.len() >= MAX_PENDING {
             out.push(ControlEffect::ProposalDecided { id, outcome: ProposalOutcome::Unavailable });
             return;
         }
-        self.waiting.entry(id).or_insert(Waiting { record, base, since: now });
+        self.pending.entry(id).or_insert(PendingProposal { record, base, since: now });
     }
 
-    /// Ends what is decided, and gives up on what has waited for too long.
+    /// Reports decided proposals, and those that timed out.
     pub(crate) fn decide(
         &mut self,
         now: Time,
@@ -53,10 +53,10 @@
         appends: &mut Appends,
         out: &mut Vec<ControlEffect>,
     ) {
-        self.waiting.retain(|id, waiting| {
+        self.pending.retain(|id, pending| {
             let outcome = config
-                .and_then(|config| outcome(*id, waiting, config, appends))
-                .or_else(|| overdue(now, *id, waiting, appends));
+                .and_then(|config| outcome(*id, pending, config, appends))
+                .or_else(|| timed_out(now, *id, pending, appends));
             let Some(outcome) = outcome else { return true };
             appends.forget(Purpose::Propose(*id));
             out.push(ControlEffect::ProposalDecided { id: *id, outcome });
@@ -64,18 +64,18 @@
         });
     }
 
-    /// Appends what isn't in the log yet.
+    /// Appends proposals that aren't in the log yet.
     pub(crate) fn append(
         &self,
         now: Time,
-        fresh: Option<Time>,
+        last_complete_read: Option<Time>,
         appends: &mut Appends,
         out: &mut Vec<ControlEffect>,
     ) {
-        for (id, waiting) in &self.waiting {
+        for (id, pending) in &self.pending {
             let purpose = Purpose::Propose(*id);
-            if appends.is_open(now, purpose, fresh) {
-                appends.append(now, purpose, &waiting.record, out);
+            if appends.may_append(now, purpose, last_complete_read) {
+                appends.append(now, purpose, &pending.record, out);
             }
         }
     }
@@ -83,36 +83,36 @@
 
 fn outcome(
     id: ProposalId,
-    waiting: &Waiting,
+    pending: &PendingProposal,
     config: &ConfigState,
     appends: &Appends,
 ) -> Option<ProposalOutcome> {
     let current = config.current();
-    let lost =
+    let superseded =
         || ProposalOutcome::Superseded { version: current.version, document: current.text.clone() };
     match config.decision(id) {
         Some(Decision::Accepted(version)) => Some(ProposalOutcome::Accepted { version: *version }),
-        Some(Decision::Outdated(_)) => Some(lost()),
+        Some(Decision::Outdated(_)) => Some(superseded()),
         Some(Decision::Invalid(faults)) => {
             Some(ProposalOutcome::Invalid { faults: faults.clone() })
         }
-        // Its base is already superseded here, and no copy of it can be in the log unseen.
-        None if waiting.base < current.version && !appends.in_doubt(Purpose::Propose(id)) => {
-            Some(lost())
+        // Its base is superseded, and no unconfirmed append of it can be in the log.
+        None if pending.base < current.version && !appends.is_unconfirmed(Purpose::Propose(id)) => {
+            Some(superseded())
         }
         None => None,
     }
 }
 
-fn overdue(
+fn timed_out(
     now: Time,
     id: ProposalId,
-    waiting: &Waiting,
+    pending: &PendingProposal,
     appends: &Appends,
 ) -> Option<ProposalOutcome> {
-    if now < waiting.since + GIVE_UP_AFTER {
+    if now < pending.since + PROPOSAL_TIMEOUT {
         return None;
     }
-    let in_doubt = appends.in_doubt(Purpose::Propose(id));
-    Some(if in_doubt { ProposalOutcome::Unconfirmed } else { ProposalOutcome::Unavailable })
+    let is_unconfirmed = appends.is_unconfirmed(Purpose::Propose(id));
+    Some(if is_unconfirmed { ProposalOutcome::Unconfirmed } else { ProposalOutcome::Unavailable })
 }
--- a/crates/control/src/reducer/reads.rs
+++ b/crates/control/src/reducer/reads.rs
@@ -1,4 +1,4 @@
-//! When the control stream is read, and how fresh what was read is.
+//! Reads of the control stream and their freshness.
 
 use {
     egretlb_types::Time,
@@ -7,27 +7,27 @@
     std::time::Duration,
 };
 
-/// How long authority lasts after the sending of a read that reached the end.
+/// How long authority lasts after a read that reached the end was sent.
 pub(crate) const LEASE: Duration = Duration::from_secs(3);
 
-/// How often the stream is read: two reads in a row may fail before authority lapses, and a
-/// change of configuration is seen within the 3 s that it has.
-const READ_EVERY: Duration = Duration::from_secs(1);
+/// Time between two reads. Two consecutive reads may fail before authority expires, and a new
+/// configuration is seen within 3 s.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads under way at once. A log that takes 2 s to answer would otherwise let authority lapse
-/// between the reads, although it answers every one of them.
-const READS_AT_ONCE: usize = 4;
+/// Maximum number of reads in flight. Allows a log that takes seconds to answer without losing
+/// authority.
+const MAX_READS_IN_FLIGHT: usize = 4;
 
-/// A read without an answer after this long is forgotten.
-const GIVE_UP_AFTER: Duration = Duration::from_secs(5);
+/// A read without an answer after this long no longer counts as in flight.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
 pub(crate) struct Reads {
     rng: SmallRng,
-    under_way: SmallVec<[Time; READS_AT_ONCE]>,
+    in_flight: SmallVec<[Time; MAX_READS_IN_FLIGHT]>,
     next_at: Time,
-    fresh: Option<Time>,
-    in_touch_since: Option<Time>,
+    last_complete_read: Option<Time>,
+    fresh_since: Option<Time>,
     started: Option<Time>,
 }
 
@@ -35,68 +35,69 @@
     pub(crate) fn new(seed: u64) -> Self {
         Reads {
             rng: SmallRng::seed_from_u64(seed),
-            under_way: SmallVec::new(),
+            in_flight: SmallVec::new(),
             next_at: Time::ZERO,
-            fresh: None,
-            in_touch_since: None,
+            last_complete_read: None,
+            fresh_since: None,
             started: None,
         }
     }
 
-    /// Whether to send a read now. At most a tenth early, so that processes spread out.
+    /// Whether to send a read now. The interval is up to a tenth shorter, as jitter.
     pub(crate) fn due(&mut self, now: Time) -> bool {
         self.started.get_or_insert(now);
-        self.under_way.retain(|sent| now < *sent + GIVE_UP_AFTER);
-        if now < self.next_at || self.under_way.len() == READS_AT_ONCE {
+        self.in_flight.retain(|sent| now < *sent + READ_TIMEOUT);
+        if now < self.next_at || self.in_flight.len() == MAX_READS_IN_FLIGHT {
             return false;
         }
-        self.under_way.push(now);
-        self.next_at = now + READ_EVERY.mul_f64(self.rng.random_range(0.9..1.0));
+        self.in_flight.push(now);
+        self.next_at = now + READ_INTERVAL.mul_f64(self.rng.random_range(0.9..1.0));
         true
     }
 
-    /// Something is worth reading now.
-    pub(crate) fn hurry(&mut self) {
+    /// Makes a read due at once.
+    pub(crate) fn make_due(&mut self) {
         self.next_at = Time::ZERO;
     }
 
     pub(crate) fn answered(&mut self, sent: Time) {
-        if let Some(at) = self.under_way.iter().position(|of| *of <= sent) {
-            self.under_way.remove(at);
+        if let Some(at) = self.in_flight.iter().position(|other| *other <= sent) {
+            self.in_flight.remove(at);
         }
     }
 
-    /// A read that was sent at `counted` reached the end. `true` if this process was out of touch.
-    pub(crate) fn reached_end(&mut self, now: Time, counted: Time) -> bool {
-        let was_in_touch = self.has_fresh_read(now);
-        self.fresh = self.fresh.max(Some(counted));
-        let returned = !was_in_touch && self.has_fresh_read(now);
-        if returned {
-            self.in_touch_since = Some(now);
+    /// A read that reached the end gives authority from `lease_start`. Returns `true` if this
+    /// process had no fresh read before.
+    pub(crate) fn reached_end(&mut self, now: Time, lease_start: Time) -> bool {
+        let was_fresh = self.has_fresh_read(now);
+        self.last_complete_read = self.last_complete_read.max(Some(lease_start));
+        let became_fresh = !was_fresh && self.has_fresh_read(now);
+        if became_fresh {
+            self.fresh_since = Some(now);
         }
-        returned
+        became_fresh
     }
 
-    /// The sending of the last read that reached the end.
-    pub(crate) fn fresh(&self) -> Option<Time> {
-        self.fresh
+    /// When the last read that reached the end was sent.
+    pub(crate) fn last_complete_read(&self) -> Option<Time> {
+        self.last_complete_read
     }
 
     /// Whether a read that reached the end was sent less than [`LEASE`] ago.
     pub(crate) fn has_fresh_read(&self, now: Time) -> bool {
-        self.fresh.is_some_and(|sent| now < sent + LEASE)
+        self.last_complete_read.is_some_and(|sent| now < sent + LEASE)
     }
 
-    /// How long this process has been in touch without a break; zero if it isn't.
-    pub(crate) fn in_touch_for(&self, now: Time) -> Duration {
+    /// How long this process has had a fresh read without interruption; zero if it has none.
+    pub(crate) fn fresh_for(&self, now: Time) -> Duration {
         if !self.has_fresh_read(now) {
             return Duration::ZERO;
         }
-        self.in_touch_since.map_or(Duration::ZERO, |since| now.since(since))
+        self.fresh_since.map_or(Duration::ZERO, |since| now.since(since))
     }
 
-    /// How long the stream's end hasn't been reached, from the start of the process on.
-    pub(crate) fn out_of_touch_for(&self, now: Time) -> Duration {
-        self.fresh.or(self.started).map_or(Duration::ZERO, |at| now.since(at))
+    /// Time since the last read that reached the end was sent, or since the start of the process.
+    pub(crate) fn time_since_complete_read(&self, now: Time) -> Duration {
+        self.last_complete_read.or(self.started).map_or(Duration::ZERO, |at| now.since(at))
     }
 }
--- a/crates/control/src/reducer/succession.rs
+++ b/crates/control/src/reducer/succession.rs
@@ -1,41 +1,42 @@
-//! Taking over shards: which to claim, how long to wait, when to recover and to settle.
+//! Takeover of shards: which to claim, how long to wait, when to recover and settle.
 
 use {
     crate::{
         event::{ControlEffect, Predecessor},
         options::Protections,
         record::{ShardEpoch, ShardEpochs},
-        reducer::{reads::LEASE, suspicion::Suspicion},
+        reducer::{failure_detector::FailureDetector, reads::LEASE},
         state::{ControlState, Phase, ShardState},
     },
     egretlb_types::{Epoch, NodeId, ShardId, Time, rendezvous_score},
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long a successor waits from reading its own claim back. The predecessor counts [`LEASE`]
-/// from the sending of a read that came before. If one clock runs 1% slow and the other 1% fast,
-/// the wait must be LEASE x 1.01 / 0.99 = 3.061 s; what is left over is for timers that fire early.
-pub(crate) const WAIT_OUT: Duration = LEASE.saturating_add(Duration::from_millis(100));
+/// How long a successor waits after reading its own claim. The predecessor counts [`LEASE`] from a
+/// read that was sent earlier. With clock rates 1% off in opposite directions the wait must be
+/// LEASE x 1.01 / 0.99 = 3.061 s; the rest covers timers that fire early.
+pub(crate) const LEASE_EXPIRY_WAIT: Duration = LEASE.saturating_add(Duration::from_millis(100));
 
-/// The process preferred for a shard claims at once; each further one waits this much longer, so
-/// that a preferred one that hangs doesn't leave the shard without an owner.
+/// The preferred process of a shard claims at once; each lower-ranked one waits this much longer,
+/// in case the preferred one hangs.
 const RANK_DELAY: Duration = Duration::from_secs(3);
 
-/// A process that hears few others waits this much longer, for the many that hear each other.
-const FEW_HEARD_DELAY: Duration = Duration::from_secs(2);
+/// Extra delay of a process in a minority, so that the majority claims first.
+const MINORITY_DELAY: Duration = Duration::from_secs(2);
 
-/// A claimant that hasn't settled after this long, though it is heard, is stuck; another claims.
+/// A claimant that is alive but hasn't settled after this long is stuck, and another process
+/// claims.
 const STUCK_AFTER: Duration = Duration::from_secs(30);
 
-/// How often all shards are looked through for lost owners; other events come more often.
-const LOOK_EVERY: Duration = Duration::from_millis(90);
+/// Minimum time between two scans for shards without an owner.
+const SCAN_INTERVAL: Duration = Duration::from_millis(90);
 
-/// Where a take-over stands.
+/// Progress of a takeover.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
     /// The predecessor may still have authority.
     Waiting { until: Time },
-    /// The shard is being read back and its snapshot written.
+    /// The shard is being recovered and its snapshot written.
     Recovering,
     /// The snapshot is durable.
     Recovered,
@@ -47,24 +48,24 @@
     stage: Stage,
 }
 
-/// A claim that hasn't settled, and when it was read.
+/// A claim that hasn't settled, and when it was first read.
 #[derive(Clone, Copy, Debug)]
-struct ClaimSeen {
+struct PendingClaim {
     epoch: Epoch,
     owner: Option<NodeId>,
     since: Time,
 }
 
-/// The shards that this process claimed and doesn't act for yet, and those nobody acts for.
+/// Takeovers by this process, pending claims, and shards without an owner.
 #[derive(Clone, Debug)]
 pub(crate) struct Succession {
     me: NodeId,
     protections: Protections,
     takeovers: BTreeMap<ShardId, Takeover>,
-    claims: BTreeMap<ShardId, ClaimSeen>,
+    claims: BTreeMap<ShardId, PendingClaim>,
     stuck: Vec<NodeId>,
     orphan_since: BTreeMap<ShardId, Time>,
-    look_at: Time,
+    scan_at: Time,
 }
 
 impl Succession {
@@ -76,74 +77,77 @@
             claims: BTreeMap::new(),
             stuck: Vec::new(),
             orphan_since: BTreeMap::new(),
-            look_at: Time::ZERO,
+            scan_at: Time::ZERO,
         }
     }
 
-    /// Follows the state right after a read was folded: this is the moment at which this process
-    /// reads its own claims back, and from which it waits.
-    pub(crate) fn follow(&mut self, now: Time, state: &ControlState, out: &mut Vec<ControlEffect>) {
-        for (shard, of) in state.shards() {
-            self.note_stuck(now, shard, of);
-            if of.phase() == Phase::Claimed {
-                self.follow_claimed(now, shard, of);
+    /// Follows the state after a read was folded. The wait for a predecessor starts here, when this
+    /// process reads its own claim.
+    pub(crate) fn update(&mut self, now: Time, state: &ControlState, out: &mut Vec<ControlEffect>) {
+        for (shard, ownership) in state.shards() {
+            self.record_stuck(now, shard, ownership);
+            if ownership.phase() == Phase::Claimed {
+                self.update_claimed(now, shard, ownership);
             } else {
                 self.claims.remove(&shard);
             }
-            self.drop_ended(shard, of, out);
+            self.drop_ended(shard, ownership, out);
         }
     }
 
-    /// Ends a take-over that has settled, or was overtaken by another claim.
-    fn drop_ended(&mut self, shard: ShardId, of: &ShardState, out: &mut Vec<ControlEffect>) {
-        let mine = of.owner() == Some(self.me);
-        if mine && of.phase() == Phase::Claimed {
+    /// Drops a takeover that has settled, or that another claim replaced.
+    fn drop_ended(&mut self, shard: ShardId, ownership: &ShardState, out: &mut Vec<ControlEffect>) {
+        let mine = ownership.owner() == Some(self.me);
+        if mine && ownership.phase() == Phase::Claimed {
             return;
         }
         let Some(takeover) = self.takeovers.remove(&shard) else { return };
-        let settled = mine && of.phase() == Phase::Settled && of.epoch() == takeover.epoch;
+        let settled =
+            mine && ownership.phase() == Phase::Settled && ownership.epoch() == takeover.epoch;
         if !settled {
             out.push(ControlEffect::ShardLost { shard, epoch: takeover.epoch });
         }
     }
 
-    fn follow_claimed(&mut self, now: Time, shard: ShardId, of: &ShardState) {
-        let epoch = of.epoch();
-        if self.claims.get(&shard).is_none_or(|seen| seen.epoch != epoch) {
-            self.claims.insert(shard, ClaimSeen { epoch, owner: of.owner(), since: now });
+    fn update_claimed(&mut self, now: Time, shard: ShardId, ownership: &ShardState) {
+        let epoch = ownership.epoch();
+        if self.claims.get(&shard).is_none_or(|claim| claim.epoch != epoch) {
+            self.claims.insert(shard, PendingClaim { epoch, owner: ownership.owner(), since: now });
         }
-        if of.owner() != Some(self.me) {
+        if ownership.owner() != Some(self.me) {
             return;
         }
         if self.takeovers.get(&shard).is_none_or(|takeover| takeover.epoch != epoch) {
-            let must_wait = of.must_wait() && self.protections.await_lease_expiry;
-            let until = if must_wait { now + WAIT_OUT } else { now };
+            let must_wait = ownership.must_wait() && self.protections.await_lease_expiry;
+            let until = if must_wait { now + LEASE_EXPIRY_WAIT } else { now };
             self.takeovers.insert(shard, Takeover { epoch, stage: Stage::Waiting { until } });
         }
     }
 
-    /// Notes a claimant that was overtaken because it didn't settle in time.
-    fn note_stuck(&mut self, now: Time, shard: ShardId, of: &ShardState) {
-        let overtaken = |seen: &&ClaimSeen| {
-            seen.epoch != of.epoch() && now >= seen.since + STUCK_AFTER && seen.owner != of.owner()
+    /// Records a claimant that was replaced because it didn't settle in time.
+    fn record_stuck(&mut self, now: Time, shard: ShardId, ownership: &ShardState) {
+        let replaced = |claim: &&PendingClaim| {
+            claim.epoch != ownership.epoch()
+                && now >= claim.since + STUCK_AFTER
+                && claim.owner != ownership.owner()
         };
-        let stuck = self.claims.get(&shard).filter(overtaken).and_then(|seen| seen.owner);
+        let stuck = self.claims.get(&shard).filter(replaced).and_then(|claim| claim.owner);
         self.stuck.extend(stuck);
     }
 
-    /// The claimants that were overtaken since this was asked last.
+    /// Returns the replaced claimants since the last call.
     pub(crate) fn take_stuck(&mut self) -> Vec<NodeId> {
         std::mem::take(&mut self.stuck)
     }
 
-    /// Forgets everything: this process has no state any more.
+    /// Drops everything, since this process lost its state.
     pub(crate) fn clear(&mut self) {
         self.takeovers.clear();
         self.claims.clear();
         self.orphan_since.clear();
     }
 
-    /// Begins to recover what was waited for.
+    /// Starts to recover shards whose wait is over.
     pub(crate) fn recover(
         &mut self,
         now: Time,
@@ -179,15 +183,15 @@
 
     /// The shard's snapshot is durable under the epoch.
     pub(crate) fn recovered(&mut self, shard: ShardId, epoch: Epoch) {
-        let of_epoch = |takeover: &&mut Takeover| {
+        let is_recovering = |takeover: &&mut Takeover| {
             takeover.epoch == epoch && takeover.stage == Stage::Recovering
         };
-        if let Some(takeover) = self.takeovers.get_mut(&shard).filter(of_epoch) {
+        if let Some(takeover) = self.takeovers.get_mut(&shard).filter(is_recovering) {
             takeover.stage = Stage::Recovered;
         }
     }
 
-    /// The shards to be settled now.
+    /// The shards to settle now.
     pub(crate) fn to_settle(&self) -> ShardEpochs {
         self.takeovers
             .iter()
@@ -196,72 +200,86 @@
             .collect()
     }
 
-    /// The shards to be claimed now, all of them in one append.
+    /// The shards to claim now, in one append.
     pub(crate) fn due_claims(
         &mut self,
         now: Time,
         state: &ControlState,
-        suspicion: &Suspicion,
+        detector: &FailureDetector,
     ) -> ShardEpochs {
-        if now < self.look_at {
+        if now < self.scan_at {
             return ShardEpochs::new();
         }
-        self.look_at = now + LOOK_EVERY;
+        self.scan_at = now + SCAN_INTERVAL;
         let orphans: Vec<(ShardId, &ShardState)> = state
             .shards()
-            .filter(|(shard, of)| self.is_orphan(now, *shard, of, suspicion))
+            .filter(|(shard, ownership)| self.is_orphan(now, *shard, ownership, detector))
             .collect();
         self.orphan_since.retain(|shard, _| orphans.iter().any(|(orphan, _)| orphan == shard));
         let mut claims = ShardEpochs::new();
-        for (shard, of) in orphans {
+        for (shard, ownership) in orphans {
             let since = *self.orphan_since.entry(shard).or_insert(now);
-            if now >= since + self.delay(shard, of, suspicion) {
-                claims.push(ShardEpoch { shard, epoch: of.epoch().next() });
+            if now >= since + self.claim_delay(shard, ownership, detector) {
+                claims.push(ShardEpoch { shard, epoch: ownership.epoch().next() });
             }
         }
         claims
     }
 
-    fn is_orphan(&self, now: Time, shard: ShardId, of: &ShardState, suspicion: &Suspicion) -> bool {
-        match of.owner() {
+    fn is_orphan(
+        &self,
+        now: Time,
+        shard: ShardId,
+        ownership: &ShardState,
+        detector: &FailureDetector,
+    ) -> bool {
+        match ownership.owner() {
             None => true,
             Some(owner) if owner == self.me => false,
-            Some(owner) if !suspicion.is_live(owner) => true,
-            Some(_) => of.phase() == Phase::Claimed && self.is_stuck(now, shard),
+            Some(owner) if !detector.is_live(owner) => true,
+            Some(_) => ownership.phase() == Phase::Claimed && self.is_stuck(now, shard),
         }
     }
 
     fn is_stuck(&self, now: Time, shard: ShardId) -> bool {
-        self.claims.get(&shard).is_some_and(|seen| now >= seen.since + STUCK_AFTER)
+        self.claims.get(&shard).is_some_and(|claim| now >= claim.since + STUCK_AFTER)
     }
 
-    fn delay(&self, shard: ShardId, of: &ShardState, suspicion: &Suspicion) -> Duration {
+    fn claim_delay(
+        &self,
+        shard: ShardId,
+        ownership: &ShardState,
+        detector: &FailureDetector,
+    ) -> Duration {
         let mine = rendezvous_score(shard, self.me);
-        let better = suspicion
+        let better_ranked = detector
             .candidates()
             .iter()
-            .filter(|node| Some(**node) != of.owner() && rendezvous_score(shard, **node) > mine)
+            .filter(|node| {
+                Some(**node) != ownership.owner() && rendezvous_score(shard, **node) > mine
+            })
             .count();
-        // One that isn't meant to have shards comes after all that are.
-        let is_candidate = suspicion.candidates().contains(&self.me);
-        let better = if is_candidate { better } else { suspicion.candidates().len() };
-        let rank = RANK_DELAY * u32::try_from(better).unwrap_or(u32::MAX);
-        if suspicion.few_heard() { rank + FEW_HEARD_DELAY } else { rank }
+        // A process that is no candidate ranks after all candidates.
+        let is_candidate = detector.candidates().contains(&self.me);
+        let better_ranked = if is_candidate { better_ranked } else { detector.candidates().len() };
+        let rank_delay = RANK_DELAY * u32::try_from(better_ranked).unwrap_or(u32::MAX);
+        if detector.in_minority() { rank_delay + MINORITY_DELAY } else { rank_delay }
     }
 
     /// Whether any shard has had no settled owner for `limit`.
-    pub(crate) fn any_unserved_for(&self, now: Time, limit: Duration) -> bool {
-        let long = |since: &Time| now.since(*since) >= limit;
-        self.orphan_since.values().any(long) || self.claims.values().any(|seen| long(&seen.since))
+    pub(crate) fn any_without_owner_for(&self, now: Time, limit: Duration) -> bool {
+        let exceeds_limit = |since: &Time| now.since(*since) >= limit;
+        self.orphan_since.values().any(exceeds_limit)
+            || self.claims.values().any(|claim| exceeds_limit(&claim.since))
     }
 
-    /// How many shards this process is taking over.
+    /// Number of shards that this process is taking over.
     pub(crate) fn takeovers(&self) -> usize {
         self.takeovers.len()
     }
 }
 
-/// The process that the shard would go to if all were free: the one with the highest score.
+/// The preferred owner of the shard: the candidate with the highest score.
 pub(crate) fn preferred(shard: ShardId, candidates: &[NodeId]) -> Option<NodeId> {
     candidates.iter().copied().max_by_key(|node| rendezvous_score(shard, *node))
 }
--- a/crates/control/src/state/config.rs
+++ b/crates/control/src/state/config.rs
@@ -1,4 +1,4 @@
-//! Which configuration is accepted.
+//! The accepted configuration.
 
 use {
     crate::{
@@ -11,63 +11,63 @@
     std::collections::VecDeque,
 };
 
-/// Checks a document; a pure function, the same in every process, or they would disagree on what
-/// is in force. The error lists the faults for the operator.
+/// Validates a document. Must be a pure function that is the same in every process, or they would
+/// disagree on the configuration. The error lists the faults.
 pub type Validator = dyn Fn(&str) -> Result<ConfigDocument, CompactString> + Send + Sync;
 
-/// How many decisions are remembered, so that one who appended a proposal twice hears of the
-/// first. A second copy is void in any case, for its base.
-const DECISIONS_KEPT: usize = 64;
+/// Maximum number of decisions kept. A proposal that is appended again within this window gets its
+/// first decision; a later copy is void because of its base.
+const MAX_DECISIONS: usize = 64;
 
 /// An accepted configuration.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedConfig {
     /// Its version.
     pub version: ConfigVersion,
-    /// Who proposed it.
+    /// Name of the operator.
     pub by: CompactString,
     /// The document.
     pub text: String,
 }
 
-/// What became of a proposal.
+/// The result of a proposal.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Decision {
-    /// It is the version named.
+    /// It is accepted as this version.
     Accepted(ConfigVersion),
-    /// It named another base than the version that was current then.
+    /// Its base isn't the version that was current, which is this one.
     Outdated(ConfigVersion),
     /// The document has faults.
     Invalid(CompactString),
 }
 
-/// The configuration's part of the fold.
+/// The configuration part of the control state.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ConfigState {
-    current: Accepted,
-    decided: VecDeque<(ProposalId, Decision)>,
+    current: AcceptedConfig,
+    decisions: VecDeque<(ProposalId, Decision)>,
     #[serde(skip)]
     pub(super) skip_base_check: bool,
 }
 
 impl ConfigState {
     /// The accepted configuration; version zero if there is none.
-    pub fn current(&self) -> &Accepted {
+    pub fn current(&self) -> &AcceptedConfig {
         &self.current
     }
 
-    /// What became of a proposal of late.
+    /// The decision on a recent proposal.
     pub fn decision(&self, id: ProposalId) -> Option<&Decision> {
-        self.decided.iter().find(|(of, _)| *of == id).map(|(_, decision)| decision)
+        self.decisions.iter().find(|(decided, _)| *decided == id).map(|(_, decision)| decision)
     }
 
-    /// Two operators who change the same version race: the first in the log wins, and the second
-    /// is void for everyone. Without that the second would undo the first unseen.
+    /// Of two proposals with the same base, the first in the log is accepted and the second is
+    /// void, or it would silently overwrite the first.
     pub(super) fn propose(
         &mut self,
         id: ProposalId,
         base: ConfigVersion,
-        accepted: Accepted,
+        accepted: AcceptedConfig,
         validator: &Validator,
     ) -> Changes {
         if self.decision(id).is_some() {
@@ -81,14 +81,14 @@
         } else {
             let version = accepted.version;
             self.current = accepted;
-            changes.push(Change::Accepted(version));
+            changes.push(Change::ConfigAccepted(version));
             Decision::Accepted(version)
         };
-        self.decided.push_back((id, decision.clone()));
-        if self.decided.len() > DECISIONS_KEPT {
-            self.decided.pop_front();
+        self.decisions.push_back((id, decision.clone()));
+        if self.decisions.len() > MAX_DECISIONS {
+            self.decisions.pop_front();
         }
-        changes.push(Change::Decided(id, decision));
+        changes.push(Change::ProposalDecided(id, decision));
         changes
     }
 }
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -1,10 +1,10 @@
-//! What the control stream says: a pure fold over its records.
+//! The control state: a pure fold over the records of the control stream.
 
 mod config;
 mod shards;
 
 pub use crate::state::{
-    config::{Accepted, ConfigState, Decision, Validator},
+    config::{AcceptedConfig, ConfigState, Decision, Validator},
     shards::{Phase, ShardState},
 };
 
@@ -16,43 +16,42 @@
     std::collections::BTreeMap,
 };
 
-/// What a record changed.
+/// A change made by a record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// A process was added, or joined again.
+    /// A process joined, or joined again.
     Joined(NodeId),
     /// A process was removed.
     Left(NodeId),
     /// A shard has a new claimant.
     Claimed(NodeId, ShardEpoch),
-    /// A shard's claimant may act.
+    /// A shard's claimant became its owner.
     Settled(NodeId, ShardEpoch),
-    /// A shard's owner gave it up.
+    /// A shard's owner released it.
     Released(NodeId, ShardEpoch),
-    /// Some processes are asked to show that they are there.
+    /// Some processes must confirm that they are alive.
     LivenessCheck {
-        /// Who asks.
+        /// The process that asks.
         by: NodeId,
-        /// Who is asked.
-        of: SmallVec<[NodeId; 4]>,
+        /// The processes to confirm.
+        nodes: SmallVec<[NodeId; 4]>,
     },
     /// A configuration was accepted.
-    Accepted(ConfigVersion),
+    ConfigAccepted(ConfigVersion),
     /// A proposal was decided.
-    Decided(ProposalId, Decision),
+    ProposalDecided(ProposalId, Decision),
 }
 
-/// What one record changed, mostly one thing.
+/// The changes made by one record, usually one.
 pub type Changes = SmallVec<[Change; 2]>;
 
-/// The fold of the control stream up to some offset. Two processes that folded the same records
-/// hold equal states.
+/// The control state up to some offset. Processes that folded the same records hold equal states.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ControlState {
     members: BTreeMap<NodeId, NodeInfo>,
     shards: Vec<ShardState>,
     config: ConfigState,
-    marks: BTreeMap<NodeId, Offset>,
+    low_water_marks: BTreeMap<NodeId, Offset>,
 }
 
 impl Default for ControlState {
@@ -61,7 +60,7 @@
             members: BTreeMap::new(),
             shards: vec![ShardState::default(); usize::from(SHARD_COUNT)],
             config: ConfigState::default(),
-            marks: BTreeMap::new(),
+            low_water_marks: BTreeMap::new(),
         }
     }
 }
@@ -79,14 +78,16 @@
             ControlRecord::Leave { node } => self.leave(*node),
             ControlRecord::Claim { owner, shards } => self.claim(*owner, shards),
             ControlRecord::Settled { owner, shards } => self.settle(*owner, shards),
-            ControlRecord::Release { owner, shards } => self.each(shards, |state, epoch| {
-                state.release(*owner, epoch.epoch).then_some(Change::Released(*owner, epoch))
-            }),
-            ControlRecord::LivenessCheck { by, of } => {
-                SmallVec::from_iter([Change::LivenessCheck { by: *by, of: of.clone() }])
+            ControlRecord::Release { owner, shards } => {
+                self.update_shards(shards, |state, epoch| {
+                    state.release(*owner, epoch.epoch).then_some(Change::Released(*owner, epoch))
+                })
+            }
+            ControlRecord::LivenessCheck { by, nodes } => {
+                SmallVec::from_iter([Change::LivenessCheck { by: *by, nodes: nodes.clone() }])
             }
             ControlRecord::Propose { id, base, by, document } => {
-                let accepted = Accepted {
+                let accepted = AcceptedConfig {
                     version: ConfigVersion::of_offset(offset),
                     by: by.clone(),
                     text: document.clone(),
@@ -94,30 +95,30 @@
                 self.config.propose(*id, *base, accepted, validator)
             }
             ControlRecord::LowWaterMark { owner, from } => {
-                self.mark(*owner, *from);
+                self.raise_low_water_mark(*owner, *from);
                 Changes::new()
             }
-            // Readers that hold the state need no snapshot of it.
+            // A snapshot holds nothing that this state doesn't.
             ControlRecord::Snapshot { .. } => Changes::new(),
         }
     }
 
-    /// The processes that take part, by id.
+    /// All members, by id.
     pub fn members(&self) -> impl Iterator<Item = &NodeInfo> {
         self.members.values()
     }
 
-    /// The processes that may own shards, by id.
+    /// The members that may own shards, by id.
     pub fn schedulers(&self) -> impl Iterator<Item = &NodeInfo> {
         self.members().filter(|info| info.role == Role::Scheduler)
     }
 
-    /// The process of the id, if it takes part.
+    /// The member with this id.
     pub fn member(&self, node: NodeId) -> Option<&NodeInfo> {
         self.members.get(&node)
     }
 
-    /// One shard.
+    /// The state of a shard.
     pub fn shard(&self, shard: ShardId) -> &ShardState {
         &self.shards[usize::from(shard.0 % SHARD_COUNT)]
     }
@@ -127,7 +128,7 @@
         (0..).map(ShardId).zip(&self.shards)
     }
 
-    /// The process that acts for the shard: its settled owner, if that still takes part.
+    /// The process that acts for the shard: its settled owner, if it is still a member.
     pub fn owner_of(&self, shard: ShardId) -> Option<&NodeInfo> {
         let state = self.shard(shard);
         if state.phase() != Phase::Settled {
@@ -136,9 +137,9 @@
         self.member(state.owner()?)
     }
 
-    /// Where to begin in the journal of a predecessor.
+    /// The offset from which to read a predecessor's journal.
     pub fn journal_start(&self, node: NodeId) -> Offset {
-        self.marks.get(&node).copied().unwrap_or_default()
+        self.low_water_marks.get(&node).copied().unwrap_or_default()
     }
 
     /// The configuration.
@@ -146,18 +147,18 @@
         &self.config
     }
 
-    /// For tests of the checker only: accepts proposals on any base.
+    /// Accepts proposals on any base. Only for tests of the checker.
     #[doc(hidden)]
     pub fn without_base_check(&mut self) {
         self.config.skip_base_check = true;
     }
 
-    /// The state as the body of a [`ControlRecord::Snapshot`].
+    /// Encodes the state as the body of a [`ControlRecord::Snapshot`].
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_extend(self, Vec::new()).unwrap_or_default()
     }
 
-    /// Reads the body of a [`ControlRecord::Snapshot`]; `None` for a broken one.
+    /// Decodes the body of a [`ControlRecord::Snapshot`]; `None` if it is invalid.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let state: ControlState = postcard::from_bytes(bytes).ok()?;
         (state.shards.len() == usize::from(SHARD_COUNT)).then_some(state)
@@ -172,38 +173,39 @@
         self.members.remove(&node).map(|info| Change::Left(info.node)).into_iter().collect()
     }
 
-    /// A claim by a process that doesn't take part is void: nobody would know where to reach it.
+    /// A claim by a process that isn't a member is void, since its address is unknown.
     fn claim(&mut self, owner: NodeId, shards: &[ShardEpoch]) -> Changes {
         if self.member(owner).is_none_or(|info| info.role != Role::Scheduler) {
             return Changes::new();
         }
-        self.each(shards, |state, epoch| {
+        self.update_shards(shards, |state, epoch| {
             state.claim(owner, epoch.epoch).then_some(Change::Claimed(owner, epoch))
         })
     }
 
     fn settle(&mut self, owner: NodeId, shards: &[ShardEpoch]) -> Changes {
-        let changes = self.each(shards, |state, epoch| {
+        let changes = self.update_shards(shards, |state, epoch| {
             state.settle(owner, epoch.epoch).then_some(Change::Settled(owner, epoch))
         });
-        // A mark is needed for as long as a shard's last entries are in that journal.
+        // A low-water mark is kept while the journal holds the last entries of a shard.
         let shards = &self.shards;
         let is_needed = |node: &NodeId| {
-            let of_node =
-                |of: &ShardState| of.last_settled().is_some_and(|(last, _)| last == *node);
-            shards.iter().any(of_node)
+            let settled_by_node = |ownership: &ShardState| {
+                ownership.last_settled().is_some_and(|(last, _)| last == *node)
+            };
+            shards.iter().any(settled_by_node)
         };
-        self.marks.retain(|node, _| is_needed(node));
+        self.low_water_marks.retain(|node, _| is_needed(node));
         changes
     }
 
-    /// A late copy of an earlier mark changes nothing.
-    fn mark(&mut self, owner: NodeId, from: Offset) {
-        let mark = self.marks.entry(owner).or_default();
+    /// An earlier mark that arrives late changes nothing.
+    fn raise_low_water_mark(&mut self, owner: NodeId, from: Offset) {
+        let mark = self.low_water_marks.entry(owner).or_default();
         *mark = from.max(*mark);
     }
 
-    fn each(
+    fn update_shards(
         &mut self,
         shards: &[ShardEpoch],
         mut change: impl FnMut(&mut ShardState, ShardEpoch) -> Option<Change>,
--- a/crates/control/src/state/shards.rs
+++ b/crates/control/src/state/shards.rs
@@ -1,34 +1,34 @@
-//! Who owns one shard.
+//! Ownership of one shard.
 
 use {
     egretlb_types::{Epoch, NodeId},
     serde::{Deserialize, Serialize},
 };
 
-/// How far a shard's succession has come.
+/// The ownership phase of a shard.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Nobody has ever claimed it.
+    /// It was never claimed.
     #[default]
     Unowned,
-    /// Its owner waits and recovers; nobody acts for it.
+    /// The claimant waits and recovers the shard; no process acts for it.
     Claimed,
-    /// Its owner acts for it, while it has authority.
+    /// The owner acts for it while it has authority.
     Settled,
-    /// Its last owner gave it up.
+    /// The last owner released it.
     Released,
 }
 
-/// One shard in the fold.
+/// Ownership of one shard.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ShardState {
     epoch: Epoch,
     owner: Option<NodeId>,
     phase: Phase,
-    /// The last owner that settled, with its epoch: only its journal holds what was acknowledged.
+    /// The last settled owner and its epoch. Only its journal holds the acknowledged entries.
     settled: Option<(NodeId, Epoch)>,
-    /// The last settled owner may still have authority.
-    held: bool,
+    /// Whether the last settled owner may still have authority.
+    may_have_authority: bool,
 }
 
 impl ShardState {
@@ -42,25 +42,25 @@
         self.owner
     }
 
-    /// How far the succession has come.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The last owner that settled and its epoch: where a successor finds the shard's journal.
+    /// The last settled owner and its epoch, whose journal a successor reads.
     pub fn last_settled(&self) -> Option<(NodeId, Epoch)> {
         self.settled
     }
 
-    /// Whether a successor must wait: the last settled owner hasn't released the shard.
+    /// Whether a successor must wait because the last settled owner hasn't released the shard.
     ///
-    /// A claimant that dies or releases before it settled never had authority, so it doesn't
-    /// count: the wait is for the last one that had.
+    /// A claimant that never settled never had authority, so its failure or release changes
+    /// nothing.
     pub fn must_wait(&self) -> bool {
-        self.held
+        self.may_have_authority
     }
 
-    /// The first claim of the next epoch counts; one of any other epoch comes too late or twice.
+    /// Only the first claim of the next epoch is valid; any other is late or repeated.
     pub(super) fn claim(&mut self, owner: NodeId, epoch: Epoch) -> bool {
         let valid = epoch == self.epoch.next();
         if valid {
@@ -72,27 +72,27 @@
     }
 
     pub(super) fn settle(&mut self, owner: NodeId, epoch: Epoch) -> bool {
-        let valid = self.is_of(owner, epoch) && self.phase == Phase::Claimed;
+        let valid = self.is_claimed_by(owner, epoch) && self.phase == Phase::Claimed;
         if valid {
             self.phase = Phase::Settled;
             self.settled = Some((owner, epoch));
-            self.held = true;
+            self.may_have_authority = true;
         }
         valid
     }
 
     pub(super) fn release(&mut self, owner: NodeId, epoch: Epoch) -> bool {
-        let valid = self.is_of(owner, epoch);
+        let valid = self.is_claimed_by(owner, epoch);
         if valid {
             self.owner = None;
             self.phase = Phase::Released;
-            // Released before it was settled: an earlier owner may still have authority.
-            self.held &= self.settled != Some((owner, epoch));
+            // If the claimant never settled, an earlier owner may still have authority.
+            self.may_have_authority &= self.settled != Some((owner, epoch));
         }
         valid
     }
 
-    fn is_of(&self, owner: NodeId, epoch: Epoch) -> bool {
+    fn is_claimed_by(&self, owner: NodeId, epoch: Epoch) -> bool {
         self.owner == Some(owner) && self.epoch == epoch
     }
 }
