--- a/crates/control/src/reducer/maintenance.rs
+++ b/crates/control/src/reducer/maintenance.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StreamMaintenance {
     low_water_mark: Option<Offset>,
-    low_water_mark_at: Time,
+    next_mark_at: Time,
     retention: Duration,
     snapshot_at: Option<Time>,
     due_since: Option<Time>,
@@ -47,7 +47,7 @@
     pub(crate) fn new(retention: Duration) -> Self {
         StreamMaintenance {
             low_water_mark: None,
-            low_water_mark_at: Time::ZERO,
+            next_mark_at: Time::ZERO,
             retention,
             snapshot_at: None,
             due_since: None,
@@ -75,7 +75,7 @@
             return false;
         }
         let since = *self.due_since.get_or_insert(now);
-        now >= since + turn(me, live)
+        now >= since + turn_delay(me, live)
     }
 
     /// Sets the oldest offset of this process's journal that is still needed.
@@ -94,16 +94,16 @@
         state: &ControlState,
         owns: impl Fn(ShardId) -> bool,
     ) -> Option<Offset> {
-        let mark = self.low_water_mark.filter(|_| now >= self.low_water_mark_at)?;
+        let mark = self.low_water_mark.filter(|_| now >= self.next_mark_at)?;
         if mark.0 < state.journal_start(me).0 + MIN_LOW_WATER_MARK_ADVANCE {
             return None;
         }
-        let mine =
+        let settled_by_me =
             |ownership: &ShardState| ownership.last_settled().is_some_and(|(node, _)| node == me);
-        if state.shards().any(|(shard, ownership)| mine(ownership) && !owns(shard)) {
+        if state.shards().any(|(shard, ownership)| settled_by_me(ownership) && !owns(shard)) {
             return None;
         }
-        self.low_water_mark_at = now + LOW_WATER_MARK_INTERVAL;
+        self.next_mark_at = now + LOW_WATER_MARK_INTERVAL;
         Some(mark)
     }
 
@@ -116,15 +116,15 @@
         gossip: &Gossip,
         detector: &FailureDetector,
     ) -> Option<NodeId> {
-        let gone = |info: &&NodeInfo| {
+        let is_gone = |info: &&NodeInfo| {
             info.node != me && detector.is_gone_for(now, info, gossip, gone_after(info.role))
         };
-        let Some(gone) = state.members().find(gone) else {
+        let Some(gone) = state.members().find(is_gone) else {
             self.gone_since = None;
             return None;
         };
         let since = *self.gone_since.get_or_insert(now);
-        (now >= since + turn(me, detector.live())).then_some(gone.node)
+        (now >= since + turn_delay(me, detector.live())).then_some(gone.node)
     }
 }
 
@@ -135,7 +135,7 @@
     }
 }
 
-fn turn(me: NodeId, live: &[NodeId]) -> Duration {
+fn turn_delay(me: NodeId, live: &[NodeId]) -> Duration {
     let place = live.iter().filter(|node| **node < me).count();
     TURN_LENGTH * u32::try_from(place).unwrap_or(u32::MAX)
 }
--- a/crates/control/src/reducer/owned_shards.rs
+++ b/crates/control/src/reducer/owned_shards.rs
@@ -56,9 +56,10 @@
             self.remove(shard, out);
         }
         for (shard, ownership) in state.shards() {
-            let mine = ownership.owner() == Some(self.me) && ownership.phase() == Phase::Settled;
-            let new = !self.owned.contains_key(&shard) && !self.releasing.contains_key(&shard);
-            if mine && new {
+            let settled_here =
+                ownership.owner() == Some(self.me) && ownership.phase() == Phase::Settled;
+            let is_new = !self.owned.contains_key(&shard) && !self.releasing.contains_key(&shard);
+            if settled_here && is_new {
                 self.owned.insert(shard, ownership.epoch());
                 out.push(ControlEffect::ShardOwned { shard, epoch: ownership.epoch() });
             }
--- a/crates/control/src/reducer/succession.rs
+++ b/crates/control/src/reducer/succession.rs
@@ -97,13 +97,13 @@
 
     /// Drops a takeover that has settled, or that another claim replaced.
     fn drop_ended(&mut self, shard: ShardId, ownership: &ShardState, out: &mut Vec<ControlEffect>) {
-        let mine = ownership.owner() == Some(self.me);
-        if mine && ownership.phase() == Phase::Claimed {
+        let is_mine = ownership.owner() == Some(self.me);
+        if is_mine && ownership.phase() == Phase::Claimed {
             return;
         }
         let Some(takeover) = self.takeovers.remove(&shard) else { return };
         let settled =
-            mine && ownership.phase() == Phase::Settled && ownership.epoch() == takeover.epoch;
+            is_mine && ownership.phase() == Phase::Settled && ownership.epoch() == takeover.epoch;
         if !settled {
             out.push(ControlEffect::ShardLost { shard, epoch: takeover.epoch });
         }
@@ -251,12 +251,12 @@
         ownership: &ShardState,
         detector: &FailureDetector,
     ) -> Duration {
-        let mine = rendezvous_score(shard, self.me);
+        let own_score = rendezvous_score(shard, self.me);
         let better_ranked = detector
             .candidates()
             .iter()
             .filter(|node| {
-                Some(**node) != ownership.owner() && rendezvous_score(shard, **node) > mine
+                Some(**node) != ownership.owner() && rendezvous_score(shard, **node) > own_score
             })
             .count();
         // A process that is no candidate ranks after all candidates.
