--- a/crates/node/src/node/convert.rs
+++ b/crates/node/src/node/convert.rs
@@ -21,7 +21,7 @@
     version.map_or(ConfigVersion::NONE, ConfigVersion::of_offset)
 }
 
-pub(super) fn retry_later() -> RetryAfter {
+pub(super) fn default_retry_after() -> RetryAfter {
     RetryAfter::from_wait(RETRY_DELAY)
 }
 
@@ -59,7 +59,7 @@
         },
         JobReply::AskAgain { after } => SubmitAnswer::Unavailable { retry_after: after },
         JobReply::Cancelled { .. } | JobReply::Status(_) => {
-            SubmitAnswer::Unavailable { retry_after: retry_later() }
+            SubmitAnswer::Unavailable { retry_after: default_retry_after() }
         }
     }
 }
@@ -70,11 +70,11 @@
         JobReply::Status(status) if status.over => CancelAnswer::Ended,
         JobReply::Refused(JobRefusal::NoSuchJob) => CancelAnswer::NotFound,
         JobReply::Refused(refusal) => CancelAnswer::Unavailable {
-            retry_after: refusal_retry_after(&refusal).unwrap_or(retry_later()),
+            retry_after: refusal_retry_after(&refusal).unwrap_or(default_retry_after()),
         },
         JobReply::AskAgain { after } => CancelAnswer::Unavailable { retry_after: after },
         JobReply::Accepted { .. } | JobReply::Status(_) => {
-            CancelAnswer::Unavailable { retry_after: retry_later() }
+            CancelAnswer::Unavailable { retry_after: default_retry_after() }
         }
     }
 }
@@ -84,11 +84,11 @@
         JobReply::Status(status) => JobAnswer::Found { job: job_status(status) },
         JobReply::Refused(JobRefusal::NoSuchJob) => JobAnswer::NotFound,
         JobReply::Refused(refusal) => JobAnswer::Unavailable {
-            retry_after: refusal_retry_after(&refusal).unwrap_or(retry_later()),
+            retry_after: refusal_retry_after(&refusal).unwrap_or(default_retry_after()),
         },
         JobReply::AskAgain { after } => JobAnswer::Unavailable { retry_after: after },
         JobReply::Accepted { .. } | JobReply::Cancelled { .. } => {
-            JobAnswer::Unavailable { retry_after: retry_later() }
+            JobAnswer::Unavailable { retry_after: default_retry_after() }
         }
     }
 }
--- a/crates/node/src/node/core.rs
+++ b/crates/node/src/node/core.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        convert::{base_of, retry_later, spec_of, version_of},
+        convert::{base_of, default_retry_after, spec_of, version_of},
         event::{CallTicket, Delivery, NodeEffect, OperatorReply, OperatorRequest},
         job_calls::{CallReply, JobCalls},
         notice::Notice,
@@ -124,7 +124,7 @@
 
     fn proposal_decided(&mut self, id: ProposalId, outcome: ProposalOutcome, out: &mut Outbox) {
         let Some(proposal) = self.proposals.remove(&id) else { return };
-        let unavailable = ProposeAnswer::Unavailable { retry_after: retry_later() };
+        let unavailable = ProposeAnswer::Unavailable { retry_after: default_retry_after() };
         let answer = match outcome {
             ProposalOutcome::Accepted { version } => match version_of(version) {
                 Some(version) => ProposeAnswer::Accepted { version },
@@ -277,7 +277,7 @@
         self.job_calls.timed_out(now).into_iter().for_each(|call_reply| reply(call_reply, out));
         let expired = self.proposals.extract_if(.., |_, proposal| now >= proposal.until);
         for (_, proposal) in expired {
-            let answer = ProposeAnswer::Unavailable { retry_after: retry_later() };
+            let answer = ProposeAnswer::Unavailable { retry_after: default_retry_after() };
             let reply = OperatorReply::Propose(answer);
             out.effects.push(NodeEffect::Reply { call: proposal.call, reply });
         }
--- a/crates/node/src/node/job_calls.rs
+++ b/crates/node/src/node/job_calls.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        convert::{cancel_answer, job_answer, retry_later, submit_answer},
+        convert::{cancel_answer, default_retry_after, job_answer, submit_answer},
         event::{CallTicket, OperatorReply},
     },
     crate::peer::JobRequest,
@@ -44,7 +44,7 @@
     }
 
     fn unavailable(self) -> OperatorReply {
-        let retry_after = retry_later();
+        let retry_after = default_retry_after();
         match self {
             CallKind::Submit => OperatorReply::Submit(SubmitAnswer::Unavailable { retry_after }),
             CallKind::Cancel => OperatorReply::Cancel(CancelAnswer::Unavailable { retry_after }),
