--- a/crates/relay/src/assignment.rs
+++ b/crates/relay/src/assignment.rs
@@ -11,8 +11,8 @@
     },
 };
 
-/// Target number of workers per relay. At three calls a second per task slot, this takes a quarter of the
-/// processor time of a VM with an eighth of a core.
+/// Target number of workers per relay, such that relaying takes about a quarter of the CPU time of a VM with an
+/// eighth of a core.
 pub const WORKERS_PER_RELAY: usize = 64;
 
 /// Minimum number of workers for which relays are used. A relayed call takes a few milliseconds longer.
@@ -36,8 +36,9 @@
 /// hundreds of short-lived connections. Followers detect a new leader within 150 ms.
 const OFFER_WAIT: Duration = Duration::from_millis(250);
 
-/// Number of workers that a relay may have above its share before they are reassigned.
-const SHARE_SLACK: usize = 8;
+/// Number of workers by which a relay may exceed an equal distribution. Beyond it, workers move to another relay at
+/// their next call.
+const MAX_EXCESS_WORKERS: usize = 8;
 
 /// A relay's number in the leader's term.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -75,16 +76,22 @@
 #[derive(Debug)]
 struct Relay {
     data_centre: CompactString,
-    workers: usize,
+    /// Number of workers assigned to it.
+    worker_count: usize,
     /// Start of the window over which calls are counted.
     window_started: Time,
+    /// Number of answered calls in the window.
     answered: u32,
+    /// Number of unanswered calls in the window.
     unanswered: u32,
 }
 
+/// How a worker is called.
 #[derive(Debug, Default)]
-struct AssignedWorker {
+struct WorkerState {
+    /// The relay that it is assigned to.
     relay: Option<RelayNo>,
+    /// Number of successive unanswered calls.
     unanswered: u32,
     direct_until: Option<Time>,
 }
@@ -94,7 +101,7 @@
 pub struct Assignment {
     started: Time,
     relays: BTreeMap<RelayNo, Relay>,
-    workers: HashMap<WorkerId, AssignedWorker>,
+    workers: HashMap<WorkerId, WorkerState>,
 }
 
 impl Assignment {
@@ -106,7 +113,7 @@
     /// Adds a relay.
     pub fn add_relay(&mut self, now: Time, number: RelayNo, data_centre: CompactString) {
         let relay =
-            Relay { data_centre, workers: 0, window_started: now, answered: 0, unanswered: 0 };
+            Relay { data_centre, worker_count: 0, window_started: now, answered: 0, unanswered: 0 };
         self.relays.insert(number, relay);
     }
 
@@ -115,19 +122,19 @@
         self.relays.remove(&number);
         for assigned in self.workers.values_mut() {
             if assigned.relay == Some(number) {
-                *assigned = AssignedWorker::default();
+                *assigned = WorkerState::default();
             }
         }
     }
 
     /// Number of relays.
-    pub fn relays(&self) -> usize {
+    pub fn relay_count(&self) -> usize {
         self.relays.len()
     }
 
     /// Number of workers assigned to a relay.
     pub fn worker_count(&self, number: RelayNo) -> usize {
-        self.relays.get(&number).map_or(0, |relay| relay.workers)
+        self.relays.get(&number).map_or(0, |relay| relay.worker_count)
     }
 
     /// Removes the workers for which `is_known` is false.
@@ -137,13 +144,14 @@
             let keep = is_known(id);
             if !keep && let Some(relay) = assigned.relay.and_then(|number| relays.get_mut(&number))
             {
-                relay.workers -= 1;
+                relay.worker_count -= 1;
             }
             keep
         });
     }
 
-    /// Decides how to call a worker, and assigns it to a relay if needed. `worker_total` is the size of the fleet.
+    /// Decides how to call a worker in `data_centre`, and assigns it to a relay if needed. `worker_total` is the size
+    /// of the fleet.
     pub fn route(
         &mut self,
         now: Time,
@@ -166,19 +174,20 @@
         if assigned.direct_until.is_some_and(|until| now < until) {
             return Route::Direct;
         }
-        let share = worker_total.div_ceil(self.relays.len()) + SHARE_SLACK;
+        let max_workers = worker_total.div_ceil(self.relays.len()) + MAX_EXCESS_WORKERS;
         if let Some(number) = assigned.relay {
-            let overloaded = self.relays.get(&number).is_some_and(|relay| relay.workers > share);
+            let overloaded =
+                self.relays.get(&number).is_some_and(|relay| relay.worker_count > max_workers);
             if !overloaded {
                 return Route::Via(number);
             }
             if let Some(relay) = self.relays.get_mut(&number) {
-                relay.workers -= 1;
+                relay.worker_count -= 1;
             }
         }
         assigned.relay = Some(least_loaded);
         if let Some(relay) = self.relays.get_mut(&least_loaded) {
-            relay.workers += 1;
+            relay.worker_count += 1;
         }
         Route::Via(least_loaded)
     }
@@ -186,14 +195,15 @@
     /// The least loaded relay, preferring the given data centre unless all relays there are full.
     fn least_loaded(&self, data_centre: &str) -> Option<RelayNo> {
         let rank = |(_, relay): &(&RelayNo, &Relay)| {
-            let full = relay.workers >= WORKERS_PER_RELAY;
-            (full, !full && relay.data_centre != data_centre, relay.workers)
+            let full = relay.worker_count >= WORKERS_PER_RELAY;
+            (full, !full && relay.data_centre != data_centre, relay.worker_count)
         };
         self.relays.iter().min_by_key(rank).map(|(number, _)| *number)
     }
 
-    /// Counts a call through a relay as answered or not. Returns a reason if the relay is to be removed.
-    pub fn record_answer(
+    /// Counts a call through a relay as answered or not. After several unanswered calls the worker is called directly
+    /// for a while. Returns a reason if the relay is to be removed.
+    pub fn record_call(
         &mut self,
         now: Time,
         number: RelayNo,
--- a/crates/relay/src/codec.rs
+++ b/crates/relay/src/codec.rs
@@ -1,7 +1,8 @@
 //! Encoding of the frames between a leader and a relay.
 //!
-//! A worker and a payload are sent in full once. Later frames refer to the worker by number and to the payload
-//! by workflow, so both ends keep identical tables.
+//! The leader declares a worker or a payload by sending it in full. Later frames refer to the worker by number and to
+//! the payload by workflow, and lists of runs are sent as differences from the last one. Both ends therefore keep
+//! identical tables.
 
 use {
     crate::{
@@ -53,12 +54,15 @@
 
 impl std::error::Error for CodecError {}
 
+/// An element of a leader's frame: a declaration or a call. The fields are those of [`Call`].
 #[derive(Debug, Serialize, Deserialize)]
 enum Command {
+    /// Declares a worker under the next number.
     Worker {
         id: WorkerId,
         addr: SocketAddr,
     },
+    /// Declares the payload of a workflow.
     Payload {
         workflow: WorkflowId,
         payload: CompactString,
@@ -95,18 +99,22 @@
     epoch: Epoch,
     /// Expiry of the calls, on the relay's clock in milliseconds.
     until_ms: u64,
-    /// Number of the first call; the others are numbered consecutively.
+    /// Number of the first call; the others are numbered consecutively, without the declarations.
     first: CallNo,
     commands: Vec<Command>,
 }
 
+/// The encoded form of an [`Answer`].
 #[derive(Debug, Serialize, Deserialize)]
 enum Report {
     PollReply {
         worker: WorkerNo,
+        /// The worker's clock in milliseconds.
         clock_ms: u64,
+        /// The runs in progress, relative to the worker's last list.
         rows: Vec<Row>,
         ended: Vec<End>,
+        /// `None` if all rows are readable.
         unreadable: Option<UnreadableRows>,
     },
     PollFailure(PollFailure),
@@ -131,7 +139,8 @@
     reports: Vec<(CallNo, Report)>,
 }
 
-/// The newest payloads. Both ends insert and evict in the same order.
+/// The payloads of the workflows declared last. Both ends insert and evict in the same order; a payload that replaces
+/// another keeps its place.
 #[derive(Debug, Default)]
 struct Payloads {
     by_workflow: HashMap<WorkflowId, CompactString>,
@@ -155,10 +164,12 @@
 #[derive(Debug, Default)]
 pub struct LeaderCodec {
     workers: HashMap<WorkerId, (WorkerNo, SocketAddr)>,
-    /// The last list of runs of each declared worker.
+    /// The last list of runs of each declared worker, by [`WorkerNo`].
     running_lists: Vec<Vec<RunningTask>>,
     payloads: Payloads,
+    /// Number of the next call.
     next_number: u32,
+    /// Number of the first call in the next frame.
     first_number: u32,
     commands: Vec<Command>,
 }
@@ -192,6 +203,7 @@
         self.workers.contains_key(id)
     }
 
+    /// Returns the worker's number. Declares it first if it is new or has another address, under a new number.
     fn declare_worker(&mut self, id: &WorkerId, addr: SocketAddr) -> WorkerNo {
         if let Some((number, known_addr)) = self.workers.get(id)
             && *known_addr == addr
@@ -205,6 +217,7 @@
         number
     }
 
+    /// Declares the workflow's payload if the relay doesn't have it.
     fn declare_payload(&mut self, workflow: WorkflowId, payload: CompactString) {
         if self.payloads.by_workflow.get(&workflow) != Some(&payload) {
             self.payloads.insert(workflow, payload.clone());
@@ -268,7 +281,9 @@
 /// The relay's end of a connection.
 #[derive(Debug, Default)]
 pub struct RelayCodec {
+    /// The declared workers, by [`WorkerNo`].
     workers: Vec<(WorkerId, SocketAddr)>,
+    /// The last list of runs of each, by [`WorkerNo`].
     running_lists: Vec<Vec<RunningTask>>,
     payloads: Payloads,
     /// The workers of unanswered polls.
--- a/crates/relay/tests/assignment.rs
+++ b/crates/relay/tests/assignment.rs
@@ -119,7 +119,7 @@
         let now = settled() + Duration::from_millis(100) * number;
         let route = assignment.route(now, &worker(number as usize * 5), "dc", 300);
         assert_eq!(route, Route::Via(RelayNo(0)));
-        removal = removal.or(assignment.record_answer(
+        removal = removal.or(assignment.record_call(
             now,
             RelayNo(0),
             &worker(number as usize * 5),
@@ -136,7 +136,7 @@
     for number in 0..60 {
         let now = settled() + Duration::from_millis(10) * number as u32;
         let answered = number % 5 != 0;
-        assert_eq!(assignment.record_answer(now, RelayNo(0), &worker(number * 5), answered), None);
+        assert_eq!(assignment.record_call(now, RelayNo(0), &worker(number * 5), answered), None);
     }
 }
 
@@ -147,7 +147,7 @@
     let (now, id) = (settled(), worker(5));
     assert_eq!(assignment.route(now, &id, "dc", 300), Route::Via(RelayNo(0)));
     for _ in 0..2 {
-        assert_eq!(assignment.record_answer(now, RelayNo(0), &id, false), None);
+        assert_eq!(assignment.record_call(now, RelayNo(0), &id, false), None);
     }
     assert_eq!(assignment.route(now + SECOND, &id, "dc", 300), Route::Direct);
     assert_eq!(assignment.route(now + 6 * SECOND, &id, "dc", 300), Route::Via(RelayNo(0)));
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -57,15 +57,15 @@
     pub limits: Limits,
 }
 
-/// Delay before a follower claims leadership, in thousandths of the takeover spread: 0 to 999 for VMs fit to lead. It
-/// grows as the CPU share shrinks; a random part separates VMs of equal share.
+/// Delay before a follower claims leadership, in thousandths of [`Limits::takeover_spread`]: less than 1,000 for VMs
+/// fit to lead. It grows as the CPU share shrinks; a random part separates VMs of equal share.
 fn claim_rank(options: &NodeOptions) -> u32 {
     let mut hasher = DefaultHasher::new();
     options.incarnation.hash(&mut hasher);
     let jitter = u32::try_from(hasher.finish() % u64::from(JITTER_RANGE)).unwrap_or(0);
-    let cpu_penalty = FULL_RANK_MILLICORES.saturating_sub(options.cpu_millicores)
+    let cpu_penalty = NO_CPU_PENALTY_MILLICORES.saturating_sub(options.cpu_millicores)
         * (999 - JITTER_RANGE)
-        / FULL_RANK_MILLICORES;
+        / NO_CPU_PENALTY_MILLICORES;
     let unfit_penalty =
         if options.cpu_millicores < MIN_LEADER_MILLICORES { UNFIT_RANK_PENALTY } else { 0 };
     cpu_penalty + jitter + unfit_penalty
@@ -75,12 +75,12 @@
 /// decided, possibly after the cancellation of their workflows was acknowledged.
 const MIN_LEADER_MILLICORES: u32 = 200;
 
-/// Rank added for VMs below [`MIN_LEADER_MILLICORES`], in thousandths of the takeover spread: 1.6 s, or half of that
-/// after a leader that released its term. It exceeds the differences in read delay of a slow store.
+/// Rank added for VMs below [`MIN_LEADER_MILLICORES`], in thousandths of [`Limits::takeover_spread`]. Long enough
+/// that VMs fit to lead claim first, even if a slow store delays their reads.
 const UNFIT_RANK_PENALTY: u32 = 4_000;
 
 /// CPU share from which VMs are equally fit to lead, in thousandths of a core.
-const FULL_RANK_MILLICORES: u32 = 500;
+const NO_CPU_PENALTY_MILLICORES: u32 = 500;
 
 /// Size of the random part of the rank.
 const JITTER_RANGE: u32 = 300;
@@ -94,10 +94,11 @@
     }
 }
 
-/// A node.
+/// A node: follows the store's topics, serves clients, and runs the scheduler while this process leads.
 pub struct Node {
     pub(crate) core: Rc<RefCell<Core>>,
     pub(crate) store: Rc<dyn Store>,
+    /// The workers, called through [`Node::relays`].
     pub(crate) workers: Rc<dyn Workers>,
     pub(crate) relays: Rc<Relays>,
     pub(crate) advisor: Rc<dyn Advisor>,
@@ -107,6 +108,7 @@
     cpu_millicores: u32,
     formats: Rc<dyn Formats>,
     pub(crate) appender: Rc<Appender>,
+    /// Sends clients' records to the leader.
     pub(crate) leader: LeaderClient,
     pub(crate) metrics: WorkflowMetrics,
     /// Clients' records to include in the leader's next append.
@@ -120,7 +122,9 @@
     bad_entries: RefCell<BadEntryLog>,
     pub(crate) clock: Clock,
     pub(crate) command_slots: CommandSlots,
-    wake: Notify,
+    /// Ends the pause of the tick loop.
+    end_pause: Notify,
+    /// Waits for records to be read.
     pub(crate) watch: Rc<RecordWatch>,
 }
 
@@ -164,7 +168,7 @@
             bad_entries: RefCell::default(),
             clock,
             command_slots: CommandSlots::default(),
-            wake: Notify::new(),
+            end_pause: Notify::new(),
             watch,
         })
     }
@@ -205,7 +209,7 @@
     }
 
     /// Sets the address at which this process takes followers' records when it leads.
-    pub(crate) fn listen_at(&self, addr: SocketAddr) {
+    pub(crate) fn set_listen_addr(&self, addr: SocketAddr) {
         self.core.borrow_mut().leadership.listen_at(addr);
     }
 
@@ -224,11 +228,12 @@
         true
     }
 
+    /// Whether this process runs the scheduler; unlike [`Node::has_authority`], also while its authority has expired.
     pub(crate) fn leads(&self) -> bool {
         self.core.borrow().scheduler.is_some()
     }
 
-    /// Spawns the background tasks: reading topics, appending, relaying, ticking.
+    /// Spawns the background tasks: reading topics, appending, offering to be a relay, ticking.
     pub(crate) fn spawn(self: &Rc<Self>) {
         for topic in [Topic::Operator, Topic::Work, Topic::Directory] {
             spawn_local(crate::follow::follow(Rc::clone(self), topic));
@@ -242,7 +247,7 @@
         loop {
             let pause = if self.leads() { LEADER_TICK } else { FOLLOWER_TICK };
             // A wake and the end of the pause have the same effect.
-            let _ = timeout(pause, self.wake.notified()).await;
+            let _ = timeout(pause, self.end_pause.notified()).await;
             let wall_ms = self.clock.wall_ms();
             self.step_without_wake(|core, now, out| core.tick(now, wall_ms, out));
             self.update_metrics();
@@ -279,7 +284,7 @@
     pub(crate) fn step(self: &Rc<Self>, event: impl FnOnce(&mut Core, Time, &mut Effects)) {
         self.step_without_wake(event);
         if self.leads() {
-            self.wake.notify_one();
+            self.end_pause.notify_one();
         }
     }
 
@@ -295,12 +300,13 @@
         self.log_bad_entries(&out.bad_entries);
     }
 
-    /// Reports the unreadable entries and returns the value.
+    /// Logs the unreadable entries and returns the value.
     pub(crate) fn take_decoded<T>(&self, decoded: Decoded<T>) -> T {
         self.log_bad_entries(&decoded.bad);
         decoded.value
     }
 
+    /// Logs and counts unreadable entries; repeated ones at a limited rate.
     pub(crate) fn log_bad_entries(&self, bad: &[BadEntry]) {
         let now = self.clock.now();
         for entry in bad {
@@ -315,15 +321,17 @@
         }
     }
 
+    /// Handles a complete load of the directory; `listed` are the workers in it.
     pub(crate) fn on_directory_loaded(self: &Rc<Self>, listed: &HashSet<WorkerId>) {
         self.step(|core, now, _| core.on_directory_loaded(now, listed));
     }
 
-    /// Handles the sending of a read of the work records.
+    /// Records when a read of the work topic was sent.
     pub(crate) fn on_read_sent(&self, now: Time) {
         self.core.borrow_mut().leadership.on_read_sent(now);
     }
 
+    /// Handles an answered read. One that didn't reach the end keeps the earlier `complete_until`.
     pub(crate) fn on_read_done(self: &Rc<Self>, topic: Topic, progress: ReadProgress) {
         if topic == Topic::Work {
             let core = &mut *self.core.borrow_mut();
@@ -383,7 +391,7 @@
             "elected"
         );
         for (number, (requested_at, wave)) in &core.waves {
-            // Subtracts the time since the request.
+            // `within` counts from when the operator's request was read.
             let within = wave.within.saturating_sub(now.since(*requested_at));
             let wave = Wave { within, ..wave.clone() };
             scheduler.on_wave(now, *number, Some(wave), &core.ledger);
@@ -391,7 +399,7 @@
         core.scheduler = Some(scheduler);
         self.relays.begin_term(epoch);
         self.metrics.elected();
-        self.wake.notify_one();
+        self.end_pause.notify_one();
     }
 
     async fn claim(self: Rc<Self>, append: Append) {
--- a/crates/runtime/src/relays/leader.rs
+++ b/crates/runtime/src/relays/leader.rs
@@ -36,7 +36,8 @@
 /// cancelled.
 const CALL_VALIDITY: Duration = Duration::from_millis(400);
 
-/// Timeout of a call, in addition to the wait that it requests. A relay's own timeout is 0.6 s.
+/// Timeout of a call, in addition to the wait that it requests. Longer than the relay's timeout of its HTTP request
+/// to the worker.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Timeout of the first frame of a connection.
@@ -48,7 +49,7 @@
 /// Maximum interval between routing attempts while a call waits for the first relays.
 const ROUTE_RETRY: Duration = Duration::from_millis(25);
 
-/// Interval at which absent workers are removed from the assignment.
+/// Interval at which workers that left the directory are removed from the assignment and missing relays replaced.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Status codes of declined offers.
@@ -64,10 +65,10 @@
     Closed,
     /// The relay sent no frame within [`UNRESPONSIVE_AFTER`].
     Unresponsive,
-    /// The relay sent a malformed frame.
+    /// The relay sent a frame that can't be decoded.
     Unreadable(CodecError),
-    /// This process removed the relay, or its term ended.
-    GivenUp,
+    /// This process closed the connection: it removed the relay, or its term ended.
+    ClosedByLeader,
 }
 
 impl fmt::Display for SessionEnd {
@@ -76,7 +77,7 @@
             SessionEnd::Closed => write!(f, "closed"),
             SessionEnd::Unresponsive => write!(f, "silent"),
             SessionEnd::Unreadable(error) => write!(f, "unreadable: {error}"),
-            SessionEnd::GivenUp => write!(f, "given up"),
+            SessionEnd::ClosedByLeader => write!(f, "given up"),
         }
     }
 }
@@ -91,10 +92,14 @@
     first_call_at: Cell<Time>,
     /// The relay's clock in milliseconds, and when it was read.
     relay_clock: Cell<(u64, Time)>,
-    pending: RefCell<HashMap<CallNo, oneshot::Sender<Answer>>>,
+    /// Where to send the answers to calls in progress.
+    answer_txs: RefCell<HashMap<CallNo, oneshot::Sender<Answer>>>,
+    /// Whether the relay is in use; false for a spare.
     used: Cell<bool>,
-    wake: Notify,
-    closing: Notify,
+    /// Notified when a frame is to be sent.
+    send_frame: Notify,
+    /// Notified when this process wants the connection closed.
+    close_requested: Notify,
 }
 
 impl Session {
@@ -111,7 +116,7 @@
             self.first_call_at.set(now);
         }
         let number = codec.add(worker, addr, call);
-        self.wake.notify_one();
+        self.send_frame.notify_one();
         number
     }
 }
@@ -135,17 +140,17 @@
 
 impl Term {
     /// Puts spare relays into use until `wanted` are used; returns whether any was added.
-    fn activate_wanted(&mut self, now: Time, wanted: usize) -> bool {
+    fn activate_spares(&mut self, now: Time, wanted: usize) -> bool {
         let mut added = false;
         for session in self.sessions.values().filter(|session| !session.used.get()) {
-            if self.assignment.relays() >= wanted {
+            if self.assignment.relay_count() >= wanted {
                 break;
             }
             session.used.set(true);
             // Sends an empty frame, which tells the relay that it is in use.
-            session.wake.notify_one();
+            session.send_frame.notify_one();
             self.assignment.add_relay(now, session.number, session.data_centre.clone());
-            log::info!(relay:% = session.name, used = self.assignment.relays(), wanted; "relay_used");
+            log::info!(relay:% = session.name, used = self.assignment.relay_count(), wanted; "relay_used");
             added = true;
         }
         added
@@ -157,7 +162,7 @@
     direct: Rc<dyn Workers>,
     core: Rc<RefCell<Core>>,
     term: RefCell<Option<Term>>,
-    /// Notified when a relay is put into use.
+    /// Notified when a new connection's relay is put into use.
     relay_added: Notify,
     clock: Clock,
 }
@@ -185,14 +190,14 @@
     pub(crate) fn end_term(&self) {
         let Some(term) = self.term.borrow_mut().take() else { return };
         for session in term.sessions.values() {
-            session.closing.notify_one();
-            session.pending.borrow_mut().clear();
+            session.close_requested.notify_one();
+            session.answer_txs.borrow_mut().clear();
         }
     }
 
     /// Number of relays in use.
     pub(crate) fn count(&self) -> usize {
-        self.term.borrow().as_ref().map_or(0, |term| term.assignment.relays())
+        self.term.borrow().as_ref().map_or(0, |term| term.assignment.relay_count())
     }
 
     /// The relays in use.
@@ -200,21 +205,23 @@
         let term = self.term.borrow();
         let Some(term) = &*term else { return Vec::new() };
         let used = term.sessions.values().filter(|session| session.used.get());
-        let to_row = |session: &Rc<Session>| UsedRelay {
+        let to_used_relay = |session: &Rc<Session>| UsedRelay {
             name: session.name.clone(),
             data_centre: session.data_centre.clone(),
             workers: term.assignment.worker_count(session.number),
         };
-        used.map(to_row).collect()
+        used.map(to_used_relay).collect()
     }
 
-    fn wanted(&self) -> usize {
+    /// Number of relays that the current directory requires.
+    fn wanted_relays(&self) -> usize {
         relays_wanted(self.core.borrow().directory.len())
     }
 
-    /// Answers an offer of a VM to be a relay.
+    /// Answers a VM's offer to be a relay. Declines it if enough relays and spares are connected, or if `upgrading` is
+    /// `None`: the request doesn't ask for the protocol.
     pub(crate) fn answer_offer(self: &Rc<Self>, upgrading: Option<Upgrading>) -> Response {
-        let wanted = self.wanted();
+        let wanted = self.wanted_relays();
         let term = self.term.borrow();
         let Some(term) = &*term else { return Response::empty(status::NOT_LEADER) };
         let spares = if wanted > 0 { MAX_SPARES } else { 0 };
@@ -233,14 +240,14 @@
         let Some(session) = self.register(epoch, hello) else { return };
         let end = tokio::select! {
             end = self.exchange(&session, frames, epoch) => end,
-            () = session.closing.notified() => SessionEnd::GivenUp,
+            () = session.close_requested.notified() => SessionEnd::ClosedByLeader,
         };
         self.close(epoch, &session, end);
     }
 
     fn register(&self, epoch: Epoch, hello: Hello) -> Option<Rc<Session>> {
         let now = self.clock.now();
-        let wanted = self.wanted();
+        let wanted = self.wanted_relays();
         let mut term = self.term.borrow_mut();
         let term = term.as_mut().filter(|term| term.epoch == epoch)?;
         let number = RelayNo(term.next_number);
@@ -252,13 +259,13 @@
             codec: RefCell::default(),
             first_call_at: Cell::new(now),
             relay_clock: Cell::new((hello.clock_ms, now)),
-            pending: RefCell::default(),
+            answer_txs: RefCell::default(),
             used: Cell::new(false),
-            wake: Notify::new(),
-            closing: Notify::new(),
+            send_frame: Notify::new(),
+            close_requested: Notify::new(),
         });
         term.sessions.insert(number, Rc::clone(&session));
-        if term.activate_wanted(now, wanted) {
+        if term.activate_spares(now, wanted) {
             self.relay_added.notify_waiters();
         }
         Some(session)
@@ -268,7 +275,7 @@
         let (mut sink, mut source) = frames.split();
         let write = async {
             loop {
-                session.wake.notified().await;
+                session.send_frame.notified().await;
                 let until_ms = session.until_ms();
                 let frame = session.codec.borrow_mut().next_frame(epoch, until_ms);
                 if sink.send(Bytes::from(frame)).await.is_err() {
@@ -278,19 +285,20 @@
             }
         };
         let read = async {
-            // A spare relay sends no frames.
-            let mut last_activity = None;
+            // A spare relay sends no frames. `None` until a frame is received, or a timeout ends while the relay is in
+            // use; the next timeout ends the connection.
+            let mut frames_due_since = None;
             loop {
                 let frame = match timeout(UNRESPONSIVE_AFTER, source.next()).await {
                     Ok(Some(Ok(frame))) => frame,
                     Ok(_) => return SessionEnd::Closed,
-                    Err(_) if last_activity.is_some() => return SessionEnd::Unresponsive,
+                    Err(_) if frames_due_since.is_some() => return SessionEnd::Unresponsive,
                     Err(_) => {
-                        last_activity = session.used.get().then(|| self.clock.now());
+                        frames_due_since = session.used.get().then(|| self.clock.now());
                         continue;
                     }
                 };
-                last_activity = Some(self.clock.now());
+                frames_due_since = Some(self.clock.now());
                 if let Err(error) = self.receive_answers(session, &frame) {
                     return SessionEnd::Unreadable(error);
                 }
@@ -305,9 +313,9 @@
     fn receive_answers(&self, session: &Session, frame: &[u8]) -> Result<(), CodecError> {
         let (clock_ms, answers) = session.codec.borrow_mut().read(frame)?;
         session.relay_clock.set((clock_ms, self.clock.now()));
-        let mut pending = session.pending.borrow_mut();
+        let mut answer_txs = session.answer_txs.borrow_mut();
         for (number, answer) in answers {
-            if let Some(tx) = pending.remove(&number) {
+            if let Some(tx) = answer_txs.remove(&number) {
                 // Fails if the call has timed out.
                 let _ = tx.send(answer);
             }
@@ -317,29 +325,30 @@
 
     fn close(&self, epoch: Epoch, session: &Session, end: SessionEnd) {
         log::info!(relay:% = session.name, end:% = end; "relay_lost");
-        session.pending.borrow_mut().clear();
+        session.answer_txs.borrow_mut().clear();
         let now = self.clock.now();
-        let wanted = self.wanted();
+        let wanted = self.wanted_relays();
         let mut term = self.term.borrow_mut();
         let Some(term) = term.as_mut().filter(|term| term.epoch == epoch) else { return };
         term.sessions.remove(&session.number);
         term.assignment.remove_relay(session.number);
-        term.activate_wanted(now, wanted);
+        term.activate_spares(now, wanted);
     }
 
     async fn sweep_loop(self: Rc<Self>, epoch: Epoch) {
         loop {
             sleep(SWEEP_INTERVAL).await;
-            let wanted = self.wanted();
+            let wanted = self.wanted_relays();
             let core = self.core.borrow();
             let mut term = self.term.borrow_mut();
             let Some(term) = term.as_mut().filter(|term| term.epoch == epoch) else { return };
             term.assignment.retain_workers(|id| core.directory.contains_key(id));
-            term.activate_wanted(self.clock.now(), wanted);
+            term.activate_spares(self.clock.now(), wanted);
         }
     }
 
-    /// The relay for a worker; `None` if the worker is called directly.
+    /// The relay for a worker, after a wait for the first relays of the term. `None` if the worker is called directly
+    /// or the term has ended.
     async fn relay_of(&self, worker: &WorkerId) -> Option<Rc<Session>> {
         loop {
             let relay_added = self.relay_added.notified();
@@ -370,11 +379,12 @@
         call: Call,
     ) -> Result<Answer, Call> {
         let session = self.relay_of(worker).await;
-        // The process may have been paused meanwhile.
+        // The authority may have expired during the wait or a pause of the process.
         if self.core.borrow().leadership.authority(self.clock.now()).is_none() {
             return Ok(call.withheld_answer());
         }
         let Some(session) = session else { return Err(call) };
+        // The relay will call this worker from now on.
         if !session.codec.borrow().has_worker(worker) {
             self.direct.close_idle(addr);
         }
@@ -382,26 +392,26 @@
             Call::Poll { wait_ms, .. } => Duration::from_millis(*wait_ms),
             Call::Start { .. } | Call::Stop { .. } | Call::Pace { .. } => Duration::ZERO,
         };
-        let unanswered = call.lost_answer();
+        let lost_answer = call.lost_answer();
         let (tx, rx) = oneshot::channel();
         let number = session.add(self.clock.now(), worker, addr, call);
-        session.pending.borrow_mut().insert(number, tx);
+        session.answer_txs.borrow_mut().insert(number, tx);
         let answer = match timeout(requested_wait + ANSWER_TIMEOUT, rx).await {
             Ok(Ok(answer)) => answer,
             // The relay is lost; this isn't counted against the worker.
-            Ok(Err(_)) => return Ok(unanswered),
+            Ok(Err(_)) => return Ok(lost_answer),
             Err(_) => {
-                session.pending.borrow_mut().remove(&number);
-                unanswered
+                session.answer_txs.borrow_mut().remove(&number);
+                lost_answer
             }
         };
         let removal = self.term.borrow_mut().as_mut().and_then(|term| {
             let now = self.clock.now();
-            term.assignment.record_answer(now, session.number, worker, answer.is_from_worker())
+            term.assignment.record_call(now, session.number, worker, answer.is_from_worker())
         });
         if let Some(removal) = removal {
             log::warn!(relay:% = session.name, why:? = removal; "relay_given_up");
-            session.closing.notify_one();
+            session.close_requested.notify_one();
         }
         Ok(answer)
     }
--- a/crates/runtime/src/serve.rs
+++ b/crates/runtime/src/serve.rs
@@ -48,7 +48,7 @@
 pub async fn run(node: Rc<Node>, listeners: Listeners, stop: impl Future<Output = ()>) {
     let (stop_tx, stop_rx) = watch::channel(false);
     match listeners.peers.local_addr() {
-        Ok(addr) => node.listen_at(addr),
+        Ok(addr) => node.set_listen_addr(addr),
         // Followers then append their records to the store themselves.
         Err(error) => log::warn!(error:% = error; "peer_address_unknown"),
     }
