--- a/crates/relay/src/assignment.rs
+++ b/crates/relay/src/assignment.rs
@@ -150,8 +150,8 @@
         });
     }
 
-    /// Decides how to call a worker in `data_centre`, and assigns it to a relay if needed. `worker_total` is the size
-    /// of the fleet.
+    /// Decides how to call a worker in `data_centre`, and assigns it to a relay if needed. `worker_total` is the
+    /// number of all workers.
     pub fn route(
         &mut self,
         now: Time,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -6,7 +6,7 @@
 //! leader sees unanswered calls and switches to another relay.
 //!
 //! This crate does no I/O. [`Assignment`] maps workers to relays. [`LeaderCodec`] and [`RelayCodec`] encode the
-//! two ends of a connection: workers and payloads are sent in full once, later frames refer to them.
+//! two ends of a connection: the leader sends workers and payloads in full, and later frames refer to them.
 
 mod assignment;
 mod codec;
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -61,7 +61,7 @@
         until_ms: u64,
         /// The checkpoint to resume from; empty for none.
         checkpoint: CompactString,
-        /// Permission to run the task on the worker; empty if none is needed.
+        /// The policy service's permission to run the task on the worker; empty if none is needed.
         ticket: CompactString,
     },
     /// Stops a run, or prevents it from starting.
--- a/crates/relay/src/rows.rs
+++ b/crates/relay/src/rows.rs
@@ -44,7 +44,7 @@
     current.iter().map(to_row).collect()
 }
 
-/// Decodes `rows`; none if an index isn't in `previous`.
+/// Decodes `rows`; `None` if an index isn't in `previous`.
 pub(crate) fn apply(previous: &[RunningTask], rows: Vec<Row>) -> Option<Vec<RunningTask>> {
     let to_run = |row| match row {
         Row::New(run) => Some(run),
--- a/crates/runtime/src/append.rs
+++ b/crates/runtime/src/append.rs
@@ -56,7 +56,7 @@
     store: Rc<dyn Store>,
     watch: Rc<RecordWatch>,
     queue: RefCell<Vec<QueuedRecord>>,
-    queued: Notify,
+    record_queued: Notify,
     clock: Clock,
     /// Start of the append in progress.
     append_started: Cell<Option<Time>>,
@@ -69,7 +69,7 @@
             store,
             watch,
             queue: RefCell::default(),
-            queued: Notify::new(),
+            record_queued: Notify::new(),
             clock: Clock,
             append_started: Cell::new(None),
         }
@@ -87,7 +87,7 @@
         }
         let (tx, rx) = oneshot::channel();
         self.queue.borrow_mut().push(QueuedRecord { record, tx });
-        self.queued.notify_one();
+        self.record_queued.notify_one();
         // The sender is dropped only when the process ends.
         rx.await.unwrap_or(Stored::Unknown)
     }
@@ -97,7 +97,7 @@
         loop {
             let batch = self.take_batch();
             if batch.is_empty() {
-                self.queued.notified().await;
+                self.record_queued.notified().await;
                 continue;
             }
             let (records, senders): (Vec<Record>, Vec<_>) =
--- a/crates/runtime/src/bad_entries.rs
+++ b/crates/runtime/src/bad_entries.rs
@@ -1,7 +1,7 @@
 //! Rate-limited logging of unreadable entries.
 //!
-//! Other writers may leave any number of them, and a worker repeats the same row in each of its answers. Each
-//! entry is logged and counted once, and the use of log and memory is bounded.
+//! Other writers may leave any number of them, and a worker repeats the same row in each of its answers. An
+//! entry is normally logged and counted once, and the use of log and memory is bounded.
 
 use {
     compact_str::CompactString,
@@ -101,8 +101,9 @@
 /// The entries that were reported, and the current rate of log lines.
 #[derive(Debug, Default)]
 pub struct BadEntryLog {
-    logged: HashMap<(EntryKind, CompactString), u64>,
-    /// The keys of `logged`, oldest first.
+    /// Version last recorded of each entry, whether logged or only counted.
+    versions: HashMap<(EntryKind, CompactString), u64>,
+    /// The keys of `versions`, oldest first.
     insertion_order: VecDeque<(EntryKind, CompactString)>,
     /// Start of the current window, and the number of lines in it.
     window: Option<(Time, u32)>,
@@ -113,7 +114,7 @@
     /// Records an unreadable entry and returns how to report it.
     pub fn record(&mut self, now: Time, entry: &BadEntry) -> LogAction {
         let key = (entry.kind, entry.key.clone());
-        match self.logged.insert(key.clone(), entry.version) {
+        match self.versions.insert(key.clone(), entry.version) {
             Some(version) if version == entry.version => return LogAction::Ignore,
             Some(_) => {}
             None => self.insertion_order.push_back(key),
@@ -121,7 +122,7 @@
         if self.insertion_order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.logged.remove(&oldest);
+            self.versions.remove(&oldest);
         }
         let current = self.window.filter(|(since, _)| now.since(*since) < LINES_WINDOW);
         let (since, lines) = current.unwrap_or((now, 0));
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -92,10 +92,11 @@
 
 async fn submit(node: &Rc<Node>, route: &Route, id: WorkflowId, req: &Request) -> Response {
     let Some(body) = &req.body else { return Response::empty(status::TOO_LARGE) };
-    let workflow = match node.formats().workflow(body).and_then(|w| w.check().map(|()| w)) {
-        Ok(workflow) => workflow,
-        Err(error) => return error_response(node, status::BAD_REQUEST, &error),
-    };
+    let workflow =
+        match node.formats().workflow(body).and_then(|parsed| parsed.check().map(|()| parsed)) {
+            Ok(workflow) => workflow,
+            Err(error) => return error_response(node, status::BAD_REQUEST, &error),
+        };
     if node.core().ledger.get(id).is_some() {
         return Response::empty(status::OK);
     }
@@ -159,6 +160,7 @@
     Unknown,
 }
 
+/// Looks up a workflow, after a wait until the records are read past `arrived` if it isn't found.
 async fn find(node: &Rc<Node>, id: WorkflowId, arrived: Time, req: &Request) -> Lookup {
     let deadline = node.formats().deadline(&req.headers);
     let catch_up = deadline
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -17,9 +17,9 @@
 impl Clock {
     /// Microseconds since the VM started.
     pub fn now(self) -> Time {
-        let progress = clock_gettime(ClockId::Boottime);
-        let secs = u64::try_from(progress.tv_sec).unwrap_or(0);
-        let micros = u64::try_from(progress.tv_nsec / 1_000).unwrap_or(0);
+        let boot_time = clock_gettime(ClockId::Boottime);
+        let secs = u64::try_from(boot_time.tv_sec).unwrap_or(0);
+        let micros = u64::try_from(boot_time.tv_nsec / 1_000).unwrap_or(0);
         Time::from_micros(secs * 1_000_000 + micros)
     }
 
--- a/crates/runtime/src/commands.rs
+++ b/crates/runtime/src/commands.rs
@@ -89,6 +89,7 @@
         self.core.borrow().leadership.authority(self.clock.now()) == Some(epoch)
     }
 
+    /// Applies an event to the scheduler if its term is still that of `epoch`.
     fn with_scheduler(
         self: &Rc<Self>,
         epoch: Epoch,
@@ -168,13 +169,13 @@
     }
 
     async fn advise(self: Rc<Self>, step: StepId, workers: Vec<WorkerId>) {
-        let term_and_terms = {
+        let epoch_and_terms = {
             let core = self.core.borrow();
             let submission =
                 core.ledger.get(step.workflow).and_then(|entry| entry.submission.clone());
             core.leadership.term().zip(submission.and_then(|submission| submission.advice))
         };
-        let Some((epoch, terms)) = term_and_terms else { return };
+        let Some((epoch, terms)) = epoch_and_terms else { return };
         let result = self.take_decoded(self.advisor.advise(step, &workers, terms).await);
         self.with_scheduler(epoch, |scheduler, now, _| scheduler.on_advice(now, step, result));
     }
--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -129,6 +129,7 @@
         self.routes = Some(table);
     }
 
+    /// Stores the first request of a wave, and passes each one on to the scheduler.
     fn on_wave(&mut self, now: Time, number: u64, wave: Option<Wave>) {
         match &wave {
             Some(wave) => drop(self.waves.entry(number).or_insert_with(|| (now, wave.clone()))),
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -30,7 +30,7 @@
 /// How long a read of the directory waits for a record.
 const DIRECTORY_READ_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Pause between a leader's reads. It delays only records that other VMs append themselves.
+/// Pause between a leader's reads of the work topic, and every node's of the operator's topic. It delays only records that other VMs append themselves.
 const LEADER_READ_GAP: Duration = Duration::from_millis(20);
 
 /// Pause between a follower's reads. It delays the completion that clients see; a shorter one increases the cost of
--- a/crates/runtime/src/leader_append.rs
+++ b/crates/runtime/src/leader_append.rs
@@ -66,6 +66,7 @@
     }
 
     async fn append_until_settled(self: &Rc<Self>, mut records: Vec<Record>) -> Stored {
+        // The heartbeat doesn't release the term.
         let fenced_heartbeat = self.core.borrow_mut().leadership.heartbeat(self.clock.now(), false);
         let Some((epoch, seq, heartbeat)) = fenced_heartbeat else { return Stored::No };
         records.push(heartbeat);
--- a/crates/runtime/src/peers.rs
+++ b/crates/runtime/src/peers.rs
@@ -31,7 +31,7 @@
 
 /// Status codes of the leader's answers.
 mod status {
-    pub(super) const STORED: u16 = 200;
+    pub(super) const OK: u16 = 200;
     pub(super) const NOT_LEADER: u16 = 409;
     pub(super) const REJECTED: u16 = 503;
     pub(super) const UNKNOWN: u16 = 504;
@@ -63,7 +63,7 @@
     fn client(&self, addr: SocketAddr) -> Client {
         let mut client = self.client.borrow_mut();
         match &*client {
-            Some(open) if open.addr() == addr => open.clone(),
+            Some(current) if current.addr() == addr => current.clone(),
             _ => client.insert(Client::new(addr, MAX_IDLE_CONNECTIONS)).clone(),
         }
     }
@@ -72,7 +72,7 @@
     async fn forward(&self, addr: SocketAddr, record: &Record) -> Forwarded {
         let body = Bytes::from(record.to_bytes());
         match self.client(addr).call(Method::POST, RECORDS_PATH, &[], body, FORWARD_TIMEOUT).await {
-            Ok(answer) if answer.status == status::STORED => Forwarded::Settled(Stored::Yes),
+            Ok(answer) if answer.status == status::OK => Forwarded::Settled(Stored::Yes),
             Ok(answer) if answer.status == status::REJECTED => Forwarded::Settled(Stored::No),
             Ok(answer) if answer.status == status::UNKNOWN => Forwarded::Unknown,
             Ok(_) | Err(CallError::NotSent | CallError::Refused) => Forwarded::NotAccepted,
@@ -92,11 +92,11 @@
     if req.method == Method::GET && req.path == METRICS_PATH {
         let body = Bytes::from(node.metrics.render());
         let content_type = METRICS_CONTENT_TYPE;
-        return Response { body, content_type, ..Response::empty(status::STORED) };
+        return Response { body, content_type, ..Response::empty(status::OK) };
     }
     if req.method == Method::GET && req.path == STATE_PATH {
         let body = Bytes::from(node.dump(node.clock().now()));
-        return Response { body, ..Response::empty(status::STORED) };
+        return Response { body, ..Response::empty(status::OK) };
     }
     if req.path == relays::PATH {
         return node.relays.answer_offer(req.upgrade);
@@ -108,7 +108,7 @@
         return Response::empty(status::NOT_LEADER);
     }
     Response::empty(match node.store_as_leader(record).await {
-        Stored::Yes => status::STORED,
+        Stored::Yes => status::OK,
         Stored::No => status::REJECTED,
         Stored::Unknown => status::UNKNOWN,
     })
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -236,7 +236,7 @@
     /// Lists all VMs; `None` if the platform doesn't answer.
     fn list(&self) -> LocalBoxFuture<'_, Decoded<Option<VmList>>>;
 
-    /// Starts the maintenance of a VM, on behalf of the process `holder`.
+    /// Starts the maintenance of a VM. `holder` is the name of the leader, which holds the epoch.
     fn begin_maintenance<'a>(
         &'a self,
         holder: &'a str,
--- a/crates/runtime/src/reads.rs
+++ b/crates/runtime/src/reads.rs
@@ -12,30 +12,30 @@
 /// when another process becomes leader.
 pub(crate) struct RecordWatch {
     core: Rc<RefCell<Core>>,
-    answered: Notify,
+    read_applied: Notify,
 }
 
 impl RecordWatch {
     /// A watch on the state in `core`.
     pub(crate) fn new(core: Rc<RefCell<Core>>) -> RecordWatch {
-        RecordWatch { core, answered: Notify::new() }
+        RecordWatch { core, read_applied: Notify::new() }
     }
 
     /// Wakes the waiting tasks after the result of a read has been applied.
     pub(crate) fn notify_read(&self) {
-        self.answered.notify_waiters();
+        self.read_applied.notify_waiters();
     }
 
     /// Waits until `query` returns a value, evaluating it at once and after each read.
     pub(crate) async fn wait_for<T>(&self, query: impl Fn(&Core) -> Option<T>) -> T {
         loop {
             // Registered first, so that no read is missed while `query` runs.
-            let answered = self.answered.notified();
+            let read_applied = self.read_applied.notified();
             let found = query(&self.core.borrow());
             if let Some(found) = found {
                 return found;
             }
-            answered.await;
+            read_applied.await;
         }
     }
 
--- a/crates/runtime/src/relays/offer.rs
+++ b/crates/runtime/src/relays/offer.rs
@@ -37,7 +37,7 @@
 struct LeaderLink {
     codec: RefCell<RelayCodec>,
     /// A report was added.
-    wake: Notify,
+    send_frame: Notify,
     /// The leader has sent a frame, so this relay is in use.
     used: Notify,
 }
@@ -80,13 +80,17 @@
             return RECONNECT_PAUSE;
         }
     };
-    let link =
-        Rc::new(LeaderLink { codec: RefCell::default(), wake: Notify::new(), used: Notify::new() });
+    let link = Rc::new(LeaderLink {
+        codec: RefCell::default(),
+        send_frame: Notify::new(),
+        used: Notify::new(),
+    });
     exchange(node, &link, stream).await;
     log::info!(leader:%; "relaying_ended");
     RECONNECT_PAUSE
 }
 
+/// Exchanges frames with the leader until the connection fails or this process stops.
 async fn exchange(node: &Rc<Node>, link: &Rc<LeaderLink>, stream: Duplex) {
     let (mut sink, mut source) = frames(stream).split();
     let hello = Hello {
@@ -101,7 +105,7 @@
         link.used.notified().await;
         while !node.core().stopping {
             // A frame without reports is a heartbeat.
-            let _ = timeout(HEARTBEAT_INTERVAL, link.wake.notified()).await;
+            let _ = timeout(HEARTBEAT_INTERVAL, link.send_frame.notified()).await;
             let frame = link.codec.borrow_mut().next_frame(clock_ms(node));
             if sink.send(Bytes::from(frame)).await.is_err() {
                 return;
@@ -126,7 +130,7 @@
             }
             for relayed in calls {
                 if late {
-                    report(link, relayed.number, relayed.call.withheld_answer());
+                    add_answer(link, relayed.number, relayed.call.withheld_answer());
                 } else {
                     spawn_local(perform_call(Rc::clone(node), Rc::clone(link), relayed));
                 }
@@ -143,9 +147,9 @@
     node.clock().now().as_micros() / 1_000
 }
 
-fn report(link: &LeaderLink, number: egretlb_relay::CallNo, answer: Answer) {
+fn add_answer(link: &LeaderLink, number: egretlb_relay::CallNo, answer: Answer) {
     link.codec.borrow_mut().add(number, answer);
-    link.wake.notify_one();
+    link.send_frame.notify_one();
 }
 
 async fn perform_call(node: Rc<Node>, link: Rc<LeaderLink>, relayed: RelayedCall) {
@@ -171,5 +175,5 @@
             Answer::Pace(workers.pace(call).await)
         }
     };
-    report(&link, number, answer);
+    add_answer(&link, number, answer);
 }
--- a/crates/runtime/src/serve.rs
+++ b/crates/runtime/src/serve.rs
@@ -27,7 +27,7 @@
 /// a node after two failures.
 const DRAIN_TIME: Duration = Duration::from_millis(2_600);
 
-/// How long open connections then have to finish their requests. The platform kills the process after 6 s.
+/// How long the clients' listener, and then all open connections, have to finish. The platform kills the process after 6 s.
 const FINISH_TIMEOUT: Duration = Duration::from_millis(2_400);
 
 /// Limits of the clients' listener. A VM has 4,100 descriptors; the buffers of these connections take less than
@@ -36,7 +36,7 @@
     ServerLimits { connections: 512, body_bytes: 256 * 1024, head: Duration::from_secs(15) };
 
 /// Limits of the listener for other nodes: several connections each of up to a hundred VMs. A record contains a
-/// client's body and the names of its queue.
+/// client's body and the names of its route and service.
 const PEER_LIMITS: ServerLimits =
     ServerLimits { connections: 512, body_bytes: 300 * 1024, head: Duration::from_secs(15) };
 
