--- a/crates/requests/src/entry/admission.rs
+++ b/crates/requests/src/entry/admission.rs
@@ -28,6 +28,7 @@
 const WAIT_DIVISOR: u32 = 2;
 
 impl Entry {
+    /// Admits or refuses a request on its arrival.
     pub(super) fn arrive(&mut self, now: Time, arrival: Arrival, out: &mut Vec<EntryEffect>) {
         let request = arrival.request;
         let found = self.classes.find(&arrival.class);
@@ -56,8 +57,8 @@
 
     /// Returns why the request is refused on arrival, and the wait after which it may succeed.
     ///
-    /// For bursts and overload: a request that can't be answered in time is refused at once, so
-    /// that it takes no slot and its caller can try elsewhere.
+    /// A request that can't be answered in time is refused at once, so that it takes no slot of a
+    /// backend server and its caller can try elsewhere.
     fn refusal(
         &self,
         now: Time,
@@ -69,6 +70,7 @@
             return Some((NotRunReason::ShuttingDown, Duration::ZERO));
         }
         let state = self.classes.get(class);
+        // When a retry may succeed: estimated wait behind the queue and one more request.
         let queue_wait = state.drain_meter.estimated_wait(now, state.queue.len() + 1);
         if self.servers.server_count(class) == 0 || self.lacks_share(now, class) {
             return Some((NotRunReason::NoBackendServer, queue_wait));
@@ -76,24 +78,25 @@
         if state.queue.len() >= self.opts.max_queue_len {
             return Some((NotRunReason::QueueFull, queue_wait));
         }
-        let time_budget = arrival.deadline.unwrap_or(service.target).min(service.target);
-        let max_wait = time_budget.saturating_sub(state.service_time(time_budget));
-        let predictable =
+        let answer_within = arrival.deadline.unwrap_or(service.target).min(service.target);
+        let max_wait = answer_within.saturating_sub(state.service_time(answer_within));
+        // The other orders don't refuse by estimated wait; without a queue there is none.
+        let wait_predictable =
             self.opts.order == QueueOrder::EarliestDeadline && !state.queue.is_empty();
         let wait = state.drain_meter.estimated_wait(now, state.queue.len());
-        if time_budget.is_zero() || (predictable && wait > max_wait / WAIT_DIVISOR) {
+        if answer_within.is_zero() || (wait_predictable && wait > max_wait / WAIT_DIVISOR) {
             return Some((NotRunReason::TooLate, queue_wait));
         }
         None
     }
 
-    /// With the grantors unreachable, the first request waits for a share and later ones are
-    /// refused.
+    /// Whether the class has no share and requests have waited for one for [`MAX_SHARE_WAIT`], for
+    /// example because the grantors are unreachable.
     fn lacks_share(&self, now: Time, class: ClassIx) -> bool {
         let state = self.classes.get(class);
         self.servers.share_sum(class) == 0
             && !state.queue.is_empty()
-            && state.starved_since.is_some_and(|at| now.since(at) >= MAX_SHARE_WAIT)
+            && state.without_share_since.is_some_and(|at| now.since(at) >= MAX_SHARE_WAIT)
     }
 
     fn new_request(
@@ -132,18 +135,18 @@
     pub(super) fn enqueue(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let (class, organisation) = (request.class, request.organisation);
-        let starved = self.servers.share_sum(class) == 0;
+        let without_share = self.servers.share_sum(class) == 0;
         let state = self.classes.get_mut(class);
-        if starved {
-            state.starved_since.get_or_insert(now);
+        if without_share {
+            state.without_share_since.get_or_insert(now);
         }
         let target = state.service.as_ref().map_or(MAX_ATTEMPT_DURATION, |service| service.target);
-        let time_budget = request.target_deadline.since(request.arrived).min(target);
-        let queue_deadline = request.target_deadline - state.service_time(time_budget);
+        let answer_within = request.target_deadline.since(request.arrived).min(target);
+        let queue_deadline = request.target_deadline - state.service_time(answer_within);
         let key = QueueKey { queue_deadline: queue_deadline.max(now), request: id };
         request.phase = Phase::Queued(key);
         state.queue.insert(key, id);
-        state.record_need();
+        state.record_concurrency_need();
         self.timers.insert((key.queue_deadline, Timer::QueueDeadline(id)));
         self.fairness.enqueued(organisation, class);
         self.waiting += 1;
@@ -155,11 +158,11 @@
         let Phase::Queued(key) = request.phase else { return };
         let state = self.classes.get_mut(request.class);
         state.queue.remove(&key);
-        let last = state.queue.is_empty();
-        if last {
+        let queue_empty = state.queue.is_empty();
+        if queue_empty {
             state.drain_meter.queue_emptied();
         }
-        self.fairness.dequeued(request.organisation, request.class, last);
+        self.fairness.dequeued(request.organisation, request.class, queue_empty);
         self.timers.remove(&(key.queue_deadline, Timer::QueueDeadline(id)));
         self.waiting -= 1;
     }
--- a/crates/requests/src/entry/class.rs
+++ b/crates/requests/src/entry/class.rs
@@ -56,8 +56,8 @@
     pub(super) budget: RetryBudget,
     pub(super) drain_meter: DrainMeter,
     pub(super) load: LoadMeter,
-    /// Since when requests have waited without any usable share.
-    pub(super) starved_since: Option<Time>,
+    /// Since when requests have waited while the class had no share.
+    pub(super) without_share_since: Option<Time>,
 }
 
 impl ClassState {
@@ -72,7 +72,7 @@
             budget: RetryBudget::new(),
             drain_meter: DrainMeter::new(),
             load: LoadMeter::default(),
-            starved_since: None,
+            without_share_since: None,
         }
     }
 
@@ -102,7 +102,8 @@
         head.map(|(key, request)| (*key, *request))
     }
 
-    pub(super) fn record_need(&mut self) {
+    /// Records the number of requests that are open or waiting.
+    pub(super) fn record_concurrency_need(&mut self) {
         let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
         self.load.record_need(self.open.saturating_add(waiting));
     }
--- a/crates/requests/src/entry/dispatch.rs
+++ b/crates/requests/src/entry/dispatch.rs
@@ -59,6 +59,7 @@
         None
     }
 
+    /// The most urgent request of the organisation's classes that can send now.
     fn most_urgent(&self, organisation: OrganisationIx) -> Option<(ClassIx, RequestId)> {
         let heads = self.fairness.classes(organisation).iter().filter_map(|ix| {
             let state = self.classes.get(*ix);
@@ -102,7 +103,7 @@
         state.open += 1;
         state.limit.opened(state.open);
         state.load.set_open(now, state.open);
-        state.record_need();
+        state.record_concurrency_need();
         let record = Attempt {
             request: id,
             class: request.class,
--- a/crates/requests/src/entry/dump.rs
+++ b/crates/requests/src/entry/dump.rs
@@ -64,7 +64,7 @@
     pub fn dump(&self) -> EntryDump {
         let micros = |span: std::time::Duration| span.as_micros() as u64;
         let classes = self.classes.indices().map(|ix| (ix, self.classes.get(ix)));
-        let served = classes.filter(|(_, class)| class.service.is_some());
+        let configured = classes.filter(|(_, class)| class.service.is_some());
         let servers = self.servers.iter().map(|(_, server)| ServerDump {
             vm: server.vm.clone(),
             share: server.share,
@@ -78,7 +78,7 @@
             attempts: self.attempts.len(),
             reports: self.reports.len(),
             shutting_down: self.shutdown_started_at.is_some(),
-            classes: served
+            classes: configured
                 .map(|(ix, class)| ClassDump {
                     class: class.name.clone(),
                     queued: class.queue.len(),
--- a/crates/requests/src/entry/fairness.rs
+++ b/crates/requests/src/entry/fairness.rs
@@ -66,11 +66,16 @@
         }
     }
 
-    /// A request of the class left its queue; `last` if the queue is empty now.
-    pub(super) fn dequeued(&mut self, organisation: OrganisationIx, class: ClassIx, last: bool) {
+    /// A request of the class left its queue; `queue_empty` if it is empty now.
+    pub(super) fn dequeued(
+        &mut self,
+        organisation: OrganisationIx,
+        class: ClassIx,
+        queue_empty: bool,
+    ) {
         let state = &mut self.organisations[organisation.0];
         state.waiting = state.waiting.saturating_sub(1);
-        if last {
+        if queue_empty {
             state.classes.retain(|other| *other != class);
         }
     }
--- a/crates/requests/src/entry/grantors.rs
+++ b/crates/requests/src/entry/grantors.rs
@@ -48,6 +48,7 @@
     pub(super) shares_expire_at: Time,
     pub(super) known_version: u64,
     pub(super) servers: BTreeSet<ServerIx>,
+    /// Sum of the shares in the last answer.
     pub(super) granted: u32,
     /// Total need when the last request was sent.
     pub(super) requested_need: usize,
--- a/crates/requests/src/entry/health.rs
+++ b/crates/requests/src/entry/health.rs
@@ -89,6 +89,7 @@
         }
     }
 
+    /// Ejects the server and returns until when.
     pub(super) fn eject(&mut self, now: Time) -> Time {
         let span = FIRST_EJECTION * 2_u32.pow(self.ejections.min(8));
         let until = now + span.min(MAX_EJECTION);
--- a/crates/requests/src/entry/meter.rs
+++ b/crates/requests/src/entry/meter.rs
@@ -53,9 +53,11 @@
 pub(super) struct LoadMeter {
     period_start: Time,
     load: ClassLoad,
+    /// Sum of the times that requests were open.
     open_micros: u128,
     open_changed_at: Time,
     open: u32,
+    /// Maximum number of open and waiting requests in this period.
     peak_need: u32,
     previous_peak_need: u32,
     /// Arrivals per second in the previous period.
--- a/crates/requests/src/entry/mod.rs
+++ b/crates/requests/src/entry/mod.rs
@@ -153,7 +153,7 @@
             self.timers.pop_first();
             match timer {
                 Timer::QueueDeadline(request) => self.expire_queued(now, request, out),
-                Timer::Deadline(request) => self.deadline(now, request, out),
+                Timer::Deadline(request) => self.deadline_passed(now, request, out),
                 Timer::Hedge(request) => self.hedge(now, request, out),
                 Timer::PermitTimeout(request) => self.permit_timed_out(now, request, out),
                 Timer::AttemptTimeout(attempt) => self.attempt_timed_out(now, attempt, out),
--- a/crates/requests/src/entry/outcome.rs
+++ b/crates/requests/src/entry/outcome.rs
@@ -201,6 +201,7 @@
         let queued = self.requests.get(&id).map(|request| request.phase);
         if matches!(queued, Some(Phase::Queued(key)) if key.queue_deadline <= now) {
             self.dequeue(id);
+            // Not queued any more: `finish_if_done` must not dequeue it again.
             if let Some(request) = self.requests.get_mut(&id) {
                 request.phase = Phase::Open;
             }
@@ -208,7 +209,7 @@
         }
     }
 
-    pub(super) fn deadline(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
+    pub(super) fn deadline_passed(&mut self, now: Time, id: RequestId, out: &mut Vec<EntryEffect>) {
         let Some(request) = self.requests.get(&id) else { return };
         if !request.caller_waits {
             return;
--- a/crates/requests/src/entry/servers.rs
+++ b/crates/requests/src/entry/servers.rs
@@ -13,15 +13,16 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// How long a server's own notice that it is draining is valid. The VM list, which lags, confirms it
-/// within this time if the server really goes.
+/// How long a server's own notice that it is draining is valid. The VM list, which lags, shows
+/// the server as draining within this time.
 const DECLARED_DRAINING_TTL: Duration = Duration::from_secs(60);
 
-/// At most one in this many of a class's servers is ejected at once. If more look unhealthy, load
-/// is the likely cause, and ejections would add load to the others.
+/// At most one in this many of a class's servers is ejected at once, but always one if there are
+/// several. If more look unhealthy, load is the likely cause, and ejections would add load to the
+/// others.
 const SERVERS_PER_EJECTION: u32 = 5;
 
-/// Random pairs tried before all candidates are scanned.
+/// Number of random pairs tried in each data centre list before all its candidates are scanned.
 const MAX_PAIR_DRAWS: usize = 4;
 
 /// Index of a server in [`Servers`].
@@ -34,30 +35,37 @@
     pub(super) vm: VmId,
     pub(super) addr: CompactString,
     pub(super) shard: ShardId,
+    /// Whether it is in the entry's data centre.
     pub(super) local: bool,
+    /// Classes that it runs; empty if no grantor describes it.
     pub(super) classes: SmallVec<[ClassIx; 4]>,
-    /// Maximum number of requests that may be open there.
+    /// Maximum number of requests that this entry may have open there.
     pub(super) share: u16,
-    /// Number of open requests.
+    /// Number of this entry's open requests there.
     pub(super) open: u16,
     pub(super) health: Health,
+    /// Whether its grantor describes it as draining, or not at all any more.
     described_draining: bool,
+    /// Whether the platform's list of VMs shows it as draining.
     listed_draining: bool,
+    /// End of the validity of its own notice that it is draining.
     declared_draining_until: Option<Time>,
     /// Its index in the candidates of each class, while it can take a request.
     positions: SmallVec<[(ClassIx, usize); 4]>,
 }
 
-/// Servers of one class that can take a request now.
+/// Counts of one class's servers, and those of them that can take a request now.
 #[derive(Clone, Debug, Default)]
-struct Candidates {
+struct ClassServers {
+    /// ClassServers in the entry's data centre.
     local: Vec<ServerIx>,
+    /// ClassServers in other data centres.
     remote: Vec<ServerIx>,
     /// Number of servers that run the class.
     servers: u32,
-    /// Number of them that are ejected.
+    /// Number of these servers that are ejected.
     ejected: u32,
-    /// Sum of their shares.
+    /// Sum of the shares of these servers.
     shares: u32,
 }
 
@@ -66,8 +74,9 @@
 pub(super) struct Servers {
     list: Vec<Server>,
     by_vm: HashMap<VmId, ServerIx>,
-    recycled: Vec<ServerIx>,
-    candidates: Vec<Candidates>,
+    /// Indices of removed servers, to be reused.
+    free_indices: Vec<ServerIx>,
+    candidates: Vec<ClassServers>,
     /// Number of requests that could be opened now.
     free_capacity: u32,
     /// Sum of all shares.
@@ -95,7 +104,7 @@
         matches!(self.health.state, HealthState::Probing { .. })
     }
 
-    /// Number of shares to request when `want` are needed.
+    /// The share to request if `want` is wanted.
     pub(super) fn max_requestable(&self, want: u16) -> u16 {
         match self.health.state {
             _ if self.is_draining() => 0,
@@ -105,7 +114,7 @@
         }
     }
 
-    /// Lower is better.
+    /// Open requests weighted by slowness; a request is sent to the server with the lower score.
     fn load_score(&self) -> f64 {
         f64::from(self.open + 1) * self.health.slowness
     }
@@ -155,7 +164,7 @@
     }
 
     /// Applies a grantor's description of a server.
-    pub(super) fn describe(
+    pub(super) fn apply_description(
         &mut self,
         info: &ServerInfo,
         shard: ShardId,
@@ -173,12 +182,12 @@
         ix
     }
 
-    /// The grantor doesn't describe the server any more.
-    pub(super) fn forget(&mut self, ix: ServerIx) {
+    /// Removes a server that its grantor doesn't describe any more, once nothing is open there.
+    pub(super) fn remove(&mut self, ix: ServerIx) {
         self.set_share(ix, 0);
         self.update(ix, |server| server.described_draining = true);
         self.set_classes(ix, SmallVec::new());
-        self.recycle_if_idle(ix);
+        self.free_index_if_idle(ix);
     }
 
     pub(super) fn set_share(&mut self, ix: ServerIx, share: u16) {
@@ -237,14 +246,15 @@
             record_result(&mut server.health);
         });
         let ejected = self.eject_if_unhealthy(ix, now);
-        self.recycle_if_idle(ix);
+        self.free_index_if_idle(ix);
         ejected
     }
 
     /// Picks the better of two random candidates, preferring the local data centre.
     ///
     /// Two choices avoid slow servers at low cost; picking the best of all would send every entry
-    /// to the same server.
+    /// to the same server. Excludes `except`, and servers that are being probed unless `may_probe`.
+    /// If no pair contains an eligible server, takes any.
     pub(super) fn pick(
         &self,
         class: ClassIx,
@@ -253,7 +263,7 @@
         rng: &mut SmallRng,
     ) -> Option<ServerIx> {
         let candidates = self.candidates.get(class.0)?;
-        let fits =
+        let is_eligible =
             |ix: &ServerIx| Some(*ix) != except && (may_probe || !self.list[ix.0].is_probing());
         for list in [&candidates.local, &candidates.remote] {
             if list.is_empty() {
@@ -261,14 +271,14 @@
             }
             for _ in 0..MAX_PAIR_DRAWS {
                 let pair = [0; 2].map(|_| list[rng.random_range(0..list.len())]);
-                let better = pair.into_iter().filter(fits).min_by(|a, b| {
+                let better = pair.into_iter().filter(is_eligible).min_by(|a, b| {
                     self.list[a.0].load_score().total_cmp(&self.list[b.0].load_score())
                 });
                 if better.is_some() {
                     return better;
                 }
             }
-            if let Some(any) = list.iter().copied().find(fits) {
+            if let Some(any) = list.iter().copied().find(is_eligible) {
                 return Some(any);
             }
         }
@@ -293,7 +303,7 @@
             declared_draining_until: None,
             positions: SmallVec::new(),
         };
-        let ix = self.recycled.pop().unwrap_or(ServerIx(self.list.len()));
+        let ix = self.free_indices.pop().unwrap_or(ServerIx(self.list.len()));
         if ix.0 == self.list.len() {
             self.list.push(server);
         } else {
@@ -307,7 +317,7 @@
         if self.list[ix.0].classes == classes {
             return;
         }
-        self.remove_server(ix);
+        self.remove_capacity(ix);
         let share = u32::from(self.list[ix.0].share);
         let ejected =
             u32::from(matches!(self.list[ix.0].health.state, HealthState::Ejected { .. }));
@@ -318,14 +328,14 @@
         }
         for class in &classes {
             if self.candidates.len() <= class.0 {
-                self.candidates.resize_with(class.0 + 1, Candidates::default);
+                self.candidates.resize_with(class.0 + 1, ClassServers::default);
             }
             self.candidates[class.0].servers += 1;
             self.candidates[class.0].shares += share;
             self.candidates[class.0].ejected += ejected;
         }
         self.list[ix.0].classes = classes;
-        self.insert_server(ix);
+        self.add_capacity(ix);
     }
 
     fn eject_if_unhealthy(&mut self, ix: ServerIx, now: Time) -> Option<Time> {
@@ -368,8 +378,8 @@
         }
     }
 
-    /// Removes the server from sums and candidates before its classes change.
-    fn remove_server(&mut self, ix: ServerIx) {
+    /// Removes the server from the free capacity and the candidates before its classes change.
+    fn remove_capacity(&mut self, ix: ServerIx) {
         if !self.list[ix.0].classes.is_empty() {
             self.free_capacity -= u32::from(self.list[ix.0].free_capacity());
         }
@@ -377,7 +387,8 @@
         self.remove_candidate(ix, local);
     }
 
-    fn insert_server(&mut self, ix: ServerIx) {
+    /// Adds the server to the free capacity and the candidates after its classes have changed.
+    fn add_capacity(&mut self, ix: ServerIx) {
         let free_capacity = self.list[ix.0].free_capacity();
         if !self.list[ix.0].classes.is_empty() {
             self.free_capacity += u32::from(free_capacity);
@@ -412,17 +423,17 @@
     }
 
     /// Makes the index of a forgotten server available once nothing is open there.
-    fn recycle_if_idle(&mut self, ix: ServerIx) {
+    fn free_index_if_idle(&mut self, ix: ServerIx) {
         let server = &self.list[ix.0];
         let unused = server.classes.is_empty() && server.described_draining && server.open == 0;
         if unused && self.by_vm.get(&server.vm) == Some(&ix) {
             self.by_vm.remove(&self.list[ix.0].vm);
-            self.recycled.push(ix);
+            self.free_indices.push(ix);
         }
     }
 }
 
-impl Candidates {
+impl ClassServers {
     fn list(&mut self, local: bool) -> &mut Vec<ServerIx> {
         if local { &mut self.local } else { &mut self.remote }
     }
--- a/crates/requests/src/entry/share_requests.rs
+++ b/crates/requests/src/entry/share_requests.rs
@@ -75,9 +75,9 @@
     /// Free shares of other classes' servers don't count: otherwise the class would wait for the
     /// next periodic request for shares.
     fn has_class_without_share(&self) -> bool {
-        let starved =
+        let without_candidate =
             |ix: ClassIx| !self.classes.get(ix).queue.is_empty() && !self.servers.has_candidate(ix);
-        self.waiting > 0 && self.classes.indices().any(starved)
+        self.waiting > 0 && self.classes.indices().any(without_candidate)
     }
 
     /// Requests shares when demand grows, without waiting for the next tick.
@@ -194,7 +194,7 @@
         grantor.record_grant(grant.servers.iter().map(|server| u32::from(server.max_open)).sum());
         self.timers.remove(&(old_expiry, Timer::SharesExpire(shard)));
         if changed {
-            self.describe(shard, &grant.descriptions);
+            self.apply_descriptions(shard, &grant.descriptions);
         }
         let lowered = self.set_shares(&grant);
         self.timers.insert((shares_expire_at, Timer::SharesExpire(shard)));
@@ -206,17 +206,23 @@
         self.send_due_requests(now, false, out);
     }
 
-    fn describe(&mut self, shard: ShardId, descriptions: &[ServerInfo]) {
+    /// Applies the grantor's descriptions of all its servers, and removes the others.
+    fn apply_descriptions(&mut self, shard: ShardId, descriptions: &[ServerInfo]) {
         let mut described = BTreeSet::new();
         for info in descriptions {
             let classes: SmallVec<[ClassIx; 4]> =
                 info.classes.iter().map(|name| self.classes.find_or_add(name)).collect();
-            described.insert(self.servers.describe(info, shard, classes, &self.opts.data_centre));
+            described.insert(self.servers.apply_description(
+                info,
+                shard,
+                classes,
+                &self.opts.data_centre,
+            ));
         }
         let Some(grantor) = self.grantors.get_mut(shard) else { return };
         for removed in grantor.servers.difference(&described) {
             if self.servers.get(*removed).shard == shard {
-                self.servers.forget(*removed);
+                self.servers.remove(*removed);
             }
         }
         grantor.servers.extend(described);
@@ -239,7 +245,7 @@
             let share = granted.get(ix).copied().unwrap_or(0);
             if share > 0 {
                 for class in &server.classes {
-                    self.classes.get_mut(*class).starved_since = None;
+                    self.classes.get_mut(*class).without_share_since = None;
                 }
             }
             lowered |= share < server.share;
@@ -298,9 +304,10 @@
         planned
     }
 
+    /// Sort key: local servers first, else in an order that differs between entries.
     fn selection_order(&self, ix: ServerIx, server: &Server) -> (bool, u64) {
-        let mixed = (ix.0 as u64 ^ self.opts.node.0).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        (!server.local, mixed ^ (mixed >> 32))
+        let hash = (ix.0 as u64 ^ self.opts.node.0).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        (!server.local, hash ^ (hash >> 32))
     }
 }
 
@@ -333,6 +340,7 @@
     }
     let want = peak.max(need).saturating_add(peak / HEADROOM_DIVISOR + MIN_HEADROOM);
     let count = servers.len() as u32;
+    // The part of server `i` in an equal division of `sum`.
     let part = |sum: u32, i: usize| sum / count + u32::from((i as u32) < sum % count);
     for (i, ix) in servers.iter().enumerate() {
         planned[ix.0].add(part(need, i), part(want, i));
--- a/crates/requests/src/keys/state.rs
+++ b/crates/requests/src/keys/state.rs
@@ -22,7 +22,7 @@
     IntentPending { ticket: Ticket },
     /// The permit was granted, or may have been.
     Permitted,
-    /// The outcome was reported, or is known to be unknown.
+    /// The outcome was reported; it may be [`KeyOutcome::Unknown`].
     Completed(KeyOutcome),
 }
 
--- a/crates/requests/src/limits.rs
+++ b/crates/requests/src/limits.rs
@@ -1,7 +1,7 @@
 //! Limits that several processes must agree on.
 //!
-//! The holder of a lease counts from its sending, the grantor from its receiving, so the holder
-//! always stops first.
+//! The holder of a lease counts from when it sent the request, the grantor from when it received it,
+//! so the holder always stops first.
 
 use std::time::Duration;
 
--- a/crates/requests/src/shares/pool.rs
+++ b/crates/requests/src/shares/pool.rs
@@ -15,6 +15,7 @@
     entry: NodeId,
     /// Maximum number of open requests, whichever of the grantor's answers the entry has received.
     open: u16,
+    /// As in [`super::ServerDemand`].
     need: u16,
     want: u16,
     /// When the entry's lease must have expired; its need counts until then.
@@ -30,7 +31,9 @@
     pub(super) holding: u16,
     pub(super) need: u16,
     pub(super) want: u16,
+    /// When the lease must have expired.
     pub(super) expires_at: Time,
+    /// When exchanges begun under the lease must have ended.
     pub(super) free_at: Time,
 }
 
@@ -74,21 +77,21 @@
 
     /// Records what an entry holds and wants, and returns its share.
     ///
-    /// With `adopt_only` a new grantor, which doesn't know yet what its predecessor granted to
+    /// With `confirm_only` a new grantor, which doesn't know yet what its predecessor granted to
     /// others, confirms what the entry holds and adds nothing.
     pub(super) fn grant(
         &mut self,
         now: Time,
         vm: &VmId,
         request: PoolRequest,
-        adopt_only: bool,
+        confirm_only: bool,
     ) -> u16 {
         self.charges.retain(|charge| charge.entry != request.entry);
         if request.holding == 0 && request.want == 0 {
             return 0;
         }
         let free = u32::from(self.size).saturating_sub(self.charged());
-        let available = if adopt_only { u32::from(request.holding) } else { free };
+        let available = if confirm_only { u32::from(request.holding) } else { free };
         let PoolRequest { entry, holding, need, want, expires_at, free_at } = request;
         let charge = Charge { entry, open: holding, need, want, expires_at, free_at };
         self.charges.push(charge);
--- a/crates/requests/src/shares/table.rs
+++ b/crates/requests/src/shares/table.rs
@@ -1,4 +1,4 @@
-//! Table of the shares of all rack shards that this process owns.
+//! Table of the shares of the backend servers in all rack shards that this process owns.
 
 use {
     super::{
@@ -13,7 +13,7 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Minimum time between two recalls sent to one entry.
+/// Minimum time between two [`ShareTableEffect::Recall`]s sent to one entry.
 const MIN_RECALL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A backend server as known to the owner of its rack.
@@ -84,6 +84,7 @@
     },
 }
 
+/// State of one rack shard.
 #[derive(Debug, Default)]
 struct ShardShares {
     /// Epoch of the ownership; `None` before [`ShareTableEvent::Owned`].
@@ -152,13 +153,13 @@
         }
     }
 
-    /// Maximum number of requests that entries may have open at the server, for the state dump;
-    /// `None` for an unknown server.
+    /// Number of slots charged at the server, for the state dump: the maximum number of requests
+    /// that entries may have open there. `None` for an unknown server.
     pub fn charged(&self, shard: ShardId, vm: &VmId) -> Option<u32> {
         Some(self.shards.get(&shard)?.servers.get(vm)?.pool.charged())
     }
 
-    /// Maximum number of requests that the entry may have open at all servers, for the state dump.
+    /// Number of slots charged to the entry at all servers, for the state dump.
     pub fn charged_to(&self, entry: NodeId) -> u32 {
         let servers = self.shards.values().flat_map(|shares| shares.servers.values());
         servers.map(|server| server.pool.charged_to(entry)).sum()
@@ -233,8 +234,11 @@
         entry_requests.last_seq = request.seq;
         entry_requests.requested_at = now;
         let granted = shares.grant_all(now, charge_duration, &request);
-        let descriptions =
-            if request.known_version == shares.version { Vec::new() } else { shares.describe() };
+        let descriptions = if request.known_version == shares.version {
+            Vec::new()
+        } else {
+            shares.descriptions()
+        };
         let grant = ShareGrant {
             shard: request.shard,
             epoch: request.epoch,
@@ -264,13 +268,15 @@
 }
 
 impl ShardShares {
+    /// Grants shares of all servers of the shard, as a list without the empty ones.
     fn grant_all(
         &mut self,
         now: Time,
         charge_duration: Duration,
         request: &ShareRequest,
     ) -> Vec<ServerGrant> {
-        let adopt_only = now < self.predecessor_expires_at;
+        let confirm_only = now < self.predecessor_expires_at;
+        // What the entry holds is charged also at servers that aren't described yet.
         for demand in request.servers.iter().filter(|demand| demand.holding > 0) {
             self.servers.entry(demand.vm.clone()).or_default();
         }
@@ -289,7 +295,7 @@
                 free_at: now + charge_duration,
             };
             server.pool.expire(now);
-            let max_open = server.pool.grant(now, vm, pool_request, adopt_only);
+            let max_open = server.pool.grant(now, vm, pool_request, confirm_only);
             if max_open > 0 {
                 granted.push(ServerGrant { vm: vm.clone(), max_open });
             }
@@ -297,14 +303,15 @@
         granted
     }
 
-    fn describe(&self) -> Vec<ServerInfo> {
+    fn descriptions(&self) -> Vec<ServerInfo> {
         self.servers
             .values()
             .filter_map(|server| Some(server.spec.as_ref()?.info.clone()))
             .collect()
     }
 
-    /// Asks for new requests from entries whose fair share has changed because of others.
+    /// Asks for new requests from entries whose fair share has changed because of others, except
+    /// from `requester`, which has just sent one.
     fn recall(
         &mut self,
         now: Time,
