--- a/crates/requests/src/entry/admission.rs
+++ b/crates/requests/src/entry/admission.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         Entry, Phase, Request, Timer,
-        class::{ClassIx, QueueKey, Service},
+        class::{ClassIx, ClassSettings, QueueKey},
         event::{Arrival, EntryEffect, Verdict},
         options::QueueOrder,
         request::Keyed,
@@ -32,16 +32,16 @@
     pub(super) fn arrive(&mut self, now: Time, arrival: Arrival, out: &mut Vec<EntryEffect>) {
         let request = arrival.request;
         let found = self.classes.find(&arrival.class);
-        let service = found.and_then(|ix| Some((ix, self.classes.get(ix).service.clone()?)));
-        let Some((class, service)) = service else {
+        let settings = found.and_then(|ix| Some((ix, self.classes.get(ix).settings.clone()?)));
+        let Some((class, settings)) = settings else {
             return refuse(request, NotRunReason::UnknownClass, Duration::ZERO, out);
         };
         self.classes.get_mut(class).load.arrived();
-        if let Some((reason, wait)) = self.refusal(now, class, &service, &arrival) {
+        if let Some((reason, wait)) = self.refusal(now, class, &settings, &arrival) {
             self.classes.get_mut(class).load.refused();
             return refuse(request, reason, wait, out);
         }
-        let admitted = self.new_request(now, class, &service, arrival);
+        let admitted = self.new_request(now, class, &settings, arrival);
         let organisation = admitted.organisation;
         self.fairness.arrived(organisation, now);
         self.timers.insert((admitted.deadline, Timer::Deadline(request)));
@@ -63,7 +63,7 @@
         &self,
         now: Time,
         class: ClassIx,
-        service: &Service,
+        settings: &ClassSettings,
         arrival: &Arrival,
     ) -> Option<(NotRunReason, Duration)> {
         if self.shutdown_started_at.is_some() {
@@ -78,7 +78,7 @@
         if state.queue.len() >= self.opts.max_queue_len {
             return Some((NotRunReason::QueueFull, queue_wait));
         }
-        let answer_within = arrival.deadline.unwrap_or(service.target).min(service.target);
+        let answer_within = arrival.deadline.unwrap_or(settings.target).min(settings.target);
         let max_wait = answer_within.saturating_sub(state.service_time(answer_within));
         // The other orders don't refuse by estimated wait; without a queue there is none.
         let wait_predictable =
@@ -103,24 +103,24 @@
         &mut self,
         now: Time,
         class: ClassIx,
-        service: &Service,
+        settings: &ClassSettings,
         arrival: Arrival,
     ) -> Request {
         let deadline =
             now + arrival.deadline.unwrap_or(MAX_ATTEMPT_DURATION).min(MAX_ATTEMPT_DURATION);
         // Idempotent requests may run twice, so their keys are ignored.
-        let key = arrival.key.filter(|_| !service.idempotent);
+        let key = arrival.key.filter(|_| !settings.idempotent);
         let keyed = key.map(|key| {
             let shard = shard_of_key(&key);
             Box::new(Keyed { shard, key, body: arrival.body, outcome: None })
         });
         Request {
             class,
-            organisation: self.fairness.find_or_add(&service.organisation),
+            organisation: self.fairness.find_or_add(&settings.organisation),
             arrived: now,
             deadline,
-            target_deadline: deadline.min(now + service.target),
-            idempotent: service.idempotent,
+            target_deadline: deadline.min(now + settings.target),
+            idempotent: settings.idempotent,
             keyed,
             phase: Phase::AwaitsPermit,
             attempts: SmallVec::new(),
@@ -140,7 +140,8 @@
         if without_share {
             state.without_share_since.get_or_insert(now);
         }
-        let target = state.service.as_ref().map_or(MAX_ATTEMPT_DURATION, |service| service.target);
+        let target =
+            state.settings.as_ref().map_or(MAX_ATTEMPT_DURATION, |settings| settings.target);
         let answer_within = request.target_deadline.since(request.arrived).min(target);
         let queue_deadline = request.target_deadline - state.service_time(answer_within);
         let key = QueueKey { queue_deadline: queue_deadline.max(now), request: id };
@@ -149,7 +150,7 @@
         state.record_concurrency_need();
         self.timers.insert((key.queue_deadline, Timer::QueueDeadline(id)));
         self.fairness.enqueued(organisation, class);
-        self.waiting += 1;
+        self.queued_count += 1;
     }
 
     /// Removes a request from its queue.
@@ -164,7 +165,7 @@
         }
         self.fairness.dequeued(request.organisation, request.class, queue_empty);
         self.timers.remove(&(key.queue_deadline, Timer::QueueDeadline(id)));
-        self.waiting -= 1;
+        self.queued_count -= 1;
     }
 }
 
--- a/crates/requests/src/entry/class.rs
+++ b/crates/requests/src/entry/class.rs
@@ -37,7 +37,7 @@
 
 /// Settings of a latency-critical class in the current configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) struct Service {
+pub(super) struct ClassSettings {
     pub(super) organisation: Organisation,
     pub(super) target: Duration,
     pub(super) idempotent: bool,
@@ -48,7 +48,7 @@
 pub(super) struct ClassState {
     pub(super) name: ClassName,
     /// `None` if the current configuration has no such latency-critical class.
-    pub(super) service: Option<Service>,
+    pub(super) settings: Option<ClassSettings>,
     pub(super) queue: BTreeMap<QueueKey, RequestId>,
     pub(super) open: u32,
     pub(super) latency: LatencyHistogram,
@@ -64,7 +64,7 @@
     fn new(name: ClassName) -> Self {
         ClassState {
             name,
-            service: None,
+            settings: None,
             queue: BTreeMap::new(),
             open: 0,
             latency: LatencyHistogram::new(Duration::ZERO),
@@ -88,7 +88,8 @@
 
     /// How long an attempt is open before a hedge is sent.
     pub(super) fn hedge_after(&self) -> Duration {
-        let target = self.service.as_ref().map_or(Duration::from_secs(1), |service| service.target);
+        let target =
+            self.settings.as_ref().map_or(Duration::from_secs(1), |settings| settings.target);
         let tail = self.latency.quantile(950).map(|p95| p95 * HEDGE_DELAY_PERCENT / 100);
         tail.unwrap_or(target / 2).max(MIN_HEDGE_DELAY)
     }
--- a/crates/requests/src/entry/dispatch.rs
+++ b/crates/requests/src/entry/dispatch.rs
@@ -29,7 +29,7 @@
 impl Entry {
     /// Sends waiting requests while there is free capacity.
     pub(super) fn dispatch(&mut self, now: Time, out: &mut Vec<EntryEffect>) {
-        while self.waiting > 0 && self.servers.total_free_capacity() > 0 {
+        while self.queued_count > 0 && self.servers.total_free_capacity() > 0 {
             let Some(next) = self.next_send(now) else { return };
             self.dequeue(next.request);
             let class = self.requests.get(&next.request).map(|request| request.class);
@@ -140,7 +140,7 @@
         let next_hedge_at = now + self.classes.get(request.class).hedge_after();
         request.hedge_at = Some(next_hedge_at);
         self.timers.insert((next_hedge_at, Timer::Hedge(id)));
-        if self.waiting > 0 {
+        if self.queued_count > 0 {
             return;
         }
         let first = self.attempts.get(&request.attempts[0]).map(|attempt| attempt.server);
--- a/crates/requests/src/entry/dump.rs
+++ b/crates/requests/src/entry/dump.rs
@@ -64,7 +64,7 @@
     pub fn dump(&self) -> EntryDump {
         let micros = |span: std::time::Duration| span.as_micros() as u64;
         let classes = self.classes.indices().map(|ix| (ix, self.classes.get(ix)));
-        let configured = classes.filter(|(_, class)| class.service.is_some());
+        let configured = classes.filter(|(_, class)| class.settings.is_some());
         let servers = self.servers.iter().map(|(_, server)| ServerDump {
             vm: server.vm.clone(),
             share: server.share,
--- a/crates/requests/src/entry/mod.rs
+++ b/crates/requests/src/entry/mod.rs
@@ -32,7 +32,7 @@
 
 use {
     self::{
-        class::{Classes, Service},
+        class::{ClassSettings, Classes},
         fairness::Fairness,
         grantors::Grantors,
         permits::Reports,
@@ -65,7 +65,7 @@
     timers: BTreeSet<(Time, Timer)>,
     reports: Reports,
     /// Number of queued requests.
-    waiting: usize,
+    queued_count: usize,
     /// When demand is next checked between ticks.
     next_demand_check: Time,
     shutdown_started_at: Option<Time>,
@@ -89,7 +89,7 @@
             next_attempt: 1,
             timers: BTreeSet::new(),
             reports: Reports::default(),
-            waiting: 0,
+            queued_count: 0,
             next_demand_check: Time::ZERO,
             shutdown_started_at: None,
             drained: false,
@@ -134,14 +134,14 @@
 
     fn configure(&mut self, document: &Arc<ConfigDocument>) {
         for ix in self.classes.indices() {
-            self.classes.get_mut(ix).service = None;
+            self.classes.get_mut(ix).settings = None;
         }
         for spec in &document.classes {
             let ClassKind::Latency { target, idempotent, .. } = spec.kind else { continue };
             let ix = self.classes.find_or_add(&spec.name);
             self.fairness.find_or_add(&spec.member);
-            self.classes.get_mut(ix).service =
-                Some(Service { organisation: spec.member.clone(), target, idempotent });
+            self.classes.get_mut(ix).settings =
+                Some(ClassSettings { organisation: spec.member.clone(), target, idempotent });
         }
     }
 
--- a/crates/requests/src/entry/outcome.rs
+++ b/crates/requests/src/entry/outcome.rs
@@ -76,7 +76,7 @@
             matches!(result, AttemptResult::Complete { status, .. } if *status < MIN_ERROR_STATUS);
         if answered {
             state.latency.record(took);
-            let target = state.service.as_ref().map_or(Duration::MAX, |service| service.target);
+            let target = state.settings.as_ref().map_or(Duration::MAX, |settings| settings.target);
             state.limit.record(now, took, target);
         }
         // An exchange beyond a reduced share has ended; the grantor can grant its slot once it
--- a/crates/requests/src/entry/share_requests.rs
+++ b/crates/requests/src/entry/share_requests.rs
@@ -77,7 +77,7 @@
     fn has_class_without_share(&self) -> bool {
         let without_candidate =
             |ix: ClassIx| !self.classes.get(ix).queue.is_empty() && !self.servers.has_candidate(ix);
-        self.waiting > 0 && self.classes.indices().any(without_candidate)
+        self.queued_count > 0 && self.classes.indices().any(without_candidate)
     }
 
     /// Requests shares when demand grows, without waiting for the next tick.
@@ -107,7 +107,7 @@
         if self.drained {
             return;
         }
-        let need = self.waiting + self.attempts.len();
+        let need = self.queued_count + self.attempts.len();
         let due = self.grantors.due(now, Demand { needs_shares, need });
         if due.is_empty() {
             return;
@@ -159,7 +159,7 @@
         grantor.requested_at = Some(now);
         grantor.awaiting_grant = true;
         grantor.urgent = false;
-        grantor.requested_need = self.waiting + self.attempts.len();
+        grantor.requested_need = self.queued_count + self.attempts.len();
         let request = ShareRequest {
             shard,
             epoch,
@@ -287,7 +287,7 @@
         }
         for (i, servers) in by_class.iter_mut().enumerate() {
             let class = self.classes.get(ClassIx(i));
-            if class.service.is_none() || servers.is_empty() {
+            if class.settings.is_none() || servers.is_empty() {
                 continue;
             }
             servers.sort_by_key(|ix| self.selection_order(*ix, self.servers.get(*ix)));
--- a/crates/requests/src/keys/state.rs
+++ b/crates/requests/src/keys/state.rs
@@ -34,10 +34,11 @@
     pub(super) recorded_at: RecordedAt,
 }
 
+/// The keys of one shard.
 #[derive(Debug, Default)]
 pub(super) struct ShardKeys {
     pub(super) epoch: Option<Epoch>,
-    pub(super) keys: BTreeMap<RequestKey, KeyState>,
+    pub(super) states: BTreeMap<RequestKey, KeyState>,
     /// Permits that wait for their intents to be in the log.
     pub(super) intents: BTreeMap<Ticket, RequestKey>,
     /// Reports that wait for their outcomes to be in the log.
--- a/crates/requests/src/keys/table.rs
+++ b/crates/requests/src/keys/table.rs
@@ -159,7 +159,7 @@
 
     /// Replays one entry of a predecessor's journal; entries must come in their order.
     pub fn replay(&mut self, shard: ShardId, entry: &KeyJournalEntry) {
-        let keys = &mut self.shards.entry(shard).or_default().keys;
+        let keys = &mut self.shards.entry(shard).or_default().states;
         let recorded_at = RecordedAt::Age(Duration::ZERO);
         match entry {
             KeyJournalEntry::Intent { key, body, holder } => {
@@ -184,8 +184,8 @@
 
     /// Returns all keys of the shard, for the journal.
     pub fn snapshot(&self, now: Time, shard: ShardId) -> KeySnapshot {
-        let Some(shard) = self.shards.get(&shard) else { return KeySnapshot::default() };
-        let records = shard.keys.iter().map(|(key, state)| KeyRecord {
+        let Some(shard_keys) = self.shards.get(&shard) else { return KeySnapshot::default() };
+        let records = shard_keys.states.iter().map(|(key, state)| KeyRecord {
             key: key.clone(),
             body: state.body,
             holder: state.holder,
@@ -208,19 +208,19 @@
             let recorded_at = RecordedAt::Age(record.age);
             (record.key, KeyState { body: record.body, holder: record.holder, phase, recorded_at })
         });
-        let shard = self.shards.entry(shard).or_default();
-        shard.keys = keys.collect();
+        let shard_keys = self.shards.entry(shard).or_default();
+        shard_keys.states = keys.collect();
     }
 
     /// Number of keys stored for the shard.
     pub fn key_count(&self, shard: ShardId) -> usize {
-        self.shards.get(&shard).map_or(0, |shard| shard.keys.len())
+        self.shards.get(&shard).map_or(0, |shard_keys| shard_keys.states.len())
     }
 
     fn acquire(&mut self, now: Time, shard: ShardId, epoch: Epoch) {
-        let shard = self.shards.entry(shard).or_default();
-        shard.epoch = Some(epoch);
-        for state in shard.keys.values_mut() {
+        let shard_keys = self.shards.entry(shard).or_default();
+        shard_keys.epoch = Some(epoch);
+        for state in shard_keys.states.values_mut() {
             if let RecordedAt::Age(age) = state.recorded_at {
                 // A holder gets the full time to report to the new owner. An age that exceeds this
                 // clock's time is truncated, so a key is kept longer, never shorter.
@@ -233,7 +233,7 @@
     /// Drops the shard and refuses the permits that are pending.
     fn release(&mut self, shard: ShardId, out: &mut Vec<KeyTableEffect>) {
         let Some(lost) = self.shards.remove(&shard) else { return };
-        for state in lost.keys.values() {
+        for state in lost.states.values() {
             if matches!(state.phase, Phase::IntentPending { .. }) {
                 let holder = state.holder;
                 out.push(KeyTableEffect::Answer { shard, holder, permit: Permit::Unavailable });
@@ -258,7 +258,7 @@
         if held != keys.epoch || keys.abandoned.contains_key(&holder) {
             return answer(Permit::Unavailable);
         }
-        if let Some(state) = keys.keys.get(&request.key) {
+        if let Some(state) = keys.states.get(&request.key) {
             if let Some(permit) = state.evaluate(now, &request, self.protections) {
                 return answer(permit);
             }
@@ -268,7 +268,7 @@
         }
         // A full table refuses rather than drop a key early. While the log is down requests are
         // refused at once instead of after the timeout.
-        let full = keys.keys.len() >= MAX_KEYS_PER_SHARD;
+        let full = keys.states.len() >= MAX_KEYS_PER_SHARD;
         if full || (!self.log_up && self.protections.journal_intent) {
             return answer(Permit::Unavailable);
         }
@@ -295,7 +295,7 @@
         }
         let recorded_at = RecordedAt::At(now);
         keys.intents.insert(ticket, request.key.clone());
-        keys.keys.insert(
+        keys.states.insert(
             request.key,
             KeyState { body: request.body, holder: request.holder, phase, recorded_at },
         );
@@ -314,7 +314,7 @@
                 return;
             }
             let Some(key) = keys.intents.remove(&ticket) else { continue };
-            let Some(state) = keys.keys.get_mut(&key) else { return };
+            let Some(state) = keys.states.get_mut(&key) else { return };
             // The permit was refused while the append was in progress.
             if !matches!(state.phase, Phase::IntentPending { ticket: pending } if pending == ticket)
             {
@@ -345,7 +345,7 @@
         if held.is_none() || held != keys.epoch {
             return;
         }
-        let permitted = keys.keys.get(&report.key).filter(|state| state.holder == report.holder);
+        let permitted = keys.states.get(&report.key).filter(|state| state.holder == report.holder);
         let Some(state) = permitted else {
             // The key was freed before, or the permit request is still in transit. A permit granted
             // later would have no holder and leave the key in doubt.
@@ -378,8 +378,8 @@
         let ticket = self.next_ticket();
         let Some(keys) = self.shards.get_mut(&report.shard) else { return };
         if report.outcome == KeyOutcome::NotRun {
-            keys.keys.remove(&report.key);
-        } else if let Some(state) = keys.keys.get_mut(&report.key) {
+            keys.states.remove(&report.key);
+        } else if let Some(state) = keys.states.get_mut(&report.key) {
             state.phase = Phase::Completed(report.outcome.clone());
             state.recorded_at = RecordedAt::At(now);
         }
@@ -402,7 +402,7 @@
         let mut refused = Vec::new();
         for (shard, keys) in &self.shards {
             for key in keys.intents.values() {
-                let Some(state) = keys.keys.get(key) else { continue };
+                let Some(state) = keys.states.get(key) else { continue };
                 let RecordedAt::At(at) = state.recorded_at else { continue };
                 if matches!(state.phase, Phase::IntentPending { .. }) && now.since(at) >= max_wait {
                     refused.push((*shard, key.clone(), state.holder));
@@ -421,8 +421,8 @@
             return;
         }
         self.last_sweep = now;
-        for shard in self.shards.values_mut().filter(|shard| shard.epoch.is_some()) {
-            shard.keys.retain(|_, state| match state.recorded_at {
+        for shard_keys in self.shards.values_mut().filter(|shard_keys| shard_keys.epoch.is_some()) {
+            shard_keys.states.retain(|_, state| match state.recorded_at {
                 RecordedAt::At(at) => now.since(at) < KEY_RETENTION,
                 RecordedAt::Age(_) => true,
             });
