--- a/crates/relay/tests/assignment.rs
+++ b/crates/relay/tests/assignment.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// New relays must take over the workers that older ones have above their share.
+/// New relays must take over the workers that older ones have beyond an equal distribution.
 #[test]
 fn new_relay_used() {
     let mut assignment = assigned_fleet(128);
--- a/crates/requests/examples/request_cost.rs
+++ b/crates/requests/examples/request_cost.rs
@@ -42,7 +42,7 @@
     entry: Entry,
     shares: ShareTable,
     now: Time,
-    next: u64,
+    next_request: u64,
     sent: VecDeque<AttemptId>,
     classes: Vec<ClassName>,
     share_request_bytes: usize,
@@ -59,7 +59,7 @@
             entry: Entry::new(opts),
             shares: ShareTable::new(),
             now: Time::from_secs(100),
-            next: 0,
+            next_request: 0,
             sent: VecDeque::new(),
             classes: names.collect(),
             share_request_bytes: 0,
@@ -94,13 +94,13 @@
         // Each VM runs four of the classes.
         let number: usize = vm.vm.as_str()[3..].parse().unwrap();
         let count = self.classes.len();
-        let served = (0..count.min(4)).map(|i| self.classes[(number * 4 + i) % count].clone());
+        let classes = (0..count.min(4)).map(|i| self.classes[(number * 4 + i) % count].clone());
         let info = ServerInfo {
             vm: vm.vm.clone(),
             addr: vm.addr.clone(),
             data_centre: vm.data_centre.clone(),
             state: vm.state,
-            classes: served.collect(),
+            classes: classes.collect(),
         };
         ServerSpec { info, slots: SLOTS, connections: 64 }
     }
@@ -148,9 +148,9 @@
     }
 
     fn arrive(&mut self) {
-        let class = self.classes[self.next as usize % self.classes.len()].clone();
-        let request = RequestId(self.next);
-        self.next += 1;
+        let class = self.classes[self.next_request as usize % self.classes.len()].clone();
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
         self.step(EntryEvent::Arrived(Arrival {
             request,
             class,
--- a/crates/requests/tests/adaptive_limit.rs
+++ b/crates/requests/tests/adaptive_limit.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_thrashing_service_is_kept_below_its_slots() {
     let target = Duration::from_millis(500);
-    let class = ClassSetup { name: "check", member: "andina", target, idempotent: true };
+    let class = ClassSetup { name: "check", organisation: "andina", target, idempotent: true };
     let best = SRI_LANKA.capacity(100.0) / f64::from(SLOTS) * 4.0;
     let stream = |from_ms, to_ms, share: f64| Stream {
         class: 0,
--- a/crates/requests/tests/going_away.rs
+++ b/crates/requests/tests/going_away.rs
@@ -15,7 +15,7 @@
 /// A world under half its capacity, with `seconds` of requests scheduled.
 fn busy(seconds: u64) -> World {
     let target = Duration::from_millis(500);
-    let class = ClassSetup { name: "check", member: "andina", target, idempotent: false };
+    let class = ClassSetup { name: "check", organisation: "andina", target, idempotent: false };
     let per_second = BOGOTA.capacity(100.0) * 0.5;
     let stream =
         Stream { class: 0, from_ms: 0, to_ms: seconds * 1_000, per_second, mean_work_ms: 100.0 };
--- a/crates/requests/tests/load_shapes.rs
+++ b/crates/requests/tests/load_shapes.rs
@@ -18,8 +18,8 @@
 const TARGET_MS: u64 = 500;
 const WORK_MS: f64 = 100.0;
 
-fn class(name: &'static str, member: &'static str, target_ms: u64) -> ClassSetup {
-    ClassSetup { name, member, target: Duration::from_millis(target_ms), idempotent: true }
+fn class(name: &'static str, organisation: &'static str, target_ms: u64) -> ClassSetup {
+    ClassSetup { name, organisation, target: Duration::from_millis(target_ms), idempotent: true }
 }
 
 fn two_organisations() -> Vec<ClassSetup> {
--- a/crates/requests/tests/retry_budget.rs
+++ b/crates/requests/tests/retry_budget.rs
@@ -17,7 +17,7 @@
 fn a_retry_storm_is_impossible() {
     for failing in [22, 65] {
         let target = Duration::from_millis(500);
-        let class = ClassSetup { name: "check", member: "andina", target, idempotent: true };
+        let class = ClassSetup { name: "check", organisation: "andina", target, idempotent: true };
         let per_second = BOGOTA.capacity(100.0) * 0.5;
         let stream =
             Stream { class: 0, from_ms: 0, to_ms: 10_000, per_second, mean_work_ms: 100.0 };
--- a/crates/requests/tests/support/check.rs
+++ b/crates/requests/tests/support/check.rs
@@ -49,7 +49,7 @@
             }
         }
         Some(Verdict::Recorded(answer)) => {
-            let body = (record.intent as u64).to_le_bytes().to_vec();
+            let body = (record.operation as u64).to_le_bytes().to_vec();
             if answer.body != Some(body) {
                 found.push(format!("request {i} got the recorded answer of another"));
             }
@@ -74,10 +74,10 @@
     let mut runs: BTreeMap<usize, u32> = BTreeMap::new();
     for record in &world.requests {
         if !world.setup.classes[record.class].idempotent {
-            *runs.entry(record.intent).or_default() += record.runs;
+            *runs.entry(record.operation).or_default() += record.runs;
         }
     }
-    for (intent, runs) in runs.into_iter().filter(|(_, runs)| *runs > 1) {
-        found.push(format!("non-idempotent request {intent} ran {runs} times"));
+    for (operation, runs) in runs.into_iter().filter(|(_, runs)| *runs > 1) {
+        found.push(format!("non-idempotent request {operation} ran {runs} times"));
     }
 }
--- a/crates/requests/tests/support/faults.rs
+++ b/crates/requests/tests/support/faults.rs
@@ -79,10 +79,14 @@
 /// Faults to inject, and the request that meets them.
 #[derive(Debug, Default)]
 pub struct FaultPlan {
+    /// The request that meets the faults.
     target: Option<RequestId>,
-    intent: usize,
+    operation: usize,
+    /// Faults that are still to be injected.
     faults: Vec<(Step, Fault)>,
+    /// Server that the target was last sent to.
     server: usize,
+    /// Fault of the next answer to the target.
     answer: Option<Fault>,
     tries: usize,
     pub injected: usize,
@@ -151,7 +155,7 @@
                 self.plan.answer = Some(fault);
             }
             Fault::LogDown => self.log.down_until = self.now + LOG_OUTAGE,
-            Fault::LogAnswerLost => self.log.lose_answers = 1,
+            Fault::LogAnswerLost => self.log.answers_to_lose = 1,
             Fault::KeyOwnerKilled => {
                 self.schedulers[KEY_OWNER].alive = false;
                 self.at(self.now + FAILURE_DETECTION, SimEvent::RunAction(ACTION_SUCCEED_KEYS));
@@ -196,7 +200,7 @@
     /// unknown and it may be sent again.
     pub fn caller_retry(&mut self, id: RequestId) {
         let record = self.requests[id.0 as usize].clone();
-        if self.plan.target.is_none() || record.intent != self.plan.intent {
+        if self.plan.target.is_none() || record.operation != self.plan.operation {
             return;
         }
         self.plan.tries += 1;
@@ -209,7 +213,7 @@
             Some(Verdict::Error { .. }) | None if repeatable => Duration::from_secs(2),
             _ => return,
         };
-        if self.plan.tries >= MAX_TRIES || self.now > end() {
+        if self.plan.tries >= MAX_TRIES || self.now > retries_end() {
             return;
         }
         let entry = (record.entry + 1) % self.setup.entries;
@@ -228,7 +232,7 @@
 }
 
 /// When callers of a cell stop retrying.
-fn end() -> Time {
+fn retries_end() -> Time {
     Time::from_secs(160)
 }
 
@@ -279,9 +283,9 @@
     seed: u64,
 ) -> Cell {
     let mut world = start_cell(conditions, kind, faults, protections, seed);
-    world.run_until(end() + Duration::from_secs(40));
+    world.run_until(retries_end() + Duration::from_secs(40));
     let violations = violations(&world);
-    let tries = || world.requests.iter().filter(|record| record.intent == 1_000_000);
+    let tries = || world.requests.iter().filter(|record| record.operation == 1_000_000);
     let truthful = !violations.iter().any(|text| text.contains("said"));
     Cell {
         kind,
@@ -310,11 +314,11 @@
     let mut world = World::new(small_setup(protections, seed));
     world.jitter = conditions.jitter;
     world.entries[0].clock_permille = -conditions.slow_clock_permille;
-    background(&mut world, conditions);
+    schedule_background(&mut world, conditions);
     let start = Time::from_secs(102);
     let target = world.request(start, record(&mut world_rng(seed), kind, 1_000_000, start, 0));
     world.plan.target = Some(target);
-    world.plan.intent = 1_000_000;
+    world.plan.operation = 1_000_000;
     world.plan.faults = faults.to_vec();
     world
 }
@@ -336,9 +340,9 @@
 }
 
 fn small_setup(protections: Protections, seed: u64) -> Setup {
-    let class = |name, member, idempotent| ClassSetup {
+    let class = |name, organisation, idempotent| ClassSetup {
         name,
-        member,
+        organisation,
         target: Duration::from_millis(1_500),
         idempotent,
     };
@@ -364,19 +368,20 @@
 fn record(
     rng: &mut rand::rngs::SmallRng,
     kind: Kind,
-    intent: usize,
+    operation: usize,
     arrived: Time,
     entry: usize,
 ) -> Record {
     let keyed = kind == Kind::Keyed;
-    let key = keyed.then(|| RequestKey::new("kelani".parse().unwrap(), &format!("key-{intent}")));
+    let key =
+        keyed.then(|| RequestKey::new("kelani".parse().unwrap(), &format!("key-{operation}")));
     Record {
         class: usize::from(kind != Kind::Idempotent),
         arrived,
         work: Duration::from_millis(rng.random_range(60..240)),
         deadline: Some(Duration::from_secs(2)),
         key: key.map(Result::unwrap),
-        intent,
+        operation,
         entry,
         incarnation: 0,
         answers: Vec::new(),
@@ -388,17 +393,17 @@
 }
 
 /// Schedules other callers' requests of each kind before and after the fault.
-fn background(world: &mut World, conditions: Conditions) {
+fn schedule_background(world: &mut World, conditions: Conditions) {
     let mut rng = world_rng(world.setup.seed ^ 1);
     let mut at = Time::from_secs(101);
-    for intent in 0.. {
+    for operation in 0.. {
         at = at + Duration::from_millis(rng.random_range(1..conditions.gap_ms));
         if at > Time::from_secs(130) {
             return;
         }
         let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
         let entry = rng.random_range(0..world.setup.entries);
-        let mut other = record(&mut rng, kind, intent, at, entry);
+        let mut other = record(&mut rng, kind, operation, at, entry);
         let (min_ms, max_ms) = conditions.work_ms;
         other.work = Duration::from_millis(rng.random_range(min_ms..max_ms));
         // Long requests have no deadline.
--- a/crates/requests/tests/support/load.rs
+++ b/crates/requests/tests/support/load.rs
@@ -187,7 +187,7 @@
         work: load_request.work,
         deadline: None,
         key: None,
-        intent: i,
+        operation: i,
         entry: load_request.entry,
         incarnation: 0,
         answers: Vec::new(),
@@ -211,15 +211,15 @@
 impl Runs {
     /// Outcome of one class's requests that arrived in a time range.
     pub fn egretlb(&self, class: usize, arrived_ms: Range<u64>) -> Outcome {
-        select(&self.egretlb, class, arrived_ms, self.targets[class])
+        outcome_of(&self.egretlb, class, arrived_ms, self.targets[class])
     }
 
     pub fn baseline(&self, class: usize, arrived_ms: Range<u64>) -> Outcome {
-        select(&self.baseline, class, arrived_ms, self.targets[class])
+        outcome_of(&self.baseline, class, arrived_ms, self.targets[class])
     }
 }
 
-fn select(samples: &[Sample], class: usize, ms: Range<u64>, target: Duration) -> Outcome {
+fn outcome_of(samples: &[Sample], class: usize, ms: Range<u64>, target: Duration) -> Outcome {
     let chosen = samples.iter().copied();
     outcome(chosen.filter(|s| s.class == class && ms.contains(&s.arrived_ms)), target)
 }
--- a/crates/requests/tests/support/owners.rs
+++ b/crates/requests/tests/support/owners.rs
@@ -69,7 +69,8 @@
 #[derive(Debug, Default)]
 pub struct Log {
     pub down_until: Time,
-    pub lose_answers: u32,
+    /// Number of next answers that are lost.
+    pub answers_to_lose: u32,
     appended: BTreeSet<(usize, Ticket)>,
     entries: BTreeMap<ShardId, Vec<(Epoch, KeyJournalEntry)>>,
     snapshots: BTreeMap<ShardId, (Epoch, KeySnapshot)>,
--- a/crates/requests/tests/support/stats.rs
+++ b/crates/requests/tests/support/stats.rs
@@ -24,6 +24,7 @@
     pub within: f64,
     /// Number of requests that were answered within the target.
     pub good: usize,
+    /// Fraction of all requests that were refused or failed.
     pub refused: f64,
     pub refusal_p99: Duration,
     /// Attempts beyond the first, as a fraction of first attempts.
@@ -44,18 +45,18 @@
     let extra: u32 = samples.iter().map(|sample| sample.sends.saturating_sub(1)).sum();
     Outcome {
         requests: samples.len(),
-        p50: at(&answered, 500),
-        p99: at(&answered, 990),
-        p999: at(&answered, 999),
+        p50: quantile(&answered, 500),
+        p99: quantile(&answered, 990),
+        p999: quantile(&answered, 999),
         within: good as f64 / count,
         good,
         refused: refused.len() as f64 / count,
-        refusal_p99: at(&refused, 990),
+        refusal_p99: quantile(&refused, 990),
         extra: f64::from(extra) / firsts,
     }
 }
 
-fn at(sorted: &[Duration], permille: usize) -> Duration {
+fn quantile(sorted: &[Duration], permille: usize) -> Duration {
     let rank = (sorted.len() * permille).div_ceil(1_000).max(1) - 1;
     sorted.get(rank).copied().unwrap_or_default()
 }
--- a/crates/requests/tests/support/world/mod.rs
+++ b/crates/requests/tests/support/world/mod.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct ClassSetup {
     pub name: &'static str,
-    pub member: &'static str,
+    pub organisation: &'static str,
     pub target: Duration,
     pub idempotent: bool,
 }
@@ -64,8 +64,8 @@
     pub work: Duration,
     pub deadline: Option<Duration>,
     pub key: Option<RequestKey>,
-    /// Id of the caller's request that this is a try of.
-    pub intent: usize,
+    /// Id of the caller's operation; each try is a request.
+    pub operation: usize,
     pub entry: usize,
     pub incarnation: u32,
     pub answers: Vec<(Time, Verdict)>,
@@ -84,12 +84,15 @@
     pub paused_until: Time,
     /// Open exchanges whose end hasn't been reported to the entry.
     pub open: HashMap<AttemptId, Run>,
-    woken_at: Option<Time>,
+    /// When its next timer event is due.
+    wake_due_at: Option<Time>,
     pub drained: bool,
     /// How much faster its clock runs than the others', in thousandths.
     pub clock_permille: i64,
 }
 
+/// Events of the simulation. A `usize` is the index of the entry, server or scheduler; a `u32` is an
+/// entry's incarnation or a server's generation, except in `RunAction`.
 #[derive(Debug)]
 pub enum SimEvent {
     Arrive(RequestId),
@@ -110,6 +113,7 @@
     RunAction(u32),
 }
 
+/// An event, when it is due, and a number that breaks ties.
 struct Due(Time, u64, SimEvent);
 
 impl PartialEq for Due {
@@ -266,7 +270,7 @@
             incarnation,
             paused_until: Time::ZERO,
             open: HashMap::new(),
-            woken_at: None,
+            wake_due_at: None,
             drained: false,
             clock_permille: 0,
         }
@@ -350,7 +354,7 @@
             }
             SimEvent::Wake(i, incarnation) => {
                 if self.is_running(i, incarnation) {
-                    self.entries[i].woken_at = None;
+                    self.entries[i].wake_due_at = None;
                     self.entry_event(i, incarnation, Box::new(EntryEvent::Tick));
                 }
             }
@@ -423,9 +427,9 @@
         }
         let wake = self.entries[i].reducer.wake_at().map(|at| self.entries[i].world_time(at));
         if let Some(at) = wake
-            && self.entries[i].woken_at.is_none_or(|woken| at < woken)
+            && self.entries[i].wake_due_at.is_none_or(|due_at| at < due_at)
         {
-            self.entries[i].woken_at = Some(at);
+            self.entries[i].wake_due_at = Some(at);
             self.at(at.max(self.now), SimEvent::Wake(i, incarnation));
         }
     }
@@ -435,7 +439,7 @@
 fn document(classes: &[ClassSetup]) -> ConfigDocument {
     let specs = classes.iter().map(|class| ClassSpec {
         name: class.name.parse().unwrap(),
-        member: class.member.parse::<Organisation>().unwrap(),
+        member: class.organisation.parse::<Organisation>().unwrap(),
         team: "team".parse().unwrap(),
         kind: ClassKind::Latency {
             permille: 990,
--- a/crates/requests/tests/support/world/performing.rs
+++ b/crates/requests/tests/support/world/performing.rs
@@ -160,8 +160,8 @@
             self.start(server, next);
         }
         self.step(Step::Finished, run.request);
-        let intent = self.requests[run.request.0 as usize].intent as u64;
-        let body = Some(intent.to_le_bytes().to_vec());
+        let operation = self.requests[run.request.0 as usize].operation as u64;
+        let body = Some(operation.to_le_bytes().to_vec());
         let complete = AttemptResult::Complete { status: 200, recorded_body: body };
         let delay = self.network_delay();
         let complete = if self.servers[server].truncates_answers {
@@ -271,8 +271,8 @@
             KeyJournalEntry::Outcome { holder, .. } => (Step::OutcomeInLog, *holder),
         };
         self.step(step, holder.request);
-        if self.log.lose_answers > 0 {
-            self.log.lose_answers -= 1;
+        if self.log.answers_to_lose > 0 {
+            self.log.answers_to_lose -= 1;
             self.at(self.now + LOG_RETRY_INTERVAL, SimEvent::LogApply(append));
         } else {
             self.at(self.now + LOG_DELAY, SimEvent::LogAck(append));
@@ -370,16 +370,17 @@
             *owner = (successor, owner.1.next());
             claimed.push((*shard, owner.1));
         }
-        let acts = self.now + AUTHORITY + AUTHORITY / 50;
+        let effective_at = self.now + AUTHORITY + AUTHORITY / 50;
         for (shard, epoch) in claimed {
-            self.at(acts, SimEvent::TakeOwnership(successor, shard, epoch));
+            self.at(effective_at, SimEvent::TakeOwnership(successor, shard, epoch));
         }
         let owners = self.owner_list();
         for i in 0..self.entries.len() {
-            let read = self.now + MAX_CONTROL_READ_DELAY.mul_f64(self.rng.random_range(0.1..1.0));
+            let read_at =
+                self.now + MAX_CONTROL_READ_DELAY.mul_f64(self.rng.random_range(0.1..1.0));
             let incarnation = self.entries[i].incarnation;
             let event = EntryEvent::Owners { owners: owners.clone() };
-            self.at(read, SimEvent::ToEntry(i, incarnation, Box::new(event)));
+            self.at(read_at, SimEvent::ToEntry(i, incarnation, Box::new(event)));
         }
     }
 
@@ -388,7 +389,7 @@
         entry.alive = false;
         entry.open.clear();
         let incarnation = entry.incarnation;
-        let cut: Vec<RequestId> = (0..self.requests.len())
+        let disconnected: Vec<RequestId> = (0..self.requests.len())
             .filter(|r| {
                 let record = &self.requests[*r];
                 record.entry == i
@@ -398,7 +399,7 @@
             })
             .map(|r| RequestId(r as u64))
             .collect();
-        for id in cut {
+        for id in disconnected {
             self.requests[id.0 as usize].connection_lost = true;
             self.caller_retry(id);
         }
