--- a/crates/runtime/src/append.rs
+++ b/crates/runtime/src/append.rs
@@ -128,6 +128,7 @@
         let records = append.records.len();
         let stored = self.append_until_settled(started, append).await;
         self.append_started.set(None);
+        // The store is failing: clients of queued records can try another VM.
         if stored != Stored::Yes {
             log::warn!(records, stored:? = stored; "append_given_up");
             self.reject_queued();
--- a/crates/runtime/src/commands.rs
+++ b/crates/runtime/src/commands.rs
@@ -30,6 +30,7 @@
 /// Limits the concurrent commands per worker.
 #[derive(Debug, Default)]
 pub(crate) struct CommandSlots {
+    /// Semaphore of each worker address that was ever called.
     by_addr: RefCell<HashMap<SocketAddr, Arc<Semaphore>>>,
 }
 
--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -50,6 +50,7 @@
     pub(crate) limits: Limits,
     pub(crate) ledger: Ledger,
     pub(crate) leadership: Leadership,
+    /// The scheduler, while this process leads.
     pub(crate) scheduler: Option<Scheduler>,
     pub(crate) directory: BTreeMap<WorkerId, WorkerInfo>,
     /// Workers whose newest entry is unreadable, up to [`MAX_UNREADABLE_WORKERS`].
@@ -60,6 +61,7 @@
     pub(crate) work_progress: ReadProgress,
     /// Workflows accepted here whose records haven't been read yet.
     pub(crate) accepted: HashSet<WorkflowId>,
+    /// Whether the process is shutting down: it claims no term and starts no tasks.
     pub(crate) stopping: bool,
 }
 
