--- a/crates/requests/src/entry/meter.rs
+++ b/crates/requests/src/entry/meter.rs
@@ -55,6 +55,7 @@
     load: ClassLoad,
     /// Sum of the times that requests were open.
     open_micros: u128,
+    /// When `open` was set last.
     open_changed_at: Time,
     open: u32,
     /// Maximum number of open and waiting requests in this period.
--- a/crates/requests/src/entry/servers.rs
+++ b/crates/requests/src/entry/servers.rs
@@ -57,9 +57,9 @@
 /// Counts of one class's servers, and those of them that can take a request now.
 #[derive(Clone, Debug, Default)]
 struct ClassServers {
-    /// ClassServers in the entry's data centre.
+    /// Candidates in the entry's data centre.
     local: Vec<ServerIx>,
-    /// ClassServers in other data centres.
+    /// Candidates in other data centres.
     remote: Vec<ServerIx>,
     /// Number of servers that run the class.
     servers: u32,
@@ -76,7 +76,8 @@
     by_vm: HashMap<VmId, ServerIx>,
     /// Indices of removed servers, to be reused.
     free_indices: Vec<ServerIx>,
-    candidates: Vec<ClassServers>,
+    /// Indexed by [`ClassIx`].
+    by_class: Vec<ClassServers>,
     /// Number of requests that could be opened now.
     free_capacity: u32,
     /// Sum of all shares.
@@ -150,17 +151,17 @@
 
     /// Number of servers that run the class.
     pub(super) fn server_count(&self, class: ClassIx) -> u32 {
-        self.candidates.get(class.0).map_or(0, |candidates| candidates.servers)
+        self.by_class.get(class.0).map_or(0, |class_servers| class_servers.servers)
     }
 
     /// Sum of the shares of the servers that run the class; other classes may use them too.
     pub(super) fn share_sum(&self, class: ClassIx) -> u32 {
-        self.candidates.get(class.0).map_or(0, |candidates| candidates.shares)
+        self.by_class.get(class.0).map_or(0, |class_servers| class_servers.shares)
     }
 
     pub(super) fn has_candidate(&self, class: ClassIx) -> bool {
-        let candidates = self.candidates.get(class.0);
-        candidates.is_some_and(|c| !c.local.is_empty() || !c.remote.is_empty())
+        let class_servers = self.by_class.get(class.0);
+        class_servers.is_some_and(|c| !c.local.is_empty() || !c.remote.is_empty())
     }
 
     /// Applies a grantor's description of a server.
@@ -182,7 +183,8 @@
         ix
     }
 
-    /// Removes a server that its grantor doesn't describe any more, once nothing is open there.
+    /// Stops using a server that its grantor doesn't describe any more. Its index is free once nothing
+    /// is open there.
     pub(super) fn remove(&mut self, ix: ServerIx) {
         self.set_share(ix, 0);
         self.update(ix, |server| server.described_draining = true);
@@ -193,7 +195,7 @@
     pub(super) fn set_share(&mut self, ix: ServerIx, share: u16) {
         let old = self.list[ix.0].share;
         for class in self.list[ix.0].classes.clone() {
-            let sum = &mut self.candidates[class.0].shares;
+            let sum = &mut self.by_class[class.0].shares;
             *sum = *sum - u32::from(old) + u32::from(share);
         }
         self.total_share = self.total_share - u32::from(old) + u32::from(share);
@@ -220,7 +222,7 @@
             && until <= now
         {
             for class in self.list[ix.0].classes.clone() {
-                self.candidates[class.0].ejected -= 1;
+                self.by_class[class.0].ejected -= 1;
             }
             self.update(ix, |server| server.health.start_probing());
         }
@@ -262,7 +264,7 @@
         except: Option<ServerIx>,
         rng: &mut SmallRng,
     ) -> Option<ServerIx> {
-        let candidates = self.candidates.get(class.0)?;
+        let candidates = self.by_class.get(class.0)?;
         let is_eligible =
             |ix: &ServerIx| Some(*ix) != except && (may_probe || !self.list[ix.0].is_probing());
         for list in [&candidates.local, &candidates.remote] {
@@ -322,17 +324,17 @@
         let ejected =
             u32::from(matches!(self.list[ix.0].health.state, HealthState::Ejected { .. }));
         for class in std::mem::take(&mut self.list[ix.0].classes) {
-            self.candidates[class.0].servers -= 1;
-            self.candidates[class.0].shares -= share;
-            self.candidates[class.0].ejected -= ejected;
+            self.by_class[class.0].servers -= 1;
+            self.by_class[class.0].shares -= share;
+            self.by_class[class.0].ejected -= ejected;
         }
         for class in &classes {
-            if self.candidates.len() <= class.0 {
-                self.candidates.resize_with(class.0 + 1, ClassServers::default);
+            if self.by_class.len() <= class.0 {
+                self.by_class.resize_with(class.0 + 1, ClassServers::default);
             }
-            self.candidates[class.0].servers += 1;
-            self.candidates[class.0].shares += share;
-            self.candidates[class.0].ejected += ejected;
+            self.by_class[class.0].servers += 1;
+            self.by_class[class.0].shares += share;
+            self.by_class[class.0].ejected += ejected;
         }
         self.list[ix.0].classes = classes;
         self.add_capacity(ix);
@@ -342,16 +344,16 @@
         let server = &self.list[ix.0];
         // A server that fails its probe is always ejected again: the limit is for active servers.
         let below_limit = |class: &ClassIx| {
-            let candidates = &self.candidates[class.0];
-            candidates.servers >= 2
-                && candidates.ejected < (candidates.servers / SERVERS_PER_EJECTION).max(1)
+            let class_servers = &self.by_class[class.0];
+            class_servers.servers >= 2
+                && class_servers.ejected < (class_servers.servers / SERVERS_PER_EJECTION).max(1)
         };
         let allowed = server.is_probing() || server.classes.iter().all(below_limit);
         if !server.health.should_eject() || !allowed {
             return None;
         }
         for class in server.classes.clone() {
-            self.candidates[class.0].ejected += 1;
+            self.by_class[class.0].ejected += 1;
         }
         let mut until = now;
         self.update(ix, |server| until = server.health.eject(now));
@@ -404,7 +406,7 @@
             return;
         }
         for class in classes.iter() {
-            let list = self.candidates[class.0].list(*local);
+            let list = self.by_class[class.0].list(*local);
             positions.push((*class, list.len()));
             list.push(ix);
         }
@@ -412,7 +414,7 @@
 
     fn remove_candidate(&mut self, ix: ServerIx, local: bool) {
         for (class, position) in std::mem::take(&mut self.list[ix.0].positions) {
-            let list = self.candidates[class.0].list(local);
+            let list = self.by_class[class.0].list(local);
             list.swap_remove(position);
             let Some(moved) = list.get(position).copied() else { continue };
             let positions = &mut self.list[moved.0].positions;
