--- a/crates/runtime/src/relays/leader.rs
+++ b/crates/runtime/src/relays/leader.rs
@@ -90,7 +90,7 @@
     codec: RefCell<LeaderCodec>,
     /// When the first call of the next frame was added.
     first_call_at: Cell<Time>,
-    /// The relay's clock in milliseconds, and when it was read.
+    /// The relay's clock in milliseconds in its last frame, and when that was received.
     relay_clock: Cell<(u64, Time)>,
     /// Where to send the answers to calls in progress.
     answer_txs: RefCell<HashMap<CallNo, oneshot::Sender<Answer>>>,
@@ -103,10 +103,10 @@
 }
 
 impl Session {
-    /// Expiry of the calls in the next frame, on the relay's clock.
+    /// Expiry of the calls in the next frame, on the relay's clock in milliseconds.
     fn until_ms(&self) -> u64 {
-        let (clock_ms, read) = self.relay_clock.get();
-        let span = self.first_call_at.get().since(read) + CALL_VALIDITY;
+        let (clock_ms, received_at) = self.relay_clock.get();
+        let span = self.first_call_at.get().since(received_at) + CALL_VALIDITY;
         clock_ms.saturating_add(u64::try_from(span.as_millis()).unwrap_or(u64::MAX))
     }
 
