--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -50,6 +50,7 @@
     pub(crate) limits: Limits,
     pub(crate) ledger: Ledger,
     pub(crate) leadership: Leadership,
+    /// The scheduler, while this process leads.
     pub(crate) scheduler: Option<Scheduler>,
     pub(crate) directory: BTreeMap<WorkerId, WorkerInfo>,
     /// Workers whose newest entry is unreadable, up to [`MAX_UNREADABLE_WORKERS`].
@@ -60,6 +61,7 @@
     pub(crate) work_progress: ReadProgress,
     /// Workflows accepted here whose records haven't been read yet.
     pub(crate) accepted: HashSet<WorkflowId>,
+    /// Whether the process is shutting down: it claims no term and starts no tasks.
     pub(crate) stopping: bool,
 }
 
@@ -129,6 +131,7 @@
         self.routes = Some(table);
     }
 
+    /// Stores the first request of a wave, and passes each one on to the scheduler.
     fn on_wave(&mut self, now: Time, number: u64, wave: Option<Wave>) {
         match &wave {
             Some(wave) => drop(self.waves.entry(number).or_insert_with(|| (now, wave.clone()))),
