--- a/crates/egretlbd/tests/fault_soak.rs
+++ b/crates/egretlbd/tests/fault_soak.rs
@@ -23,7 +23,7 @@
     },
     support::{
         Platform, on_one_thread,
-        proxy::{Proxy, Trouble},
+        proxy::{Fault, Proxy},
     },
     tokio::time::sleep,
 };
@@ -178,7 +178,7 @@
             2 => daemon.signal(Signal::TERM),
             3 => daemon.signal(Signal::HUP),
             4 => self.platform.store.borrow_mut().busy = true,
-            5 => self.platform.store.borrow_mut().lose_answers = 2,
+            5 => self.platform.store.borrow_mut().lose_responses = 2,
             _ => {
                 daemon.signal(Signal::CONT);
                 daemon.start();
@@ -187,26 +187,26 @@
         }
     }
 
-    /// Trouble of the connections to the store from one daemon, or of those to one worker.
+    /// Fault of the connections to the store from one daemon, or of those to one worker.
     fn disturb_links(&mut self) {
         let links = if self.rng.random_bool(0.5) { &self.to_store } else { &self.to_workers };
         let link = &links[self.rng.random_range(0..links.len())];
         match self.rng.random_range(0..7) {
-            0 => link.silence_open(),
-            1 => link.reset_open(),
-            2 => link.set(Trouble::Delay(self.rng.random_range(20..300))),
-            3 => link.set(Trouble::Cut),
-            4 => link.set(Trouble::CutBack),
-            _ => link.set(Trouble::None),
+            0 => link.blackhole_open_connections(),
+            1 => link.reset_open_connections(),
+            2 => link.set_fault(Fault::Delay(self.rng.random_range(20..300))),
+            3 => link.set_fault(Fault::BlockAll),
+            4 => link.set_fault(Fault::BlockResponses),
+            _ => link.set_fault(Fault::None),
         }
     }
 
     fn heal(&mut self) {
         for link in self.to_store.iter().chain(&self.to_workers) {
-            link.set(Trouble::None);
+            link.set_fault(Fault::None);
         }
         self.platform.store.borrow_mut().busy = false;
-        self.platform.store.borrow_mut().lose_answers = 0;
+        self.platform.store.borrow_mut().lose_responses = 0;
         for daemon in &mut self.daemons {
             daemon.end();
             daemon.start();
