--- a/crates/egretlbd/tests/command_line.rs
+++ b/crates/egretlbd/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line and the exit codes.
+//! Command-line arguments and exit codes.
 
 use std::{env, fs, path::PathBuf, process::Command};
 
@@ -7,7 +7,7 @@
     "limits":{"cpuShare":0.25},"bounds":{"maxHoldMs":6000,"status_s":120},
     "controlMode":"rpc","platform":{"addr":"127.0.0.1:3","form":"log"}}"#;
 
-/// Runs the daemon with these arguments and settings; returns its exit code and what it wrote.
+/// Runs the daemon with these arguments and settings; returns its exit code and output.
 fn run(name: &str, args: &[&str], settings: Option<&str>) -> (Option<i32>, String) {
     let path: PathBuf = env::temp_dir().join(format!("egretlbd-{}-{name}", std::process::id()));
     if let Some(settings) = settings {
@@ -18,7 +18,7 @@
         .env("EGRETLB_NODE_FILE", &path)
         .output()
         .expect("the daemon can be run");
-    // It may not have been written.
+    // The file may not exist.
     let _ = fs::remove_file(&path);
     let text = [output.stdout, output.stderr].concat();
     (output.status.code(), String::from_utf8_lossy(&text).into_owned())
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn settings_named() {
+fn invalid_settings_named() {
     assert_eq!(run("good", &["--check"], Some(SETTINGS)).0, Some(0));
     let (code, text) = run("missing", &["--check"], None);
     assert_eq!(code, Some(3));
@@ -55,8 +55,7 @@
     assert!(text.contains("zone"), "{text}");
 }
 
-/// Another process listens at the address already. The daemon names it and ends, and isn't restarted into
-/// a silent failure.
+/// Guards against a failure that doesn't name the address already in use.
 #[test]
 fn address_in_use() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
--- a/crates/egretlbd/tests/fault_soak.rs
+++ b/crates/egretlbd/tests/fault_soak.rs
@@ -1,9 +1,9 @@
-//! A soak over real processes: daemons that are killed, stopped, paused and restarted by signals, a store
-//! that turns calls away and loses answers, and connections to store and workers that are delayed, held
-//! back in both directions or one, silenced and reset by proxies; in series and overlapping, from a seed.
+//! Soak test with real processes. Daemons are killed, paused, stopped and restarted by signals; the store rejects
+//! calls and loses responses; proxies delay, block, blackhole and reset connections to store and workers. The
+//! faults are drawn from a seed and may overlap.
 //!
-//! CI plays two seeds. By hand: `EGRETLB_SOAK_SEEDS=1..51 cargo test --release -p egretlbd --test
-//! fault_soak -- --nocapture`. Each process has an address of its own on the loopback network.
+//! CI runs two seeds. Manually: `EGRETLB_SOAK_SEEDS=1..51 cargo test --release -p egretlbd --test
+//! fault_soak -- --nocapture`. Each process has its own loopback address.
 
 #[path = "../../../platform/tests/support/mod.rs"]
 mod support;
@@ -28,26 +28,25 @@
     tokio::time::sleep,
 };
 
-/// Seeds that CI plays, and those that ever failed, each with its cause.
+/// Seeds run by CI, including those that once failed.
 const SEEDS: [u64; 2] = [1, 2];
 
 const DAEMONS: usize = 3;
 const WORKERS: usize = 4;
 
-/// How long faults come.
-const TROUBLE: Duration = Duration::from_secs(8);
+/// How long faults are injected.
+const FAULT_DURATION: Duration = Duration::from_secs(8);
 
-/// All work must be finished so long after the last fault. Far above what is needed, since the machine
-/// may be busy.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum time from the last fault to the completion of all workflows; generous for busy machines.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A paused daemon doesn't answer; the client tries another one next.
-const PATIENCE_OF_CLIENTS: Duration = Duration::from_millis(700);
+/// Timeout of a client's request; a paused daemon doesn't respond.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
 
 struct Daemon {
     number: usize,
     settings: String,
-    /// Keeps its connections open until the process is gone, as clients do.
+    /// Keeps its connections open until the process ends, as clients do.
     client: Client,
     child: Option<Child>,
 }
@@ -55,7 +54,7 @@
 impl Daemon {
     fn new(number: usize, seed: u64, store: SocketAddr) -> Daemon {
         let process = std::process::id();
-        // An address for each daemon of each run on this machine, so that ports never collide.
+        // A separate address for each daemon and run avoids port collisions.
         let ip = format!("127.{}.{}.{}", 64 + seed % 64, process % 250 + 1, number + 1);
         let clients = format!("{ip}:7801");
         let settings = serde_json::json!({
@@ -90,13 +89,13 @@
     fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(|child| Pid::from_raw(child.id().cast_signed()));
         if let Some(id) = id {
-            // A process that has ended by itself takes no signal.
+            // Fails if the process has already exited.
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Ends the process and waits for its end; a paused one has to go on first.
-    fn end(&mut self) {
+    /// Kills the process and waits for its exit.
+    fn kill(&mut self) {
         self.signal(Signal::KILL);
         self.signal(Signal::CONT);
         if let Some(mut child) = self.child.take() {
@@ -104,7 +103,7 @@
         }
     }
 
-    /// Notes a process that has ended by itself after a signal.
+    /// Reaps the process if it has exited after a signal.
     fn reap(&mut self) {
         if self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_)))) {
             self.child = None;
@@ -114,7 +113,7 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        self.end();
+        self.kill();
         let _ = fs::remove_file(&self.settings);
     }
 }
@@ -127,17 +126,17 @@
     to_workers: Vec<Proxy>,
     daemons: Vec<Daemon>,
     accepted: BTreeSet<String>,
-    next: u64,
-    faults: Vec<String>,
+    next_id: u64,
+    violations: Vec<String>,
 }
 
 const WORK: &str = r#"{"spec":"work","steps":[{"count":3,"cpu":500,"memMb":64,"estRuntimeMs":120},
     {"count":2,"cpu":500,"memMb":64,"estRuntimeMs":120,"after":[0]}]}"#;
 
-async fn ask(client: Client, method: Method, path: &str, body: &str) -> Option<Answer> {
+async fn request(client: Client, method: Method, path: &str, body: &str) -> Option<Answer> {
     let headers = [("host", "host.example".to_string())];
     let body = Bytes::copy_from_slice(body.as_bytes());
-    client.call(method, path, &headers, body, PATIENCE_OF_CLIENTS).await.ok()
+    client.call(method, path, &headers, body, REQUEST_TIMEOUT).await.ok()
 }
 
 impl Soak {
@@ -157,23 +156,23 @@
             to_workers,
             daemons,
             accepted: BTreeSet::new(),
-            next: seed << 32,
-            faults: Vec::new(),
+            next_id: seed << 32,
+            violations: Vec::new(),
         }
     }
 
-    /// One fault, or the end of one.
-    fn disturb(&mut self) {
+    /// Injects a random fault or ends one.
+    fn inject_fault(&mut self) {
         let daemon = self.rng.random_range(0..DAEMONS);
         let kind = self.rng.random_range(0..13);
         if kind >= 8 {
-            self.disturb_links();
+            self.inject_link_fault();
             return;
         }
         let daemon = &mut self.daemons[daemon];
         daemon.reap();
         match kind {
-            0 => daemon.end(),
+            0 => daemon.kill(),
             1 => daemon.signal(Signal::STOP),
             2 => daemon.signal(Signal::TERM),
             3 => daemon.signal(Signal::HUP),
@@ -187,8 +186,8 @@
         }
     }
 
-    /// Fault of the connections to the store from one daemon, or of those to one worker.
-    fn disturb_links(&mut self) {
+    /// Injects a fault into one daemon's connections to the store, or into the connections to one worker.
+    fn inject_link_fault(&mut self) {
         let links = if self.rng.random_bool(0.5) { &self.to_store } else { &self.to_workers };
         let link = &links[self.rng.random_range(0..links.len())];
         match self.rng.random_range(0..7) {
@@ -201,83 +200,84 @@
         }
     }
 
-    fn heal(&mut self) {
+    /// Ends all faults and restarts all daemons.
+    fn end_faults(&mut self) {
         for link in self.to_store.iter().chain(&self.to_workers) {
             link.set_fault(Fault::None);
         }
         self.platform.store.borrow_mut().busy = false;
         self.platform.store.borrow_mut().lose_responses = 0;
         for daemon in &mut self.daemons {
-            daemon.end();
+            daemon.kill();
             daemon.start();
         }
     }
 
     async fn submit(&mut self) {
-        self.next += 1;
-        let path = format!("/queue/{:016x}", self.next);
+        self.next_id += 1;
+        let path = format!("/queue/{:016x}", self.next_id);
         let daemon = self.rng.random_range(0..DAEMONS);
         let client = self.daemons[daemon].client.clone();
-        if let Some(answer) = ask(client, Method::POST, &path, WORK).await
+        if let Some(answer) = request(client, Method::POST, &path, WORK).await
             && answer.status == 200
         {
             self.accepted.insert(path);
         }
     }
 
-    /// No task runs at two workers.
-    fn check(&mut self) {
-        let mut seen: BTreeMap<String, usize> = BTreeMap::new();
+    /// Checks that no task runs on two workers.
+    fn check_single_runs(&mut self) {
+        let mut worker_by_task: BTreeMap<String, usize> = BTreeMap::new();
         for (number, worker) in self.platform.workers.iter().enumerate() {
             for task in worker.borrow_mut().running_tasks() {
-                if let Some(other) = seen.insert(task.clone(), number) {
-                    self.faults.push(format!("{task} runs at workers {other} and {number}"));
+                if let Some(other) = worker_by_task.insert(task.clone(), number) {
+                    self.violations.push(format!("{task} runs at workers {other} and {number}"));
                 }
             }
         }
     }
 
-    /// All accepted work is shown as completed by whichever daemon is asked.
-    async fn settle(&mut self) {
-        let begun = Instant::now();
-        let mut open = self.accepted.clone();
-        while !open.is_empty() && begun.elapsed() < PATIENCE {
-            for path in open.clone() {
+    /// Waits until every accepted workflow is reported as completed by some daemon.
+    async fn wait_for_completion(&mut self) {
+        let started_at = Instant::now();
+        let mut pending = self.accepted.clone();
+        while !pending.is_empty() && started_at.elapsed() < COMPLETION_TIMEOUT {
+            for path in pending.clone() {
                 let daemon = self.rng.random_range(0..DAEMONS);
                 let Daemon { number, ref client, .. } = self.daemons[daemon];
-                let answer = ask(client.clone(), Method::GET, &path, "").await;
+                let answer = request(client.clone(), Method::GET, &path, "").await;
                 let Some(answer) = answer else { continue };
                 if answer.status == 410 {
-                    self.faults.push(format!("{path} was accepted and is unknown at {number}"));
-                    open.remove(&path);
+                    self.violations.push(format!("{path} was accepted and is unknown at {number}"));
+                    pending.remove(&path);
                 } else if answer.body == br#"{"state":"completed"}"#.as_slice() {
-                    open.remove(&path);
+                    pending.remove(&path);
                 }
             }
-            self.check();
+            self.check_single_runs();
             sleep(Duration::from_millis(50)).await;
         }
-        for path in open {
-            self.faults.push(format!("{path} was accepted and isn't completed"));
+        for path in pending {
+            self.violations.push(format!("{path} was accepted and isn't completed"));
         }
     }
 }
 
-async fn play(seed: u64) -> (usize, Vec<String>) {
+async fn run_seed(seed: u64) -> (usize, Vec<String>) {
     let mut soak = Soak::new(seed).await;
     sleep(Duration::from_millis(800)).await;
-    let begun = Instant::now();
-    while begun.elapsed() < TROUBLE {
+    let started_at = Instant::now();
+    while started_at.elapsed() < FAULT_DURATION {
         if soak.rng.random_bool(0.25) {
-            soak.disturb();
+            soak.inject_fault();
         }
         soak.submit().await;
-        soak.check();
+        soak.check_single_runs();
         sleep(Duration::from_millis(40)).await;
     }
-    soak.heal();
-    soak.settle().await;
-    (soak.accepted.len(), std::mem::take(&mut soak.faults))
+    soak.end_faults();
+    soak.wait_for_completion().await;
+    (soak.accepted.len(), std::mem::take(&mut soak.violations))
 }
 
 fn seeds() -> Vec<u64> {
@@ -287,15 +287,15 @@
     range.map_or(SEEDS.to_vec(), |(first, end)| (number(first)..number(end)).collect())
 }
 
-/// Processes die, stand still and come back while clients hand work in, and the store is away or loses
-/// answers. What a client was told is accepted must be finished once, and known everywhere.
+/// Faults of processes, store and connections while clients submit workflows. Guards against accepted workflows that
+/// are lost, unknown to a daemon or never completed, and against tasks that run on two workers at a time.
 #[test]
 fn faults_from_outside() {
     on_one_thread(async {
         for seed in seeds() {
-            let (accepted, faults) = play(seed).await;
-            println!("seed {seed}: {accepted} workflows accepted, {} faults", faults.len());
-            assert_eq!(faults, Vec::<String>::new(), "seed {seed}");
+            let (accepted, violations) = run_seed(seed).await;
+            println!("seed {seed}: {accepted} workflows accepted, {} faults", violations.len());
+            assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
         }
     });
 }
--- a/crates/explain/src/downtime.rs
+++ b/crates/explain/src/downtime.rs
@@ -1,23 +1,23 @@
-//! Findings on tasks that weren't running.
+//! Findings about tasks that weren't running.
 
 use {compact_str::CompactString, serde::Serialize, std::fmt};
 
-/// A new leader held back what it inherited, for workers that might still run it.
+/// A new leader delayed inherited tasks because unresponsive workers might still run them.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct HeldWork {
     /// The leader.
     pub node: CompactString,
     /// When its term began.
     pub since: CompactString,
-    /// When it held nothing back any more, if a line says so.
+    /// When the delay ended, if logged.
     pub until: Option<CompactString>,
-    /// When that is at the latest.
+    /// Latest end of the delay.
     pub at_most: CompactString,
-    /// How long, in milliseconds, if a line says so.
+    /// Length of the delay in milliseconds, if logged.
     pub held_ms: Option<u64>,
-    /// When another became leader, if it still held something back then.
+    /// When another leader was elected, if any.
     pub deposed: Option<CompactString>,
-    /// Workers that didn't answer, or some of them.
+    /// Unresponsive workers; may be incomplete.
     pub workers: Vec<CompactString>,
 }
 
@@ -45,14 +45,14 @@
     }
 }
 
-/// A leader gave no orders, since it couldn't know whether it still led.
+/// A leader sent no commands, since it couldn't confirm that it still led.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Suspension {
     /// The leader.
     pub node: CompactString,
-    /// Since when.
+    /// When it stopped.
     pub since: CompactString,
-    /// When it gave orders again, or another became leader; none if no line says so.
+    /// When it resumed or another leader was elected; none if neither is logged.
     pub until: Option<CompactString>,
 }
 
@@ -68,26 +68,26 @@
     }
 }
 
-/// Tasks of a step waited.
+/// Tasks of a step waited to be started.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct StepWait {
     /// The step, as `OCCURRENCE.STEP`.
     pub step: CompactString,
-    /// Since when the first of them wasn't running.
+    /// When the first of them began to wait.
     pub since: CompactString,
-    /// For how long by the last line that says so, in milliseconds.
+    /// Minimum length of the wait, in milliseconds.
     pub waited_ms: u64,
-    /// How many tasks at most.
+    /// Maximum number of waiting tasks.
     pub tasks: u64,
-    /// Some of them, by index.
+    /// Indices of some of them, separated by commas.
     pub indices: CompactString,
-    /// What for.
+    /// Why they waited.
     pub reason: CompactString,
-    /// Some of the workers that the reason is about; empty if it is about none.
+    /// Some of the workers concerned; empty for none.
     pub workers: CompactString,
-    /// How many workers its service had, if a line says so.
+    /// Number of workers of the service, if logged.
     pub service_workers: Option<u64>,
-    /// How many of them took work.
+    /// Number of these workers that accept tasks, if logged.
     pub fit_workers: Option<u64>,
 }
 
@@ -111,18 +111,18 @@
     }
 }
 
-/// A lasting task didn't run for a while.
+/// A long-running task didn't run for a while.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct TaskGap {
     /// The task, as `OCCURRENCE.STEP.INDEX`.
     pub task: CompactString,
-    /// Since when.
+    /// When its run ended.
     pub since: CompactString,
-    /// For how long, in milliseconds.
+    /// Length of the gap, in milliseconds.
     pub down_ms: u64,
-    /// How the run before had ended, and where.
+    /// How and on which worker the previous run ended.
     pub how: CompactString,
-    /// Where it was started again.
+    /// The worker of the next run.
     pub worker: CompactString,
 }
 
@@ -136,18 +136,18 @@
     }
 }
 
-/// A lasting task was started again, and no line tells the end of its run before.
+/// A long-running task was restarted, and the end of its previous run isn't logged.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct TaskRestart {
     /// The task, as `OCCURRENCE.STEP.INDEX`.
     pub task: CompactString,
-    /// When.
+    /// When it was restarted.
     pub at: CompactString,
-    /// Where.
+    /// The worker of the new run.
     pub worker: CompactString,
-    /// Where it ran before.
+    /// The worker of the previous run.
     pub before: CompactString,
-    /// How long the leader had known that it didn't run, in milliseconds.
+    /// Time from the detection of the gap to the restart, in milliseconds.
     pub waited_ms: u64,
 }
 
@@ -162,14 +162,14 @@
     }
 }
 
-/// A lasting task wasn't started again.
+/// A long-running task ended and wasn't restarted.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct TaskDown {
     /// The task, as `OCCURRENCE.STEP.INDEX`.
     pub task: CompactString,
-    /// Since when.
+    /// When its last run ended.
     pub since: CompactString,
-    /// How its last run ended, and where.
+    /// How and on which worker its last run ended.
     pub how: CompactString,
 }
 
--- a/crates/explain/src/explanation.rs
+++ b/crates/explain/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Collecting the lines that tell what became of a workflow.
+//! Collects the log lines that are relevant to a workflow.
 
 use {
     crate::{LogLine, findings::Finding},
@@ -7,12 +7,11 @@
     std::collections::BTreeSet,
 };
 
-/// Lines without the workflow's id that are kept at most: some hours of a fleet's changes of leaders and
-/// workers, at 200 bytes each below 20 MB.
-const MOST_CONTEXT: usize = 100_000;
+/// Maximum number of context lines kept; about 20 MB.
+const MAX_CONTEXT_LINES: usize = 100_000;
 
-/// Events that hold up or change everything, and name no workflow.
-const CONTEXT: [&str; 21] = [
+/// Events that name no workflow and may affect all of them.
+const CONTEXT_EVENTS: [&str; 21] = [
     "elected",
     "deposed",
     "survey_complete",
@@ -36,33 +35,33 @@
     "stopping",
 ];
 
-/// Something that happened, in the order of time.
+/// An event in the timeline of a workflow.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct TimelineEvent {
-    /// When.
+    /// Timestamp in RFC 3339.
     pub at: CompactString,
     /// The VM that wrote the line.
     pub node: CompactString,
-    /// What.
+    /// Name of the event.
     pub event: CompactString,
-    /// The line's other pairs.
+    /// The other pairs of the line.
     pub pairs: Vec<(CompactString, CompactString)>,
-    /// Whether the line names the workflow; others are its surroundings.
+    /// Whether the line names the workflow or task; if not, it is context.
     pub own: bool,
 }
 
 impl TimelineEvent {
-    /// The value of a pair.
+    /// The value of the first pair with this key.
     pub fn get(&self, key: &str) -> Option<&str> {
-        self.pairs.iter().find(|(known, _)| known == key).map(|(_, value)| value.as_str())
+        self.pairs.iter().find(|(name, _)| name == key).map(|(_, value)| value.as_str())
     }
 }
 
-/// What is asked for.
+/// The workflow or task to explain.
 #[derive(Clone, Debug)]
 struct Subject {
     workflow: CompactString,
-    /// One of its tasks, if only that one matters.
+    /// The task, if only one task is to be explained.
     task: Option<CompactString>,
 }
 
@@ -77,106 +76,107 @@
         }
     }
 
-    fn is_named(&self, line: &LogLine) -> bool {
-        let of_workflow = |id: &str| id.split('.').next() == Some(self.workflow.as_str());
+    /// Whether a line names the workflow or task.
+    fn is_named_in(&self, line: &LogLine) -> bool {
+        let is_in_workflow = |id: &str| id.split('.').next() == Some(self.workflow.as_str());
         match (&self.task, line.get("task"), line.get("step")) {
-            (None, Some(id), _) | (None, None, Some(id)) => of_workflow(id),
-            (Some(own), Some(task), _) => own == task,
-            (Some(own), None, Some(step)) => is_among(own, step, line),
+            (None, Some(id), _) | (None, None, Some(id)) => is_in_workflow(id),
+            (Some(subject), Some(task), _) => subject == task,
+            (Some(subject), None, Some(step)) => may_include(subject, step, line),
             _ => line.get("workflow") == Some(self.workflow.as_str()),
         }
     }
 }
 
-/// Whether a line on tasks of a step may be about this one. It names some by index; if it means more than
-/// it names, any may be meant.
-fn is_among(task: &str, step: &str, line: &LogLine) -> bool {
+/// Whether a line about tasks of a step may include this task. The line lists some indices; if it counts more tasks
+/// than it lists, any task of the step may be included.
+fn may_include(task: &str, step: &str, line: &LogLine) -> bool {
     let index = task.strip_prefix(step).and_then(|rest| rest.strip_prefix('.'));
     let Some(index) = index else { return false };
     let Some(indices) = line.get("indices") else { return true };
-    let named = indices.split(',').count();
+    let listed = indices.split(',').count();
     let tasks = line.get("tasks").and_then(|tasks| tasks.parse::<usize>().ok());
-    indices.split(',').any(|known| known == index) || tasks.is_none_or(|tasks| tasks > named)
+    indices.split(',').any(|other| other == index) || tasks.is_none_or(|tasks| tasks > listed)
 }
 
-/// What became of a workflow.
+/// What happened to a workflow or task.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Explanation {
-    /// The workflow, or the task of it that was asked for.
+    /// The id of the workflow or task.
     pub workflow: CompactString,
-    /// What happened to it and around it.
+    /// Events of the workflow and its context, by time.
     pub happenings: Vec<TimelineEvent>,
-    /// What follows from that.
+    /// Conclusions from the events.
     pub findings: Vec<Finding>,
 }
 
-/// Collects lines, in any order.
+/// Collects log lines in any order and builds an explanation.
 #[derive(Clone, Debug)]
 pub struct ExplanationBuilder {
     subject: Subject,
     own: Vec<LogLine>,
     context: Vec<LogLine>,
-    passed_over: usize,
+    dropped: usize,
 }
 
 impl ExplanationBuilder {
-    /// Asks for the workflow of this id, or for one of its tasks, as `WORKFLOW.OCCURRENCE.STEP.INDEX`.
+    /// Explains the workflow with this id, or one of its tasks: `WORKFLOW.OCCURRENCE.STEP.INDEX`.
     pub fn new(id: impl AsRef<str>) -> ExplanationBuilder {
         ExplanationBuilder {
             subject: Subject::new(id.as_ref()),
             own: Vec::new(),
             context: Vec::new(),
-            passed_over: 0,
+            dropped: 0,
         }
     }
 
-    /// Takes a line in. Lines of other programs are passed over.
+    /// Adds a line. Lines of other programs are ignored.
     pub fn add_line(&mut self, text: &str) {
         let Some(line) = LogLine::parse(text) else { return };
-        if self.subject.is_named(&line) {
+        if self.subject.is_named_in(&line) {
             self.own.push(line);
-        } else if CONTEXT.contains(&line.event.as_str()) {
-            if self.context.len() < MOST_CONTEXT {
+        } else if CONTEXT_EVENTS.contains(&line.event.as_str()) {
+            if self.context.len() < MAX_CONTEXT_LINES {
                 self.context.push(line);
             } else {
-                self.passed_over += 1;
+                self.dropped += 1;
             }
         }
     }
 
-    /// Puts everything in order and draws the conclusions.
+    /// Sorts the events by time and derives the findings.
     pub fn finish(self) -> Explanation {
-        let ExplanationBuilder { subject, own, context, passed_over } = self;
+        let ExplanationBuilder { subject, own, context, dropped } = self;
         let workflow = subject.task.unwrap_or(subject.workflow);
         let first = own.iter().map(|line| line.at.clone()).min().unwrap_or_default();
         let last = own.iter().map(|line| line.at.clone()).max().unwrap_or_default();
-        // What hasn't ended is still held up by what happens after its last line.
+        // Context after the last line is relevant to a workflow that hasn't ended.
         let open = is_open(&own);
-        // A worker's trouble matters if the workflow had something there.
+        // Context about a worker is relevant if a line of the workflow names the worker.
         let workers: BTreeSet<CompactString> =
             own.iter().filter_map(|line| line.get("worker")).map(CompactString::new).collect();
-        let near = |line: &LogLine| {
-            let about = line.get("worker").is_none_or(|worker| workers.contains(worker));
-            about && line.at >= first && (open || line.at <= last)
+        let is_relevant = |line: &LogLine| {
+            let worker_matches = line.get("worker").is_none_or(|worker| workers.contains(worker));
+            worker_matches && line.at >= first && (open || line.at <= last)
         };
-        let happening = |own: bool| {
+        let to_event = |own: bool| {
             move |line: LogLine| {
                 let LogLine { at, node, event, pairs } = line;
                 TimelineEvent { at, node, event, pairs, own }
             }
         };
-        let mut happenings: Vec<TimelineEvent> = own.into_iter().map(happening(true)).collect();
-        happenings.extend(context.into_iter().filter(near).map(happening(false)));
+        let mut happenings: Vec<TimelineEvent> = own.into_iter().map(to_event(true)).collect();
+        happenings.extend(context.into_iter().filter(is_relevant).map(to_event(false)));
         happenings.sort_by(|left, right| left.at.cmp(&right.at));
-        let findings = Finding::all(&happenings, passed_over);
+        let findings = Finding::all(&happenings, dropped);
         Explanation { workflow, happenings, findings }
     }
 }
 
-/// Whether the lines tell that it was accepted or ran, and not that it has ended.
+/// Whether the workflow was accepted or ran, and hasn't ended.
 fn is_open(own: &[LogLine]) -> bool {
-    let taken =
+    let accepted =
         own.iter().any(|line| line.event != "submitted" || line.get("stored") == Some("Yes"));
     let ended = own.iter().any(|line| line.event == "workflow_ended");
-    taken && !ended
+    accepted && !ended
 }
--- a/crates/explain/src/findings.rs
+++ b/crates/explain/src/findings.rs
@@ -1,4 +1,4 @@
-//! What follows from a workflow's lines.
+//! Findings derived from a workflow's timeline.
 
 use {
     crate::{
@@ -11,159 +11,158 @@
     std::{collections::BTreeMap, fmt, time::Duration},
 };
 
-/// A wait below this is no finding: an unloaded system starts a task within 50 ms of its acceptance.
-const LONG_WAIT: Duration = Duration::from_millis(500);
+/// Minimum time from acceptance to the first start that is reported as late.
+const LATE_START_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// What a change of the leader means where no line tells the end of its survey.
-const UNHEARD: &str = "no line says that it heard all workers, so what it inherited may have waited for \
-                       their leases";
+/// Explanation of a change of the leader if the end of its reconciliation isn't logged.
+const NOT_RECONCILED: &str = "no line says that it reconciled with all workers, so inherited tasks may have \
+                              waited for the end of their leases";
 
 /// A conclusion.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(tag = "finding", rename_all = "snake_case")]
 pub enum Finding {
-    /// No line names it.
+    /// No line names the workflow.
     NotSeen,
-    /// It was stored.
+    /// The workflow was stored.
     Accepted {
         /// When.
         at: CompactString,
-        /// By which VM.
+        /// The VM that accepted it.
         node: CompactString,
-        /// How often the client had asked without success before.
+        /// Number of failed submissions before.
         refused_before: usize,
     },
-    /// It was surely not stored, and the client was told when to come back.
+    /// Submissions were rejected without storing the workflow.
     Refused {
-        /// How often.
+        /// Number of rejections.
         times: usize,
-        /// What was wrong with the store then, if a line says so.
+        /// Whether the store had rejected appends.
         store_failed: bool,
     },
-    /// Nobody could say whether it was stored, and the client was told to ask again.
+    /// Submissions whose outcome was unknown; the client was asked to retry.
     AnsweredUnknown {
-        /// How often.
+        /// Number of such submissions.
         times: usize,
     },
-    /// Its first start came late.
+    /// The first start was late.
     StartedLate {
-        /// How long after its acceptance, in milliseconds.
+        /// Time from acceptance to the first start, in milliseconds.
         waited_ms: u64,
-        /// Changes of the leader meanwhile.
+        /// Number of leader changes meanwhile.
         leaders: usize,
     },
-    /// The leader changed while it ran.
+    /// The leader changed.
     LeaderChanged {
-        /// When the new one was elected.
+        /// When the new leader was elected.
         at: CompactString,
-        /// Which VM that is.
+        /// The new leader.
         node: CompactString,
-        /// How long until it had heard all workers, in milliseconds, if a line says so.
+        /// Time until it had reconciled with all workers, in milliseconds, if logged.
         surveyed_after_ms: Option<u64>,
     },
     /// Runs failed.
     RunsFailed {
-        /// How many, by worker.
+        /// Number of failed runs by worker.
         by_worker: BTreeMap<CompactString, usize>,
     },
     /// Runs were lost with their worker.
     RunsLost {
-        /// How many, by task.
+        /// Number of lost runs by task.
         by_task: BTreeMap<CompactString, usize>,
     },
-    /// A task crashed the workers that started it, so it was given up.
+    /// A task was given up because it crashed the workers that started it.
     CrashedWorkers {
         /// The task.
         task: CompactString,
-        /// How many workers were lost under it.
+        /// Number of workers that crashed.
         crashes: u64,
     },
-    /// Workers at which it had something were found to be at fault.
+    /// Workers that ran its tasks were quarantined.
     WorkersAtFault {
         /// The workers.
         workers: Vec<CompactString>,
     },
-    /// Orders got no answer.
+    /// Starts weren't confirmed by the worker.
     OrdersInDoubt {
-        /// How many.
+        /// Number of unconfirmed starts.
         times: usize,
     },
-    /// Workers were lost with what ran there.
+    /// Workers were lost with their runs.
     WorkersLost {
         /// The workers.
         workers: Vec<CompactString>,
     },
-    /// Its tasks were moved off slow workers.
+    /// Tasks were moved off slow workers.
     MovedOffSlow {
-        /// How many.
+        /// Number of tasks.
         times: usize,
     },
-    /// Its tasks made room for others.
+    /// Tasks were preempted.
     MadeRoom {
-        /// How many.
+        /// Number of preemptions.
         times: usize,
     },
-    /// A new leader held back what it inherited.
+    /// A new leader delayed inherited tasks.
     InheritedWorkHeld(HeldWork),
-    /// A leader gave no orders.
+    /// A leader sent no commands.
     OrdersSuspended(Suspension),
-    /// Tasks of a step waited.
+    /// Tasks of a step waited to be started.
     StepWaited(StepWait),
-    /// Steps waited without a line of their own.
+    /// Steps waited whose waits weren't logged individually.
     WaitsUntold {
-        /// How many at most at one time.
+        /// Maximum number of such steps at one time.
         steps: u64,
     },
-    /// A lasting task didn't run for a while.
+    /// A long-running task didn't run for a while.
     TaskGap(TaskGap),
-    /// A lasting task was started again, and no line tells the end of its run before.
+    /// A long-running task was restarted, and the end of its previous run isn't logged.
     TaskRestarted(TaskRestart),
-    /// A lasting task wasn't started again.
+    /// A long-running task ended and wasn't restarted.
     TaskDown(TaskDown),
-    /// A client asked to cancel it.
+    /// A client cancelled the workflow.
     Cancelled {
         /// When.
         at: CompactString,
     },
-    /// How it ended.
+    /// The workflow ended.
     Ended {
         /// When.
         at: CompactString,
         /// `Completed`, `Failed` or `Cancelled`.
         outcome: CompactString,
-        /// How long after its acceptance, in milliseconds.
+        /// Time since its acceptance, in milliseconds.
         took_ms: Option<u64>,
     },
-    /// No line says that it has ended.
+    /// No end is logged.
     NotEnded,
-    /// Lines are missing, so something may be missing here.
+    /// Log lines are missing, so findings may be missing.
     LinesMissing {
-        /// How many.
+        /// Number of missing lines.
         lines: u64,
     },
 }
 
-/// A count for each name.
+/// Writes the heading and a count per name.
 fn write_counts(
     f: &mut fmt::Formatter<'_>,
-    head: &str,
-    joint: &str,
+    heading: &str,
+    preposition: &str,
     counts: &BTreeMap<CompactString, usize>,
 ) -> fmt::Result {
-    f.write_str(head)?;
-    counts.iter().try_for_each(|(name, count)| write!(f, " {count} {joint} {name}"))
+    f.write_str(heading)?;
+    counts.iter().try_for_each(|(name, count)| write!(f, " {count} {preposition} {name}"))
 }
 
-/// A task that crashed its workers.
 fn write_given_up(f: &mut fmt::Formatter<'_>, task: &str, crashes: u64) -> fmt::Result {
     write!(f, "{task} was given up: {crashes} workers crashed after it was started")
 }
 
-/// Tries before a success, if there were some.
-fn write_tries(f: &mut fmt::Formatter<'_>, tries: usize) -> fmt::Result {
-    match tries {
+/// Writes the number of failed attempts, if any.
+fn write_failed_attempts(f: &mut fmt::Formatter<'_>, attempts: usize) -> fmt::Result {
+    match attempts {
         0 => Ok(()),
-        tries => write!(f, ", after {tries} tries without success"),
+        attempts => write!(f, ", after {attempts} failed attempts"),
     }
 }
 
@@ -176,34 +175,34 @@
         match self {
             Finding::NotSeen => write!(
                 f,
-                "no line names it: the request never got to a queue; look whether the queue was in the \
-                 configuration in force, and whether the lines of all VMs are here"
+                "no line names it: the request never reached a queue; check that the queue is in the active \
+                 configuration, and that the logs of all VMs are included"
             ),
             Finding::Accepted { at, node, refused_before } => {
                 write!(f, "accepted at {at} by {node}")?;
-                write_tries(f, *refused_before)
+                write_failed_attempts(f, *refused_before)
             }
             Finding::Refused { times, store_failed } => {
-                write!(f, "refused {times} times, surely not stored")?;
-                if *store_failed { write!(f, ": the store took no appends") } else { Ok(()) }
+                write!(f, "refused {times} times, not stored")?;
+                if *store_failed { write!(f, ": the store rejected appends") } else { Ok(()) }
             }
             Finding::AnsweredUnknown { times } => write!(
                 f,
-                "answered as unknown {times} times: the store's answer was lost, the client was to ask \
-                 again with the same id"
+                "unknown outcome {times} times: the store's response was lost, the client should retry \
+                 with the same id"
             ),
             Finding::StartedLate { waited_ms, leaders } => {
                 write!(f, "first started {waited_ms} ms after its acceptance: ")?;
                 match leaders {
-                    0 => write!(f, "nothing had room for it"),
+                    0 => write!(f, "no worker had free capacity"),
                     _ => write!(f, "the leader changed meanwhile ({leaders})"),
                 }
             }
             Finding::LeaderChanged { at, node, surveyed_after_ms } => {
                 write!(f, "{node} became leader at {at}")?;
                 match surveyed_after_ms {
-                    Some(ms) => write!(f, ", and had heard all workers {ms} ms later"),
-                    None => write!(f, "; {UNHEARD}"),
+                    Some(ms) => write!(f, ", and had reconciled with all workers {ms} ms later"),
+                    None => write!(f, "; {NOT_RECONCILED}"),
                 }
             }
             Finding::RunsFailed { by_worker } => write_counts(f, "runs failed:", "at", by_worker),
@@ -212,24 +211,24 @@
             }
             Finding::CrashedWorkers { task, crashes } => write_given_up(f, task, *crashes),
             Finding::WorkersAtFault { workers } => {
-                write_workers(f, "the fault was the workers', which failed others, too", workers)
+                write_workers(f, "quarantined workers, which failed other tasks, too", workers)
             }
             Finding::OrdersInDoubt { times } => {
                 write!(
                     f,
-                    "{times} orders got no answer and were settled before anything else started"
+                    "{times} starts were unconfirmed and resolved before anything else started"
                 )
             }
             Finding::WorkersLost { workers } => write_workers(
                 f,
-                "workers were lost, and what ran there waited for the end of its lease",
+                "workers were lost, and their runs waited for the end of the lease",
                 workers,
             ),
             Finding::MovedOffSlow { times } => {
                 write!(f, "{times} tasks were moved off slow workers")
             }
             Finding::MadeRoom { times } => {
-                write!(f, "{times} tasks were stopped to make room for others")
+                write!(f, "{times} tasks were preempted by others")
             }
             Finding::InheritedWorkHeld(held) => held.fmt(f),
             Finding::OrdersSuspended(suspension) => suspension.fmt(f),
@@ -250,13 +249,13 @@
             }
             Finding::NotEnded => write!(f, "no line says that it has ended"),
             Finding::LinesMissing { lines } => {
-                write!(f, "{lines} log lines are missing, so something may be missing here")
+                write!(f, "{lines} log lines are missing, so findings may be missing")
             }
         }
     }
 }
 
-/// Milliseconds between two times; none if one of them isn't one, or they are the wrong way round.
+/// Milliseconds between two timestamps; none if one is invalid or `to` is earlier than `from`.
 pub(crate) fn between_ms(from: &str, to: &str) -> Option<u64> {
     let from = humantime::parse_rfc3339(from).ok()?;
     let to = humantime::parse_rfc3339(to).ok()?;
@@ -264,7 +263,7 @@
 }
 
 impl Finding {
-    /// Whether it counts nothing.
+    /// Whether this is a count of 0.
     fn is_empty(&self) -> bool {
         matches!(
             self,
@@ -275,93 +274,98 @@
     }
 }
 
-struct Reader<'a> {
-    happenings: &'a [TimelineEvent],
+/// Derives findings from a timeline.
+struct Analyzer<'a> {
+    events: &'a [TimelineEvent],
+    /// The submission that was stored.
     accepted: Option<&'a TimelineEvent>,
 }
 
 impl Finding {
-    /// All that follows from what happened; `passed_over` lines weren't kept.
-    pub(crate) fn all(happenings: &[TimelineEvent], passed_over: usize) -> Vec<Finding> {
+    /// All findings; `dropped` is the number of context lines that weren't kept.
+    pub(crate) fn all(events: &[TimelineEvent], dropped: usize) -> Vec<Finding> {
         let submitted = |stored: &'static str| {
-            move |happening: &&TimelineEvent| {
-                happening.event == "submitted" && happening.get("stored") == Some(stored)
+            move |event: &&TimelineEvent| {
+                event.event == "submitted" && event.get("stored") == Some(stored)
             }
         };
-        let accepted = happenings.iter().find(submitted("Yes"));
-        let reader = Reader { happenings, accepted };
-        let mut found = Vec::new();
-        if !happenings.iter().any(|happening| happening.own) {
-            found.push(Finding::NotSeen);
+        let accepted = events.iter().find(submitted("Yes"));
+        let analyzer = Analyzer { events, accepted };
+        let mut findings = Vec::new();
+        if !events.iter().any(|event| event.own) {
+            findings.push(Finding::NotSeen);
         }
-        found.extend(reader.submission());
-        found.extend(reader.start());
-        found.extend(reader.leaders());
-        found.extend(reader.runs());
-        found.extend(waits::all(happenings));
-        found.extend(reader.end());
-        found.extend(reader.missing(passed_over));
-        found
+        findings.extend(analyzer.submission());
+        findings.extend(analyzer.start());
+        findings.extend(analyzer.leaders());
+        findings.extend(analyzer.runs());
+        findings.extend(waits::all(events));
+        findings.extend(analyzer.end());
+        findings.extend(analyzer.missing(dropped));
+        findings
     }
 }
 
-impl<'a> Reader<'a> {
-    fn of(&self, event: &'a str) -> impl Iterator<Item = &'a TimelineEvent> + use<'a> {
-        self.happenings.iter().filter(move |happening| happening.event == event)
+impl<'a> Analyzer<'a> {
+    /// The events with this name.
+    fn named(&self, name: &'a str) -> impl Iterator<Item = &'a TimelineEvent> + use<'a> {
+        self.events.iter().filter(move |event| event.event == name)
     }
 
-    fn count(&self, event: &'a str) -> usize {
-        self.of(event).filter(|happening| happening.own).count()
+    /// The number of events with this name that name the workflow.
+    fn count(&self, name: &'a str) -> usize {
+        self.named(name).filter(|event| event.own).count()
     }
 
     fn submission(&self) -> Vec<Finding> {
-        let times =
-            |stored| self.of("submitted").filter(|h| h.get("stored") == Some(stored)).count();
-        let (refused, unknown) = (times("No"), times("Unknown"));
-        let mut found = Vec::new();
+        let count =
+            |stored| self.named("submitted").filter(|h| h.get("stored") == Some(stored)).count();
+        let (refused, unknown) = (count("No"), count("Unknown"));
+        let mut findings = Vec::new();
         if refused > 0 {
-            let store_failed = self.of("append_given_up").next().is_some();
-            found.push(Finding::Refused { times: refused, store_failed });
+            let store_failed = self.named("append_given_up").next().is_some();
+            findings.push(Finding::Refused { times: refused, store_failed });
         }
         if unknown > 0 {
-            found.push(Finding::AnsweredUnknown { times: unknown });
+            findings.push(Finding::AnsweredUnknown { times: unknown });
         }
         if let Some(TimelineEvent { at, node, .. }) = self.accepted {
             let refused_before = refused + unknown;
             let (at, node) = (at.clone(), node.clone());
-            found.push(Finding::Accepted { at, node, refused_before });
+            findings.push(Finding::Accepted { at, node, refused_before });
         }
-        found
+        findings
     }
 
     fn start(&self) -> Option<Finding> {
         let accepted = self.accepted?;
-        let started = self.of("workflow_started").next()?;
+        let started = self.named("workflow_started").next()?;
         let waited_ms = between_ms(&accepted.at, &started.at)?;
         let meanwhile = |h: &&TimelineEvent| h.at >= accepted.at && h.at <= started.at;
-        let leaders = self.of("elected").filter(meanwhile).count();
-        let long = Duration::from_millis(waited_ms) >= LONG_WAIT;
-        long.then_some(Finding::StartedLate { waited_ms, leaders })
+        let leaders = self.named("elected").filter(meanwhile).count();
+        let is_late = Duration::from_millis(waited_ms) >= LATE_START_THRESHOLD;
+        is_late.then_some(Finding::StartedLate { waited_ms, leaders })
     }
 
     fn leaders(&self) -> Vec<Finding> {
-        let changed = |elected: &TimelineEvent| {
+        let leader_changed = |elected: &TimelineEvent| {
             let epoch = elected.get("epoch");
-            let surveyed = self.of("survey_complete").find(|h| h.get("epoch") == epoch);
+            let reconciled = self.named("survey_complete").find(|h| h.get("epoch") == epoch);
             Finding::LeaderChanged {
                 at: elected.at.clone(),
                 node: elected.node.clone(),
-                surveyed_after_ms: surveyed.and_then(|h| between_ms(&elected.at, &h.at)),
+                surveyed_after_ms: reconciled.and_then(|h| between_ms(&elected.at, &h.at)),
             }
         };
-        self.of("elected").map(changed).collect()
+        self.named("elected").map(leader_changed).collect()
     }
 
-    fn workers(&self, events: &[&'a str]) -> Vec<CompactString> {
+    /// The distinct workers of the events with these names.
+    fn workers(&self, names: &[&'a str]) -> Vec<CompactString> {
         let mut workers: Vec<CompactString> = Vec::new();
-        for event in events {
-            for worker in self.of(event).filter_map(|happening| happening.get("worker")) {
-                if !workers.iter().any(|known| known == worker) {
+        for name in names {
+            for worker in self.named(name).filter_map(|event| event.get("worker")) {
+                if !workers.iter().any(|other| other == worker) {
                     workers.push(CompactString::new(worker));
                 }
             }
@@ -369,71 +373,71 @@
         workers
     }
 
-    /// How many lines of an event there are for each value of `key`.
-    fn count_by(&self, event: &'a str, key: &str) -> BTreeMap<CompactString, usize> {
+    /// The number of events with this name by the value of `key`.
+    fn count_by(&self, name: &'a str, key: &str) -> BTreeMap<CompactString, usize> {
         let mut counts: BTreeMap<CompactString, usize> = BTreeMap::new();
-        for value in self.of(event).filter_map(|happening| happening.get(key)) {
+        for value in self.named(name).filter_map(|event| event.get(key)) {
             *counts.entry(CompactString::new(value)).or_default() += 1;
         }
         counts
     }
 
     fn runs(&self) -> Vec<Finding> {
-        let mut found = Vec::new();
+        let mut findings = Vec::new();
         let by_worker = self.count_by("task_failed", "worker");
         if !by_worker.is_empty() {
-            found.push(Finding::RunsFailed { by_worker });
+            findings.push(Finding::RunsFailed { by_worker });
         }
         let by_task = self.count_by("run_lost", "task");
         if !by_task.is_empty() {
-            found.push(Finding::RunsLost { by_task });
+            findings.push(Finding::RunsLost { by_task });
         }
-        found.extend(self.of("task_given_up").filter_map(|happening| {
-            let crashes = happening.get("crashes")?.parse().ok()?;
-            Some(Finding::CrashedWorkers { task: happening.get("task")?.into(), crashes })
+        findings.extend(self.named("task_given_up").filter_map(|event| {
+            let crashes = event.get("crashes")?.parse().ok()?;
+            Some(Finding::CrashedWorkers { task: event.get("task")?.into(), crashes })
         }));
         let workers = self.workers(&["worker_quarantined"]);
         if !workers.is_empty() {
-            found.push(Finding::WorkersAtFault { workers });
+            findings.push(Finding::WorkersAtFault { workers });
         }
         let workers = self.workers(&["leases_lapsed", "worker_left", "worker_replaced"]);
         if !workers.is_empty() {
-            found.push(Finding::WorkersLost { workers });
+            findings.push(Finding::WorkersLost { workers });
         }
-        let counted = [
+        let counts = [
             Finding::OrdersInDoubt { times: self.count("start_in_doubt") },
             Finding::MovedOffSlow { times: self.count("straggler_moved") },
             Finding::MadeRoom { times: self.count("task_preempted") },
         ];
-        found.extend(counted.into_iter().filter(|finding| !finding.is_empty()));
-        found
+        findings.extend(counts.into_iter().filter(|finding| !finding.is_empty()));
+        findings
     }
 
     fn end(&self) -> Vec<Finding> {
-        let mut found = Vec::new();
-        let cancelled = self.of("cancelled").find(|h| h.own && h.get("stored") == Some("Yes"));
-        if let Some(happening) = cancelled {
-            found.push(Finding::Cancelled { at: happening.at.clone() });
+        let mut findings = Vec::new();
+        let cancelled = self.named("cancelled").find(|h| h.own && h.get("stored") == Some("Yes"));
+        if let Some(event) = cancelled {
+            findings.push(Finding::Cancelled { at: event.at.clone() });
         }
-        let ended = self.of("workflow_ended").last();
+        let ended = self.named("workflow_ended").last();
         match ended {
-            Some(happening) => found.push(Finding::Ended {
-                at: happening.at.clone(),
-                outcome: CompactString::new(happening.get("outcome").unwrap_or("Ended")),
-                took_ms: self.accepted.and_then(|accepted| between_ms(&accepted.at, &happening.at)),
+            Some(event) => findings.push(Finding::Ended {
+                at: event.at.clone(),
+                outcome: CompactString::new(event.get("outcome").unwrap_or("Ended")),
+                took_ms: self.accepted.and_then(|accepted| between_ms(&accepted.at, &event.at)),
             }),
-            None if self.accepted.is_some() => found.push(Finding::NotEnded),
+            None if self.accepted.is_some() => findings.push(Finding::NotEnded),
             None => {}
         }
-        found
+        findings
     }
 
-    fn missing(&self, passed_over: usize) -> Option<Finding> {
-        let lines = |event| {
-            let counts = self.of(event).filter_map(|h| h.get("lines")?.parse::<u64>().ok());
+    fn missing(&self, dropped: usize) -> Option<Finding> {
+        let lines = |name| {
+            let counts = self.named(name).filter_map(|h| h.get("lines")?.parse::<u64>().ok());
             counts.sum::<u64>()
         };
-        let lines = lines("log_lines_dropped") + lines("lines_left_out") + passed_over as u64;
+        let lines = lines("log_lines_dropped") + lines("lines_left_out") + dropped as u64;
         (lines > 0).then_some(Finding::LinesMissing { lines })
     }
 }
--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,10 +1,9 @@
-//! Tells from log lines what became of a workflow, and why.
+//! Explains from log lines what happened to a workflow and why.
 //!
-//! An on-call engineer has a client's id and the logs of all VMs. The lines that matter are spread: any VM
-//! may have taken the request, the leader decided, and what held the workflow up, a change of the leader or
-//! a lost worker, doesn't name it. [`ExplanationBuilder`] takes lines in any order, keeps those that name the workflow and
-//! those that change what everything waits for, and [`ExplanationBuilder::finish`] puts them in order and draws the
-//! conclusions that the lines allow, no others.
+//! The relevant lines are spread over the logs of all VMs: any VM may have accepted the request, the leader scheduled
+//! it, and causes such as a change of the leader or a lost worker don't name the workflow. [`ExplanationBuilder`]
+//! collects lines in any order, keeps those that name the workflow and those that may affect every workflow, and
+//! [`ExplanationBuilder::finish`] sorts them by time and derives findings.
 
 mod downtime;
 mod explanation;
--- a/crates/explain/src/waits.rs
+++ b/crates/explain/src/waits.rs
@@ -1,4 +1,4 @@
-//! What follows from lines on tasks that weren't running.
+//! Derives findings about tasks that weren't running.
 
 use {
     crate::{
@@ -13,111 +13,108 @@
     },
 };
 
-/// Gaps in a lasting task's running that are shorter are no finding: a move to another worker takes up to
-/// half a second.
-const SHORT_GAP_MS: u64 = 500;
+/// Minimum gap between runs of a long-running task that is reported; planned moves between workers are shorter.
+const MIN_GAP_MS: u64 = 500;
 
-/// The most findings of a kind; a workflow of hundreds of tasks may have hundreds of gaps. The longest are
-/// told.
-const MOST_FINDINGS: usize = 20;
+/// Maximum number of findings of a kind; the longest are reported.
+const MAX_FINDINGS: usize = 20;
 
-/// All findings on what wasn't running, from happenings in the order of time.
-pub(crate) fn all(happenings: &[TimelineEvent]) -> Vec<Finding> {
-    let mut found = held_work(happenings);
-    found.extend(suspensions(happenings));
-    found.extend(waits(happenings));
-    found.extend(untold(happenings));
-    found.extend(gaps(happenings));
-    found
+/// All findings about waits and gaps; `events` are sorted by time.
+pub(crate) fn all(events: &[TimelineEvent]) -> Vec<Finding> {
+    let mut findings = held_work(events);
+    findings.extend(suspensions(events));
+    findings.extend(waits(events));
+    findings.extend(unlogged_waits(events));
+    findings.extend(gaps(events));
+    findings
 }
 
-/// What new leaders held back, from `inherited_work_held` and `inherited_work_released`.
-fn held_work(happenings: &[TimelineEvent]) -> Vec<Finding> {
-    let mut found = Vec::new();
-    for held in happenings.iter().filter(|happening| happening.event == "inherited_work_held") {
+/// Delays of inherited tasks by new leaders, from `inherited_work_held` and `inherited_work_released`.
+fn held_work(events: &[TimelineEvent]) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    for held in events.iter().filter(|event| event.event == "inherited_work_held") {
         let epoch = held.get("epoch");
-        let released = happenings.iter().find(|happening| {
-            happening.event == "inherited_work_released" && happening.get("epoch") == epoch
-        });
-        // Workers that answered after all are named no more at the end.
+        let released = events
+            .iter()
+            .find(|event| event.event == "inherited_work_released" && event.get("epoch") == epoch);
+        // The release names only the workers that didn't answer until then.
         let names =
             released.and_then(|line| line.get("unanswered")).filter(|names| !names.is_empty());
         let names = names.or_else(|| held.get("workers")).unwrap_or_default();
-        found.push(Finding::InheritedWorkHeld(HeldWork {
+        findings.push(Finding::InheritedWorkHeld(HeldWork {
             node: held.node.clone(),
             since: earlier(&held.at, number(held, "held_ms").unwrap_or(0)),
             until: released.map(|line| line.at.clone()),
             at_most: later(&held.at, number(held, "at_most_ms").unwrap_or(0)),
-            deposed: next_leader(happenings, held),
+            deposed: next_election(events, held),
             held_ms: released.and_then(|line| number(line, "held_ms")),
             workers: names.split(',').map(CompactString::new).collect(),
         }));
     }
-    found
+    findings
 }
 
-/// When another leader was elected after a line.
-fn next_leader(happenings: &[TimelineEvent], line: &TimelineEvent) -> Option<CompactString> {
-    let later = |known: &&TimelineEvent| known.event == "elected" && known.at > line.at;
-    happenings.iter().find(later).map(|elected| elected.at.clone())
+/// When another leader was elected after an event.
+fn next_election(events: &[TimelineEvent], line: &TimelineEvent) -> Option<CompactString> {
+    let is_later_election = |event: &&TimelineEvent| event.event == "elected" && event.at > line.at;
+    events.iter().find(is_later_election).map(|elected| elected.at.clone())
 }
 
-/// Whether another leader had been elected before a line: it is of one that woke up from a pause.
-fn is_outdated(happenings: &[TimelineEvent], line: &TimelineEvent) -> bool {
-    let higher = |known: &TimelineEvent| number(known, "epoch") > number(line, "epoch");
-    let elected = happenings.iter().filter(|known| known.event == "elected");
-    elected.take_while(|known| known.at <= line.at).any(higher)
+/// Whether a line was written by a leader already superseded by one with a higher epoch.
+fn is_superseded(events: &[TimelineEvent], line: &TimelineEvent) -> bool {
+    let has_higher_epoch = |event: &TimelineEvent| number(event, "epoch") > number(line, "epoch");
+    let elected = events.iter().filter(|event| event.event == "elected");
+    elected.take_while(|event| event.at <= line.at).any(has_higher_epoch)
 }
 
-/// When leaders gave no orders, from `orders_suspended` and `orders_resumed`.
-fn suspensions(happenings: &[TimelineEvent]) -> Vec<Finding> {
-    let mut found = Vec::new();
-    for line in happenings.iter().filter(|happening| happening.event == "orders_suspended") {
-        if is_outdated(happenings, line) {
+/// When leaders sent no commands, from `orders_suspended` and `orders_resumed`.
+fn suspensions(events: &[TimelineEvent]) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    for line in events.iter().filter(|event| event.event == "orders_suspended") {
+        if is_superseded(events, line) {
             continue;
         }
-        let resumed = happenings.iter().find(|known| {
-            known.event == "orders_resumed" && known.node == line.node && known.at > line.at
+        let resumed = events.iter().find(|event| {
+            event.event == "orders_resumed" && event.node == line.node && event.at > line.at
         });
-        let resumed = resumed.map(|known| known.at.clone());
-        let until = resumed.into_iter().chain(next_leader(happenings, line)).min();
+        let resumed = resumed.map(|event| event.at.clone());
+        let until = resumed.into_iter().chain(next_election(events, line)).min();
         let (node, since) = (line.node.clone(), line.at.clone());
-        found.push(Finding::OrdersSuspended(Suspension { node, since, until }));
+        findings.push(Finding::OrdersSuspended(Suspension { node, since, until }));
     }
-    found
+    findings
 }
 
-/// Whether there were waits without a line, from `waits_untold`.
-fn untold(happenings: &[TimelineEvent]) -> Option<Finding> {
-    let lines = happenings.iter().filter(|happening| happening.event == "waits_untold");
+/// Waits that weren't logged individually, from `waits_untold`.
+fn unlogged_waits(events: &[TimelineEvent]) -> Option<Finding> {
+    let lines = events.iter().filter(|event| event.event == "waits_untold");
     let steps = lines.filter_map(|line| number(line, "steps")).max()?;
     Some(Finding::WaitsUntold { steps })
 }
 
-/// What steps waited for, from `tasks_waiting`. Lines of one wait and reason come again every few seconds and
-/// count as one.
-fn waits(happenings: &[TimelineEvent]) -> Vec<Finding> {
+/// Waits of steps, from `tasks_waiting`. Repeated lines of one wait and reason are merged.
+fn waits(events: &[TimelineEvent]) -> Vec<Finding> {
     let mut waits: Vec<StepWait> = Vec::new();
-    for line in happenings.iter().filter(|happening| happening.event == "tasks_waiting") {
-        let wait = read_wait(line);
-        let last = waits.iter_mut().rev().find(|known| known.step == wait.step);
-        match last.filter(|known| known.reason == wait.reason && wait.waited_ms > known.waited_ms) {
-            Some(known) if known.tasks > wait.tasks => {
-                let (tasks, indices) = (known.tasks, known.indices.clone());
-                *known = StepWait { tasks, indices, ..wait };
+    for line in events.iter().filter(|event| event.event == "tasks_waiting") {
+        let wait = parse_wait(line);
+        let last = waits.iter_mut().rev().find(|other| other.step == wait.step);
+        match last.filter(|other| other.reason == wait.reason && wait.waited_ms > other.waited_ms) {
+            Some(previous) if previous.tasks > wait.tasks => {
+                let (tasks, indices) = (previous.tasks, previous.indices.clone());
+                *previous = StepWait { tasks, indices, ..wait };
             }
-            Some(known) => *known = wait,
+            Some(previous) => *previous = wait,
             None => waits.push(wait),
         }
     }
-    longest(waits, |wait| wait.waited_ms).into_iter().map(Finding::StepWaited).collect()
+    retain_longest(waits, |wait| wait.waited_ms).into_iter().map(Finding::StepWaited).collect()
 }
 
-fn read_wait(line: &TimelineEvent) -> StepWait {
+fn parse_wait(line: &TimelineEvent) -> StepWait {
     let text = |key| CompactString::new(line.get(key).unwrap_or_default());
     let waited_ms = number(line, "waited_ms").unwrap_or(0);
     StepWait {
-        step: within_workflow(line.get("step").unwrap_or_default()),
+        step: strip_workflow(line.get("step").unwrap_or_default()),
         since: earlier(&line.at, waited_ms),
         waited_ms,
         tasks: number(line, "tasks").unwrap_or(0),
@@ -129,86 +126,91 @@
     }
 }
 
-/// What the lines tell of a lasting task so far.
+/// The state of a long-running task by the events so far.
 #[derive(Default)]
-struct Running<'a> {
-    /// Where its last start was, unless its end is told.
-    at: Option<&'a str>,
-    /// The line on the end of its last run, unless it was started since.
-    ended: Option<&'a TimelineEvent>,
+struct TaskState<'a> {
+    /// The worker of its current run, unless an end is logged.
+    worker: Option<&'a str>,
+    /// The event of its last end, unless it was started since.
+    last_end: Option<&'a TimelineEvent>,
 }
 
-/// When lasting tasks didn't run, from `lasting_task_started` and `lasting_task_ended`.
-fn gaps(happenings: &[TimelineEvent]) -> Vec<Finding> {
-    let mut tasks: BTreeMap<&str, Running<'_>> = BTreeMap::new();
+/// Gaps between runs of long-running tasks, from `lasting_task_started` and `lasting_task_ended`.
+fn gaps(events: &[TimelineEvent]) -> Vec<Finding> {
+    let mut tasks: BTreeMap<&str, TaskState<'_>> = BTreeMap::new();
     let mut gaps: Vec<Finding> = Vec::new();
-    for line in happenings {
+    for line in events {
         let Some(task) = line.get("task") else { continue };
-        let running = tasks.entry(task);
+        let state = tasks.entry(task);
         match line.event.as_str() {
-            "lasting_task_started" => gaps.extend(started(task, running.or_default(), line)),
-            "lasting_task_ended" => take_end(running.or_default(), line),
+            "lasting_task_started" => gaps.extend(record_start(task, state.or_default(), line)),
+            "lasting_task_ended" => record_end(state.or_default(), line),
             _ => {}
         }
     }
-    let over = happenings.iter().any(|happening| happening.event == "workflow_ended");
-    if !over {
-        let down = tasks.iter().filter_map(|(task, running)| Some((task, running.ended?)));
-        gaps.extend(down.map(|(task, ended)| {
+    let workflow_ended = events.iter().any(|event| event.event == "workflow_ended");
+    if !workflow_ended {
+        let down = tasks.iter().filter_map(|(task, state)| Some((task, state.last_end?)));
+        gaps.extend(down.map(|(task, end)| {
             Finding::TaskDown(TaskDown {
-                task: within_workflow(task),
-                since: down_since(ended),
-                how: how_ended(ended),
+                task: strip_workflow(task),
+                since: down_since(end),
+                how: describe_end(end),
             })
         }));
     }
-    longest(gaps, |gap| match gap {
+    retain_longest(gaps, |gap| match gap {
         Finding::TaskGap(gap) => gap.down_ms,
         Finding::TaskRestarted(restart) => restart.waited_ms,
-        // What still isn't running comes before all that runs again.
+        // Tasks that are still down come before all others.
         _ => u64::MAX,
     })
 }
 
-/// Takes the end of a run in. Two leaders may tell the same one, and the first counts. Of another run it is a
-/// later end: its start has no line.
-fn take_end<'a>(running: &mut Running<'a>, line: &'a TimelineEvent) {
-    running.at = None;
-    match running.ended {
-        Some(known) if known.get("run") == line.get("run") => {}
-        _ => running.ended = Some(line),
+/// Records the end of a run. Two leaders may log the same end; the first counts. The end of another run replaces it:
+/// the start of that run isn't logged.
+fn record_end<'a>(state: &mut TaskState<'a>, line: &'a TimelineEvent) {
+    state.worker = None;
+    match state.last_end {
+        Some(end) if end.get("run") == line.get("run") => {}
+        _ => state.last_end = Some(line),
     }
 }
 
-/// Since when a task is down whose end a line tells: a worker's silence begins before its runs are given up.
-fn down_since(ended: &TimelineEvent) -> CompactString {
-    earlier(&ended.at, number(ended, "down_ms").unwrap_or(0))
+/// When a task went down. A worker may be unresponsive for `down_ms` before the end of its runs is logged.
+fn down_since(end: &TimelineEvent) -> CompactString {
+    earlier(&end.at, number(end, "down_ms").unwrap_or(0))
 }
 
-fn started<'a>(task: &str, running: &mut Running<'a>, line: &'a TimelineEvent) -> Option<Finding> {
-    let ended = running.ended.take();
+/// Records a start; returns the gap before it if it is long enough, or a restart without a logged end.
+fn record_start<'a>(
+    task: &str,
+    state: &mut TaskState<'a>,
+    line: &'a TimelineEvent,
+) -> Option<Finding> {
+    let last_end = state.last_end.take();
     let worker = line.get("worker").unwrap_or_default();
-    let before = running.at.replace(worker);
-    let task = within_workflow(task);
-    if let Some(ended) = ended {
-        let since = down_since(ended);
+    let previous_worker = state.worker.replace(worker);
+    let task = strip_workflow(task);
+    if let Some(end) = last_end {
+        let since = down_since(end);
         let down_ms = between_ms(&since, &line.at).unwrap_or(0);
-        let how = how_ended(ended);
+        let how = describe_end(end);
         let worker = CompactString::new(worker);
         let gap = Finding::TaskGap(TaskGap { task, since, down_ms, how, worker });
-        return (down_ms >= SHORT_GAP_MS).then_some(gap);
+        return (down_ms >= MIN_GAP_MS).then_some(gap);
     }
     Some(Finding::TaskRestarted(TaskRestart {
         task,
         at: line.at.clone(),
         worker: CompactString::new(worker),
-        before: CompactString::new(before?),
+        before: CompactString::new(previous_worker?),
         waited_ms: number(line, "waited_ms").unwrap_or(0),
     }))
 }
 
-/// How a run ended, in words.
-fn how_ended(line: &TimelineEvent) -> CompactString {
+/// Describes how and on which worker a run ended.
+fn describe_end(line: &TimelineEvent) -> CompactString {
     let worker = line.get("worker").unwrap_or_default();
     let end = match line.get("end").unwrap_or_default() {
         "lost" => format_compact!("lost with {worker}"),
@@ -223,20 +225,20 @@
     }
 }
 
-/// The `MOST_FINDINGS` longest, in their order.
-fn longest<T>(mut all: Vec<T>, length: impl Fn(&T) -> u64) -> Vec<T> {
-    if all.len() > MOST_FINDINGS {
-        let mut lengths: Vec<u64> = all.iter().map(&length).collect();
+/// Keeps the `MAX_FINDINGS` longest items in their order.
+fn retain_longest<T>(mut items: Vec<T>, length: impl Fn(&T) -> u64) -> Vec<T> {
+    if items.len() > MAX_FINDINGS {
+        let mut lengths: Vec<u64> = items.iter().map(&length).collect();
         lengths.sort_unstable();
-        let least = lengths[lengths.len() - MOST_FINDINGS];
-        all.retain(|one| length(one) >= least);
-        all.truncate(MOST_FINDINGS);
+        let min_length = lengths[lengths.len() - MAX_FINDINGS];
+        items.retain(|item| length(item) >= min_length);
+        items.truncate(MAX_FINDINGS);
     }
-    all
+    items
 }
 
-/// An id without its workflow, which the reader asked for.
-fn within_workflow(id: &str) -> CompactString {
+/// A step or task id without its workflow id.
+fn strip_workflow(id: &str) -> CompactString {
     CompactString::new(id.split_once('.').map_or(id, |(_, rest)| rest))
 }
 
@@ -246,16 +248,17 @@
 
 /// The time `ms` milliseconds before `at`.
 fn earlier(at: &str, ms: u64) -> CompactString {
-    moved(at, |time| time.checked_sub(Duration::from_millis(ms)))
+    shift_time(at, |time| time.checked_sub(Duration::from_millis(ms)))
 }
 
 /// The time `ms` milliseconds after `at`.
 fn later(at: &str, ms: u64) -> CompactString {
-    moved(at, |time| time.checked_add(Duration::from_millis(ms)))
+    shift_time(at, |time| time.checked_add(Duration::from_millis(ms)))
 }
 
-fn moved(at: &str, by: impl Fn(SystemTime) -> Option<SystemTime>) -> CompactString {
-    let time = humantime::parse_rfc3339(at).ok().and_then(by);
+/// Shifts a timestamp; returns it unchanged if it is invalid or out of range.
+fn shift_time(at: &str, shift: impl Fn(SystemTime) -> Option<SystemTime>) -> CompactString {
+    let time = humantime::parse_rfc3339(at).ok().and_then(shift);
     time.map_or_else(
         || CompactString::new(at),
         |time| format_compact!("{}", humantime::format_rfc3339_millis(time)),
--- a/crates/explain/tests/failed_requests.rs
+++ b/crates/explain/tests/failed_requests.rs
@@ -1,13 +1,13 @@
-//! Three kinds of failed requests, from the id to the cause, by lines as the daemons write them.
+//! Findings for late, failed and rejected requests, from log lines as the daemons write them.
 
 use egretlb_explain::{ExplanationBuilder, Finding};
 
 const ID: &str = "97aa5350f2a720be";
 
-/// Lines with the time in seconds, the VM, and the rest.
+/// Explains lines given as time in seconds, VM and the remaining pairs.
 fn explain(lines: &[(f64, &str, &str)]) -> Vec<Finding> {
     let mut builder = ExplanationBuilder::new(ID);
-    // Logs of several VMs come one after the other, so lines aren't in the order of time.
+    // Logs of several VMs aren't sorted by time.
     for (at, node, rest) in lines.iter().rev() {
         builder.add_line(&format!(
             "ts=2026-10-11T16:07:{at:06.3}Z level=info node={node} event={rest}"
@@ -16,9 +16,9 @@
     builder.finish().findings
 }
 
-/// A surveyor complains that a check came late. Its leader had been killed just after it was accepted.
+/// A late start is attributed to a change of the leader.
 #[test]
-fn owner_killed() {
+fn leader_killed() {
     let findings = explain(&[
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
         (2.600, "entry-2", "elected epoch=4 workers=66 workflows=80 unaccounted=66"),
@@ -35,10 +35,9 @@
     assert!(matches!(&findings[3], Finding::Ended { took_ms: Some(2_900), .. }));
 }
 
-/// A client was told that nobody knows whether its batch is stored. The store's answer was lost; the client
-/// asked again, and the batch ran once.
+/// A submission with an unknown outcome is counted as a failed attempt before the accepted one.
 #[test]
-fn answer_lost() {
+fn outcome_unknown() {
     let findings = explain(&[
         (1.000, "entry-1", "append_given_up records=3 stored=Unknown"),
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Unknown"),
@@ -50,9 +49,9 @@
     assert!(matches!(&findings[1], Finding::Accepted { refused_before: 1, .. }));
 }
 
-/// A workflow failed. A grey worker failed its tasks, and those of others, until the attempts were used up.
+/// Failed runs are attributed to quarantined workers, but only to those that ran a task of the workflow.
 #[test]
-fn grey_workers() {
+fn workers_at_fault() {
     let findings = explain(&[
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
         (1.010, "entry-2", "workflow_started workflow=97aa5350f2a720be worker=w-1"),
@@ -63,15 +62,15 @@
         (1.710, "entry-2", "workflow_ended workflow=97aa5350f2a720be outcome=Failed copies=3"),
     ]);
     assert!(findings.iter().any(|finding| finding.to_string() == "runs failed: 1 at w-1 1 at w-2"));
-    // Another worker's trouble has nothing to do with it.
+    // w-77 ran no task of the workflow.
     let at_fault = Finding::WorkersAtFault { workers: vec!["w-1".into()] };
     assert!(findings.contains(&at_fault));
     assert!(matches!(findings.last(), Some(Finding::Ended { outcome, .. }) if outcome == "Failed"));
 }
 
-/// A workflow isn't done since one of its tasks is lost with each worker that starts it.
+/// Lost runs are counted by task.
 #[test]
-fn lost_with_workers() {
+fn runs_lost_by_task() {
     let findings = explain(&[
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
         (1.010, "entry-2", "workflow_started workflow=97aa5350f2a720be worker=w-1"),
@@ -79,14 +78,14 @@
         (4.300, "entry-2", "run_lost task=97aa5350f2a720be.0.0.5 run=1 worker=w-1 loss=replaced"),
         (7.700, "entry-2", "run_lost task=97aa5350f2a720be.0.0.4 run=2 worker=w-2 loss=replaced"),
     ]);
-    let told =
+    let expected =
         "runs lost with their worker: 2 of 97aa5350f2a720be.0.0.4 1 of 97aa5350f2a720be.0.0.5";
-    assert!(findings.iter().any(|finding| finding.to_string() == told), "{findings:?}");
+    assert!(findings.iter().any(|finding| finding.to_string() == expected), "{findings:?}");
 }
 
-/// A workflow failed although none of its runs did: one of its tasks crashed the workers that started it.
+/// The task that crashed its workers is named.
 #[test]
-fn given_up() {
+fn crashing_task() {
     let findings = explain(&[
         (1.000, "entry-1", "submitted workflow=97aa5350f2a720be route=r stored=Yes"),
         (1.010, "entry-2", "workflow_started workflow=97aa5350f2a720be worker=w-1"),
@@ -114,7 +113,7 @@
     assert_eq!(findings, [Finding::NotSeen]);
 }
 
-/// Lines were dropped while it ran: what isn't there may have happened.
+/// Dropped log lines are reported.
 #[test]
 fn lines_missing() {
     let findings = explain(&[
--- a/crates/explain/tests/line_forms.rs
+++ b/crates/explain/tests/line_forms.rs
@@ -1,4 +1,4 @@
-//! Lines are read back as they were written.
+//! Log lines are parsed as they were written.
 
 use {
     egretlb_explain::LogLine,
@@ -8,7 +8,7 @@
     std::time::{Duration, SystemTime},
 };
 
-fn written(event: &str, value: &str) -> String {
+fn format_event(event: &str, value: &str) -> String {
     let pairs = [("workflow", "00000000000000a1"), ("detail", value)];
     let mut builder = Record::builder();
     builder.level(Level::Info).target("egretlb_test").key_values(&pairs);
@@ -17,11 +17,11 @@
 }
 
 #[test]
-fn written_then_read() {
+fn round_trip() {
     for value in
         ["plain", "two words", "a \"quote\"", "back\\slash", "line\nfeed\ttab", "", "x=y z=w"]
     {
-        let line = LogLine::parse(&written("submitted", value)).expect("a line");
+        let line = LogLine::parse(&format_event("submitted", value)).expect("a line");
         assert_eq!(line.at, "1970-01-01T00:00:01.500Z");
         assert_eq!((line.node.as_str(), line.event.as_str()), ("entry-1", "submitted"));
         assert_eq!(line.get("workflow"), Some("00000000000000a1"));
@@ -29,16 +29,16 @@
     }
 }
 
-/// A client's text can hold what looks like the end of a value and another event. It stays a value.
+/// Guards against text from a client that forges another event.
 #[test]
 fn no_forged_event() {
-    let line = LogLine::parse(&written("submitted", "x\" event=\"cancelled")).expect("a line");
+    let line = LogLine::parse(&format_event("submitted", "x\" event=\"cancelled")).expect("a line");
     assert_eq!(line.event, "submitted");
 }
 
-/// Collectors put names before a line, and other programs write to the same place.
+/// Prefixes of log collectors are ignored, and lines of other programs are rejected.
 #[test]
-fn strange_lines() {
+fn other_lines() {
     let line =
         LogLine::parse("  12.5 host-3 ts=2026-01-31T08:15:30.123Z level=info node=n event=e a=1");
     assert_eq!(line.and_then(|line| line.get("a").map(str::to_string)), Some("1".to_string()));
@@ -47,13 +47,13 @@
     }
 }
 
-/// Bytes at random, and true lines with bytes changed, are read or passed over, and never a crash.
+/// Guards against a panic on corrupted lines.
 #[test]
-fn broken_lines() {
+fn corrupted_lines() {
     let mut rng = SmallRng::seed_from_u64(7);
-    let whole = written("task_failed", "a \"b\" \u{202e} c");
+    let valid = format_event("task_failed", "a \"b\" \u{202e} c");
     for _ in 0..20_000 {
-        let mut bytes = whole.clone().into_bytes();
+        let mut bytes = valid.clone().into_bytes();
         for _ in 0..rng.random_range(1..6) {
             let at = rng.random_range(0..bytes.len());
             bytes[at] = rng.random();
--- a/crates/explain/tests/task_downtime.rs
+++ b/crates/explain/tests/task_downtime.rs
@@ -1,10 +1,10 @@
-//! Why a lasting task wasn't running, from its id to the cause, by lines as the daemons write them.
+//! Findings for long-running tasks that weren't running, from log lines as the daemons write them.
 
 use egretlb_explain::{ExplanationBuilder, Finding};
 
 const ID: &str = "97aa5350f2a720be";
 
-/// Lines with the time in seconds, the VM, and the rest.
+/// Explains lines given as time in seconds, VM and the remaining pairs.
 fn explain(id: &str, lines: &[(f64, &str, &str)]) -> Vec<Finding> {
     let mut builder = ExplanationBuilder::new(id);
     for (at, node, rest) in lines.iter().rev() {
@@ -19,8 +19,7 @@
     findings.iter().map(|finding| format!("{finding}\n")).collect()
 }
 
-/// A camera's operator finds it dark for four seconds, a minute after its service began: its task had given
-/// its room to short ones.
+/// A gap caused by preemption and the wait for capacity.
 #[test]
 fn preempted() {
     let findings = explain(
@@ -64,8 +63,7 @@
     assert!(texts.contains(waited), "{texts}");
 }
 
-/// A leader and a worker are lost together. The worker's task has no line of its end, since nobody who saw
-/// it start saw it end; the new leader says what it held back for which worker.
+/// A leader and a worker are lost together, so the end of the run isn't logged.
 #[test]
 fn leader_and_worker_lost() {
     let findings = explain(
@@ -108,7 +106,7 @@
     );
 }
 
-/// It still isn't running, and the log goes on: what came after its last line matters, too.
+/// Context after the last line of a task that is still down is included.
 #[test]
 fn still_down() {
     let findings = explain(
@@ -149,7 +147,7 @@
     );
 }
 
-/// Asked for one task of many, only what concerns that one is told.
+/// An explanation of one task leaves out other tasks and steps.
 #[test]
 fn one_task() {
     let lines = [
@@ -181,7 +179,7 @@
     assert!(texts.contains("step 0.0 waited") && !texts.contains("step 0.1"), "{texts}");
 }
 
-/// Waits of which lines were left out: what isn't told may still have been so.
+/// Lines left out by the daemon's rate limit are reported as missing.
 #[test]
 fn left_out() {
     let findings = explain(
@@ -195,9 +193,9 @@
     assert_eq!(findings.last(), Some(&Finding::LinesMissing { lines: 40 }));
 }
 
-/// Hundreds of steps waited, and not each had a line.
+/// Waits that weren't logged individually are reported.
 #[test]
-fn waits_untold() {
+fn unlogged_waits() {
     let findings = explain(
         ID,
         &[
@@ -207,13 +205,13 @@
             (9.500, "entry-2", "workflow_ended workflow=97aa5350f2a720be outcome=Completed"),
         ],
     );
-    let untold = "up to 113 steps waited without a line of their own, this one perhaps, too";
-    assert!(texts(&findings).contains(untold), "{findings:?}");
+    let expected = "up to 113 steps waited without a line of their own, this one perhaps, too";
+    assert!(texts(&findings).contains(expected), "{findings:?}");
 }
 
-/// The line on a start in between was left out: the later end of another run is the one that counts.
+/// If a start isn't logged, the later end of another run counts.
 #[test]
-fn start_untold() {
+fn unlogged_start() {
     let findings = explain(
         ID,
         &[
@@ -239,10 +237,9 @@
     );
 }
 
-/// The store is away for longer than the leader may give orders on its own. Then nothing is started
-/// anywhere, whatever room there is.
+/// A suspension ends when the leader resumes or another one is elected.
 #[test]
-fn orders_suspended() {
+fn commands_suspended() {
     let findings = explain(
         ID,
         &[
@@ -267,7 +264,7 @@
     );
 }
 
-/// The new leader was deposed itself while it held back what it had inherited.
+/// A new leader is deposed while it delays inherited tasks.
 #[test]
 fn held_until_deposed() {
     let findings = explain(
@@ -292,10 +289,9 @@
     );
 }
 
-/// A leader that was frozen wakes up after another one was elected. That it gives no orders then holds up
-/// nothing.
+/// A suspension logged by a leader that was already superseded is ignored.
 #[test]
-fn woke_deposed() {
+fn superseded_leader() {
     let findings = explain(
         ID,
         &[
@@ -308,9 +304,9 @@
     assert!(!texts(&findings).contains("gave no orders"), "{findings:?}");
 }
 
-/// Of a step's wait the most tasks are named that a line names, and how many workers could take them.
+/// Repeated lines of a wait are merged: the maximum number of tasks, and the latest number of workers.
 #[test]
-fn most_tasks() {
+fn merged_waits() {
     let lines = [
         (
             5.000,
