--- a/crates/egretlbd/tests/fault_soak.rs
+++ b/crates/egretlbd/tests/fault_soak.rs
@@ -122,8 +122,8 @@
     rng: SmallRng,
     platform: Platform,
     /// Between each daemon and the store.
-    to_store: Vec<Proxy>,
-    to_workers: Vec<Proxy>,
+    store_proxies: Vec<Proxy>,
+    worker_proxies: Vec<Proxy>,
     daemons: Vec<Daemon>,
     accepted: BTreeSet<String>,
     next_id: u64,
@@ -142,18 +142,18 @@
 impl Soak {
     async fn new(seed: u64) -> Soak {
         let mut platform = Platform::start(WORKERS).await;
-        let to_workers = platform.proxy_workers().await;
-        let mut to_store = Vec::new();
+        let worker_proxies = platform.proxy_workers().await;
+        let mut store_proxies = Vec::new();
         for _ in 0..DAEMONS {
-            to_store.push(Proxy::start(platform.store_addr).await);
+            store_proxies.push(Proxy::start(platform.store_addr).await);
         }
         let daemon = |(number, proxy): (usize, &Proxy)| Daemon::new(number, seed, proxy.addr);
-        let daemons = to_store.iter().enumerate().map(daemon).collect();
+        let daemons = store_proxies.iter().enumerate().map(daemon).collect();
         Soak {
             rng: SmallRng::seed_from_u64(seed),
             platform,
-            to_store,
-            to_workers,
+            store_proxies,
+            worker_proxies,
             daemons,
             accepted: BTreeSet::new(),
             next_id: seed << 32,
@@ -188,7 +188,8 @@
 
     /// Injects a fault into one daemon's connections to the store, or into the connections to one worker.
     fn inject_link_fault(&mut self) {
-        let links = if self.rng.random_bool(0.5) { &self.to_store } else { &self.to_workers };
+        let links =
+            if self.rng.random_bool(0.5) { &self.store_proxies } else { &self.worker_proxies };
         let link = &links[self.rng.random_range(0..links.len())];
         match self.rng.random_range(0..7) {
             0 => link.blackhole_open_connections(),
@@ -202,7 +203,7 @@
 
     /// Ends all faults and restarts all daemons.
     fn end_faults(&mut self) {
-        for link in self.to_store.iter().chain(&self.to_workers) {
+        for link in self.store_proxies.iter().chain(&self.worker_proxies) {
             link.set_fault(Fault::None);
         }
         self.platform.store.borrow_mut().busy = false;
