--- a/crates/workflow/src/scheduler/attempt.rs
+++ b/crates/workflow/src/scheduler/attempt.rs
@@ -42,10 +42,10 @@
     /// The worker's clock, in milliseconds, after which the worker rejects the start. None if a previous leader
     /// started it.
     pub(crate) start_deadline_ms: Option<u64>,
-    /// Nothing else is started on the worker until this attempt passes its probation.
+    /// An isolated start: nothing else is started on the worker while this attempt is in its crash window.
     pub(crate) isolated: bool,
-    /// Started by a previous leader that didn't see it running past its probation.
-    pub(crate) inherited_in_probation: bool,
+    /// Started by a previous leader that recorded it as in its crash window.
+    pub(crate) inherited_in_crash_window: bool,
     /// The worker has answered the start or listed the run.
     pub(crate) confirmed: bool,
     /// When it was started, or first listed by the worker.
@@ -132,7 +132,7 @@
             is_restart: false,
             start_deadline_ms: None,
             isolated: false,
-            inherited_in_probation: false,
+            inherited_in_crash_window: false,
             confirmed: false,
             placed_at: now,
             running_since: now,
--- a/crates/workflow/src/scheduler/isolated_start.rs
+++ b/crates/workflow/src/scheduler/isolated_start.rs
@@ -1,12 +1,12 @@
 //! Isolated starts of tasks that are suspected of crashing workers.
 //!
-//! A suspected task is started on a worker without other attempts in probation, and nothing else is started there
-//! until it passes its own. So the next crash shows whether it is the cause, and affects few other tasks.
+//! A suspected task is started on a worker without other attempts in their crash window, and nothing else is started
+//! there until its own window is over. So the next crash shows whether it is the cause, and affects few other tasks.
 
 use {
     super::{
         Attempt, Ready, Requirements, Scheduler, Worker, active_workflow::TaskState,
-        lost_workers::PROBATION, placement::has_capacity,
+        lost_workers::CRASH_WINDOW, placement::has_capacity,
     },
     crate::{AnnouncedRun, RunId, TaskId, WorkerId},
     compact_str::CompactString,
@@ -17,7 +17,7 @@
 /// Number of workers of a service per worker reserved at a time, so that most stay open to other tasks.
 const WORKERS_PER_RESERVATION: usize = 4;
 
-/// How long a worker is reserved before an isolated start: runs there pass [`PROBATION`], and two polls confirm it.
+/// How long a worker is reserved before an isolated start: runs there pass [`CRASH_WINDOW`], and two polls confirm it.
 const RESERVATION_SPAN: Duration = Duration::from_secs(1);
 
 /// A reserved worker, polled every 250 ms, has probably crashed after this long without a reply.
@@ -37,7 +37,7 @@
 /// Cost of an isolated start on a worker: waiting for other attempts, then the impact of a crash.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct IsolationCost {
-    any_in_probation: bool,
+    any_in_crash_window: bool,
     long_running: usize,
     runs: usize,
 }
@@ -48,10 +48,10 @@
         self.isolated_starts > 0 || now < self.reserved_until
     }
 
-    /// Whether a listed run has passed its probation; ends the isolation in that case.
-    pub(super) fn pass_probation(&mut self, now: Time, task: TaskId, run: RunId) -> bool {
+    /// Ends the isolation of a listed run whose crash window is over; returns whether it is over.
+    pub(super) fn pass_crash_window(&mut self, now: Time, task: TaskId, run: RunId) -> bool {
         let Some(attempt) = self.attempts.get_mut(&(task, run)) else { return false };
-        let passed = now.since(attempt.running_since) >= PROBATION;
+        let passed = now.since(attempt.running_since) >= CRASH_WINDOW;
         if passed && std::mem::take(&mut attempt.isolated) {
             self.isolated_starts -= 1;
         }
@@ -61,7 +61,7 @@
     fn isolation_cost(&self) -> IsolationCost {
         let long_running = self.attempts.values().filter(|attempt| attempt.long_running).count();
         IsolationCost {
-            any_in_probation: !self.all_past_probation(),
+            any_in_crash_window: !self.all_past_crash_window(),
             long_running,
             runs: self.attempts.len(),
         }
@@ -115,12 +115,12 @@
         if !self.can_take_suspect(now, &id, worker, task, service, requirements) {
             return None;
         }
-        let past_probation = worker.all_past_probation();
+        let past_crash_window = worker.all_past_crash_window();
         if !self.is_recorded(task) {
             self.reserve_worker(now, &id);
             return Some(IsolatedStart::Later);
         }
-        match (past_probation, now < worker.reserved_until) {
+        match (past_crash_window, now < worker.reserved_until) {
             (true, _) => Some(IsolatedStart::At(id)),
             (false, true) => Some(IsolatedStart::Later),
             (false, false) => None,
@@ -130,7 +130,7 @@
     /// Whether all crashes of a task and its announced run are in the store.
     fn is_recorded(&self, task: TaskId) -> bool {
         let append = self.pending_append.as_ref();
-        !self.lost_workers.is_unrecorded(task.workflow)
+        !self.lost_workers.has_unrecorded_crash_state(task.workflow)
             && !append.is_some_and(|recording| recording.has_crashes_of(task.workflow))
     }
 
@@ -192,7 +192,7 @@
             state.announced = Some(AnnouncedRun { run, worker: id });
         }
         self.dirty.insert(task.workflow);
-        self.lost_workers.note_unrecorded(task.workflow);
+        self.lost_workers.note_unrecorded_crash_state(task.workflow);
         IsolatedStart::Later
     }
 
@@ -208,7 +208,7 @@
         true
     }
 
-    /// Whether a worker can take a suspected task, regardless of other attempts in probation.
+    /// Whether a worker can take a suspected task, regardless of other attempts in their crash window.
     fn can_take_suspect(
         &self,
         now: Time,
--- a/crates/workflow/src/scheduler/lost_workers.rs
+++ b/crates/workflow/src/scheduler/lost_workers.rs
@@ -1,4 +1,4 @@
-//! Lost workers: requeues their runs and assesses which run may have crashed its worker.
+//! Requeues the runs of lost workers and assesses which of them may have crashed its worker.
 
 use {
     super::{Attempt, Scheduler, Worker, waits::LineBudget},
@@ -15,23 +15,27 @@
     },
 };
 
-/// A worker that is lost within this time of starting a run may have been crashed by it.
-pub(super) const PROBATION: Duration = Duration::from_millis(500);
+/// A run is in its crash window until it is known to have run this long: if its worker is lost before, the run may
+/// have crashed it.
+pub(super) const CRASH_WINDOW: Duration = Duration::from_millis(500);
 
-/// A run that has been running this long clears the earlier crashes of its task.
+/// The crashes counted for a task are cleared once one of its runs has lasted this long.
 pub(super) const CRASHES_CLEARED_AFTER: Duration = Duration::from_secs(10);
 
-/// How long an unresponsive worker may take to return and clear the crashes counted for its loss.
+/// Crashes counted for the loss of an unresponsive worker are remembered for at least this long, to be cleared if it
+/// replies again.
 const RETURN_WINDOW: Duration = Duration::from_secs(60);
 
-/// Maximum time between the last contacts of two workers lost together, if the other's was earlier: the longest
+/// Two workers count as lost together if the last contact of the other was at most this much earlier: the longest
 /// interval between replies of a busy worker.
 const MAX_EARLIER_CONTACT: Duration = Duration::from_millis(1_600);
 
-/// The same if the other's last contact was later: a worker in probation replies every 250 ms.
+/// Two workers count as lost together if the last contact of the other was at most this much later: a worker with a
+/// run in its crash window replies every 250 ms.
 const MAX_LATER_CONTACT: Duration = Duration::from_millis(400);
 
-/// A worker in probation, polled every 250 ms, may have crashed after this long without a reply.
+/// After this long without a reply, the runs in their crash window on a worker are recorded, since it may have
+/// crashed. Such a worker is polled every 250 ms.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(1);
 
 /// After this long without a reply a worker counts as probably lost.
@@ -55,11 +59,11 @@
 /// Why a worker counts as lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum WorkerLoss {
-    /// It left as announced, or for maintenance.
+    /// It ended after draining, or its VM was taken down for maintenance.
     Left,
-    /// Another incarnation answers at its address.
+    /// Another process of the same worker answers at its address.
     Replaced,
-    /// It was unresponsive until its leases lapsed; it may only be partitioned.
+    /// It was unresponsive until the leases of its runs lapsed; it may only be partitioned.
     Lapsed,
 }
 
@@ -77,21 +81,22 @@
 #[derive(Debug)]
 pub(super) struct LostWorkers {
     log_budget: LineBudget,
-    /// Runs counted as crashed because their worker was unresponsive, and the time of the loss.
-    lapsed: BTreeMap<WorkerId, (Time, Vec<(TaskId, RunId)>)>,
+    /// Crashes counted for the loss of an unresponsive worker, with the time of the loss. They are cleared if it
+    /// replies again.
+    clearable_crashes: BTreeMap<WorkerId, (Time, Vec<(TaskId, RunId)>)>,
     /// Recently lost workers.
     recent: VecDeque<LostWorker>,
-    /// Workflows with a crash that isn't in the store and in no append under way.
-    unrecorded: BTreeSet<WorkflowId>,
+    /// Workflows with a crash or an announced run that is neither in the store nor part of the append under way.
+    unrecorded_crash_state: BTreeSet<WorkflowId>,
 }
 
 impl Default for LostWorkers {
     fn default() -> LostWorkers {
         LostWorkers {
             log_budget: LineBudget::new("lost_runs", LOG_BURST_LINES, LOG_LINES_PER_SECOND),
-            lapsed: BTreeMap::new(),
+            clearable_crashes: BTreeMap::new(),
             recent: VecDeque::new(),
-            unrecorded: BTreeSet::new(),
+            unrecorded_crash_state: BTreeSet::new(),
         }
     }
 }
@@ -106,17 +111,17 @@
         self.log_budget.take(now, 0)
     }
 
-    /// Marks a workflow's crashes as part of an append; returns whether there were new ones.
-    pub(super) fn take_unrecorded(&mut self, id: WorkflowId) -> bool {
-        self.unrecorded.remove(&id)
+    /// Marks a workflow's crashes and announced runs as part of an append; returns whether any were unrecorded.
+    pub(super) fn take_unrecorded_crash_state(&mut self, id: WorkflowId) -> bool {
+        self.unrecorded_crash_state.remove(&id)
     }
 
-    pub(super) fn note_unrecorded(&mut self, id: WorkflowId) {
-        self.unrecorded.insert(id);
+    pub(super) fn note_unrecorded_crash_state(&mut self, id: WorkflowId) {
+        self.unrecorded_crash_state.insert(id);
     }
 
-    pub(super) fn is_unrecorded(&self, id: WorkflowId) -> bool {
-        self.unrecorded.contains(&id)
+    pub(super) fn has_unrecorded_crash_state(&self, id: WorkflowId) -> bool {
+        self.unrecorded_crash_state.contains(&id)
     }
 }
 
@@ -148,35 +153,46 @@
             .then(|| last_contact.max(attempt.running_since).since(attempt.running_since))
     }
 
-    /// Whether an attempt started so recently that it would be suspected if the worker crashed now.
-    fn is_in_probation(&self, attempt: &Attempt) -> bool {
+    /// Whether an attempt started so recently that it would be suspected if the worker crashed now. For one inherited
+    /// from a previous leader, that leader's record decides until the worker lists the run.
+    fn is_in_crash_window(&self, attempt: &Attempt) -> bool {
         let inherited = attempt.start_deadline_ms.is_none();
         match self.ran_for(attempt) {
-            _ if inherited => attempt.inherited_in_probation && !attempt.confirmed,
-            ran_for => ran_for.is_none_or(|span| span < PROBATION),
+            _ if inherited => attempt.inherited_in_crash_window && !attempt.confirmed,
+            ran_for => ran_for.is_none_or(|ran_for| ran_for < CRASH_WINDOW),
         }
     }
 
-    /// The attempts in probation that have certainly started.
-    pub(super) fn runs_in_probation(&self) -> impl Iterator<Item = (TaskId, RunId)> {
-        let in_probation = |attempt: &Attempt| {
-            self.is_in_probation(attempt) && (attempt.confirmed || attempt.inherited_in_probation)
+    /// The attempts in their crash window that have certainly started.
+    pub(super) fn runs_in_crash_window(&self) -> impl Iterator<Item = (TaskId, RunId)> {
+        let in_crash_window = |attempt: &Attempt| {
+            self.is_in_crash_window(attempt)
+                && (attempt.confirmed || attempt.inherited_in_crash_window)
         };
-        self.attempts.iter().filter(move |(_, attempt)| in_probation(attempt)).map(|(key, _)| *key)
+        self.attempts
+            .iter()
+            .filter(move |(_, attempt)| in_crash_window(attempt))
+            .map(|(key, _)| *key)
     }
 
-    /// What the loss of this worker indicates about an attempt; `alone` if no other attempt here can be the cause.
-    fn evidence(&self, attempt: &Attempt, loss: WorkerLoss, alone: bool) -> Option<CrashEvidence> {
+    /// How strongly the loss of this worker suggests that an attempt crashed it; none if it isn't counted as a crash.
+    /// `alone` if no other attempt here can be the cause.
+    fn crash_evidence(
+        &self,
+        attempt: &Attempt,
+        loss: WorkerLoss,
+        alone: bool,
+    ) -> Option<CrashEvidence> {
         let draining = self.info.state == WorkerState::Draining;
-        if !self.is_in_probation(attempt) {
+        if !self.is_in_crash_window(attempt) {
             let inherited = attempt.start_deadline_ms.is_none();
-            let cleared =
+            let long_enough =
                 self.ran_for(attempt).is_some_and(|ran_for| ran_for >= CRASHES_CLEARED_AFTER);
-            return (!inherited && !cleared && !draining).then_some(CrashEvidence::Late);
+            return (!inherited && !long_enough && !draining).then_some(CrashEvidence::Late);
         }
-        let started = attempt.confirmed || attempt.inherited_in_probation;
+        let started = attempt.confirmed || attempt.inherited_in_crash_window;
         Some(match loss {
-            // A draining worker gets no starts, and stays up for some seconds.
+            // A draining worker gets no starts and exits after some seconds, so its loss may not be a crash.
             _ if draining => CrashEvidence::Unsure,
             WorkerLoss::Replaced if started && alone => CrashEvidence::Alone,
             WorkerLoss::Replaced if started => CrashEvidence::Shared,
@@ -184,23 +200,23 @@
         })
     }
 
-    /// Whether no attempt here is in probation.
-    pub(super) fn all_past_probation(&self) -> bool {
-        !self.attempts.values().any(|attempt| self.is_in_probation(attempt))
+    /// Whether no attempt here is in its crash window.
+    pub(super) fn all_past_crash_window(&self) -> bool {
+        !self.attempts.values().any(|attempt| self.is_in_crash_window(attempt))
     }
 }
 
 impl Scheduler {
-    /// Drops the attempts on a lost worker and requeues their tasks.
+    /// Drops the attempts on a lost worker, counts crashes of their tasks, logs them and requeues the tasks.
     pub(super) fn requeue_lost_runs(&mut self, now: Time, id: &WorkerId, loss: WorkerLoss) {
         let runs = self.lost_runs(now, id, loss);
-        self.add_loss(now, id, loss);
+        self.note_loss(now, id, loss);
         let beside = runs.len().saturating_sub(1);
         for LostRun { task, run, ran_for, evidence } in runs {
             self.stats.lost += 1;
             let crashes = evidence.map_or(0, |evidence| self.add_crash(task, run, evidence));
             if evidence.is_some() && loss == WorkerLoss::Lapsed {
-                self.clear_on_return(now, id, task, run);
+                self.note_clearable_crash(now, id, task, run);
             }
             if self.lost_workers.may_log(now) {
                 let in_doubt = ran_for.is_none();
@@ -216,8 +232,8 @@
         }
     }
 
-    /// Records the loss of a worker, to find workers lost together.
-    fn add_loss(&mut self, now: Time, id: &WorkerId, loss: WorkerLoss) {
+    /// Remembers the loss of a worker, to find workers lost together; not of one that left.
+    fn note_loss(&mut self, now: Time, id: &WorkerId, loss: WorkerLoss) {
         let recent = &mut self.lost_workers.recent;
         while recent.front().is_some_and(|lost| now.since(lost.lost_at) >= LOSS_RETENTION) {
             recent.pop_front();
@@ -231,7 +247,8 @@
         recent.push_back(LostWorker { id: id.clone(), lost_at: now, last_contact, service, rack });
     }
 
-    /// Whether enough workers were lost at the same time that a common cause is likely.
+    /// Whether enough workers were lost at the same time that a common cause is likely. Also true if it is too early
+    /// to know, or the worker never replied.
     fn has_common_cause(&self, now: Time, id: &WorkerId, worker: &Worker) -> bool {
         let Some(last_contact) = worker.last_contact else { return true };
         // Other workers lost at the same time may not have become unresponsive yet.
@@ -262,39 +279,41 @@
         same_rack >= MIN_RACK_LOSSES || racks.len() >= MIN_SERVICE_LOSSES
     }
 
+    /// The runs of a lost worker, with the evidence that they crashed it. None for an expected loss.
     fn lost_runs(&self, now: Time, id: &WorkerId, loss: WorkerLoss) -> Vec<LostRun> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
         let expected = loss == WorkerLoss::Left || self.is_in_maintenance(id);
         let alone =
-            self.groups_in_probation(worker) == 1 && !self.has_common_cause(now, id, worker);
+            self.groups_in_crash_window(worker) == 1 && !self.has_common_cause(now, id, worker);
         let lost = |((task, run), attempt): (&(TaskId, RunId), &Attempt)| {
-            let evidence = worker.evidence(attempt, loss, alone).filter(|_| !expected);
+            let evidence = worker.crash_evidence(attempt, loss, alone).filter(|_| !expected);
             LostRun { task: *task, run: *run, ran_for: worker.ran_for(attempt), evidence }
         };
         worker.attempts.iter().map(lost).collect()
     }
 
-    /// Number of tasks in probation on a worker. Members of a gang count as one, since they start and stop together.
-    fn groups_in_probation(&self, worker: &Worker) -> usize {
-        let in_probation =
-            worker.attempts.iter().filter(|(_, attempt)| worker.is_in_probation(attempt));
+    /// Number of tasks in their crash window on a worker. Members of a gang count as one, since they start and stop
+    /// together.
+    fn groups_in_crash_window(&self, worker: &Worker) -> usize {
+        let in_crash_window =
+            worker.attempts.iter().filter(|(_, attempt)| worker.is_in_crash_window(attempt));
         let is_gang = |task: TaskId| self.step(task).is_some_and(|step| step.gang);
-        let groups: BTreeSet<(StepId, Option<u32>)> = in_probation
+        let groups: BTreeSet<(StepId, Option<u32>)> = in_crash_window
             .map(|((task, _), _)| (task.step_id(), (!is_gang(*task)).then_some(task.index)))
             .collect();
         groups.len()
     }
 
-    /// Records the runs in probation on unresponsive workers. Otherwise a crash would be missed if the leader changed
-    /// before the loss of the worker was certain.
-    pub(super) fn announce_unresponsive(&mut self, now: Time) {
+    /// Announces the runs in their crash window on unresponsive workers: they are recorded, so that a crash is counted
+    /// even if the leader changes before the loss of the worker is certain.
+    pub(super) fn announce_runs_on_unresponsive(&mut self, now: Time) {
         let is_unresponsive = |worker: &Worker| {
             worker.last_contact.is_some_and(|at| now.since(at) >= UNRESPONSIVE_AFTER)
         };
         let unresponsive = self.workers.iter().filter(|(_, worker)| is_unresponsive(worker));
         let runs: Vec<(WorkerId, TaskId, RunId)> = unresponsive
             .flat_map(|(id, worker)| {
-                worker.runs_in_probation().map(|(task, run)| (id.clone(), task, run))
+                worker.runs_in_crash_window().map(|(task, run)| (id.clone(), task, run))
             })
             .collect();
         for (worker, task, run) in runs {
@@ -306,7 +325,7 @@
         }
     }
 
-    /// Adds a crash to a task's history; returns the number of crashes.
+    /// Adds a crash to a task's history, once per run; returns the number of crashes, or 0 if the task is done.
     pub(super) fn add_crash(&mut self, task: TaskId, run: RunId, evidence: CrashEvidence) -> usize {
         let Some(state) = self.task_mut(task).filter(|state| !state.done) else { return 0 };
         state.announced.take_if(|announced| announced.run == run);
@@ -315,26 +334,27 @@
         }
         let crashes = state.crashes.len();
         self.dirty.insert(task.workflow);
-        self.lost_workers.note_unrecorded(task.workflow);
+        self.lost_workers.note_unrecorded_crash_state(task.workflow);
         crashes
     }
 
-    /// Records a crash to be cleared if the unresponsive worker returns.
-    fn clear_on_return(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
-        self.lost_workers.lapsed.retain(|_, (at, _)| now.since(*at) < RETURN_WINDOW);
-        let (_, runs) = self.lost_workers.lapsed.entry(id.clone()).or_insert((now, Vec::new()));
+    /// Remembers a counted crash that is cleared if the unresponsive worker replies again.
+    fn note_clearable_crash(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
+        self.lost_workers.clearable_crashes.retain(|_, (at, _)| now.since(*at) < RETURN_WINDOW);
+        let (_, runs) =
+            self.lost_workers.clearable_crashes.entry(id.clone()).or_insert((now, Vec::new()));
         runs.push((task, run));
     }
 
     /// Clears the crashes counted for the loss of a worker that has replied after all.
     pub(super) fn clear_crashes_of_worker(&mut self, id: &WorkerId) {
-        let Some((_, runs)) = self.lost_workers.lapsed.remove(id) else { return };
+        let Some((_, runs)) = self.lost_workers.clearable_crashes.remove(id) else { return };
         for (task, run) in runs {
             self.clear_crash_of_run(task, run);
         }
     }
 
-    /// Clears the crash of a run that the worker lists as running or ended.
+    /// Clears the crash and the announcement of a run that the worker lists as running or ended.
     pub(super) fn clear_crash_of_run(&mut self, task: TaskId, run: RunId) {
         let Some(state) = self.task_mut(task) else { return };
         let crashes = state.crashes.len();
@@ -345,7 +365,7 @@
         }
     }
 
-    /// Clears a task's crashes after one of its runs has outlasted [`CRASHES_CLEARED_AFTER`] or failed.
+    /// Clears a task's crashes and announcement after one of its runs has lasted [`CRASHES_CLEARED_AFTER`] or failed.
     pub(super) fn clear_crashes_of_task(&mut self, task: TaskId) {
         let Some(state) = self.task_mut(task).filter(|state| !state.crashes.is_empty()) else {
             return;
@@ -357,7 +377,7 @@
         log::info!(task:%, crashes; "task_cleared");
     }
 
-    /// Logs the tasks that caused a workflow to be given up by crashing their workers.
+    /// Logs and counts the tasks of a workflow that are given up because they crash their workers.
     pub(super) fn log_given_up(&mut self, id: WorkflowId) {
         let Some(workflow) = self.workflows.get(&id).filter(|workflow| workflow.outcome.is_none())
         else {
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -314,7 +314,7 @@
         if scan_due {
             self.scanned_at = now;
             self.expire(now);
-            self.announce_unresponsive(now);
+            self.announce_runs_on_unresponsive(now);
         }
         self.isolated_starts_due = scan_due;
         while let Some(id) = self.exhausted.pop_first() {
--- a/crates/workflow/src/scheduler/poll_reply.rs
+++ b/crates/workflow/src/scheduler/poll_reply.rs
@@ -264,7 +264,7 @@
         }
         attempt.percent = percent;
         attempt.measurement = running.figure;
-        let past_crash_window = now.since(attempt.running_since) >= CRASHES_CLEARED_AFTER;
+        let clears_crashes = now.since(attempt.running_since) >= CRASHES_CLEARED_AFTER;
         match attempt.phase {
             Phase::Starting | Phase::Unconfirmed { .. } => attempt.set_running(now, clock_ms),
             Phase::Running { .. } => {}
@@ -280,14 +280,14 @@
         if let Some(speed) = speed {
             worker.add_speed_sample(now, speed);
         }
-        let passed_probation = worker.pass_probation(now, task, run);
+        let passed_crash_window = worker.pass_crash_window(now, task, run);
         let Some(state) = self.task_mut(task) else { return };
-        let announcement_settled =
-            passed_probation && state.announced.take_if(|announced| announced.run == run).is_some();
+        let announcement_settled = passed_crash_window
+            && state.announced.take_if(|announced| announced.run == run).is_some();
         if !running.saved.is_empty() {
             state.saved.clone_from(&running.saved);
         }
-        if past_crash_window && !state.crashes.is_empty() {
+        if clears_crashes && !state.crashes.is_empty() {
             self.clear_crashes_of_task(task);
         }
         if announcement_settled {
--- a/crates/workflow/src/scheduler/reconciliation.rs
+++ b/crates/workflow/src/scheduler/reconciliation.rs
@@ -64,7 +64,7 @@
                 self.assume_running(now, &entry.id, *task, *run);
             }
             if let RosterState::Unresponsive { just_started, .. } = &entry.state {
-                just_started.iter().for_each(|key| self.mark_in_probation(&entry.id, *key));
+                just_started.iter().for_each(|key| self.mark_in_crash_window(&entry.id, *key));
             }
         }
     }
@@ -79,14 +79,14 @@
             } else if !assumed {
                 self.assume_running(now, &id, task, run);
             }
-            self.mark_in_probation(&id, (task, run));
+            self.mark_in_crash_window(&id, (task, run));
         }
     }
 
-    fn mark_in_probation(&mut self, id: &WorkerId, key: (TaskId, RunId)) {
+    fn mark_in_crash_window(&mut self, id: &WorkerId, key: (TaskId, RunId)) {
         let attempt = self.workers.get_mut(id).and_then(|worker| worker.attempts.get_mut(&key));
         if let Some(attempt) = attempt {
-            attempt.inherited_in_probation = true;
+            attempt.inherited_in_crash_window = true;
         }
     }
 
@@ -161,7 +161,7 @@
             return RosterState::Unreconciled { lapses_ms };
         }
         if worker.should_list_unresponsive(now, &self.limits) {
-            let just_started = worker.runs_in_probation().collect();
+            let just_started = worker.runs_in_crash_window().collect();
             return RosterState::Unresponsive { runs: runs(), just_started, lapses_ms };
         }
         if worker.is_draining() {
--- a/crates/workflow/src/scheduler/recording.rs
+++ b/crates/workflow/src/scheduler/recording.rs
@@ -135,7 +135,9 @@
     ) -> bool {
         let mut bytes = 0;
         while let Some(id) = self.dirty.pop_first() {
-            recording.crashes.extend(self.lost_workers.take_unrecorded(id).then_some(id));
+            recording
+                .crashes
+                .extend(self.lost_workers.take_unrecorded_crash_state(id).then_some(id));
             let Some(active) = self.workflows.get(&id) else { continue };
             let record = Record::new(Key::Progress(id), &active.progress());
             if active.outcome.is_some() {
