--- a/crates/workflow/src/scheduler/active_workflow.rs
+++ b/crates/workflow/src/scheduler/active_workflow.rs
@@ -20,10 +20,10 @@
 pub(crate) struct TaskState {
     pub(crate) done: bool,
     pub(crate) failed: SmallVec<[RunId; 2]>,
-    /// Worker losses during its runs since it was last shown not to crash its worker.
+    /// Worker losses during its runs since a run last lasted long enough, or failed, without a crash.
     pub(crate) crashes: SmallVec<[Crash; 1]>,
-    /// A run recorded before its outcome is known: the next one, or one that may have crashed its
-    /// worker.
+    /// A run that is recorded before its outcome is known, so that a crash is counted even if the
+    /// leader changes: the next one, or one that may have crashed its worker.
     pub(crate) announced: Option<AnnouncedRun>,
     /// Runs that may be under way, with their workers.
     pub(crate) attempts: SmallVec<[(WorkerId, RunId); 1]>,
@@ -76,17 +76,17 @@
     pub(crate) done: u32,
     /// Indices of tasks that wait for a worker.
     pub(crate) queue: VecDeque<u32>,
-    /// Since when the queue has been non-empty.
+    /// Since when `queue` has been non-empty.
     pub(crate) since: Time,
     /// All steps before it are done.
     pub(crate) open: bool,
-    /// The last search that found no worker for its tasks.
-    pub(crate) searched: Option<Searched>,
+    /// The last search of workers for its tasks, if it found none.
+    pub(crate) last_search: Option<LastSearch>,
 }
 
 /// A search of all workers that found none for a step.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Searched {
+pub(crate) struct LastSearch {
     pub(crate) at: Time,
     /// Number of worker contacts at that time.
     pub(crate) contacts: u64,
@@ -110,7 +110,7 @@
     pub(crate) submission: Arc<Submission>,
     pub(crate) outcome: Option<Outcome>,
     pub(crate) started: bool,
-    /// Accepted before this leader's term: a predecessor may have started any of its tasks.
+    /// Accepted before this leader's term, so a predecessor may have started any of its tasks.
     pub(crate) inherited: bool,
     pub(crate) complete_below: u32,
     pub(crate) complete: BTreeSet<u32>,
@@ -211,6 +211,7 @@
     }
 }
 
+/// Restores the tasks of a step from its recorded progress.
 fn restore(state: &mut StepState, recorded: &StepProgress) {
     for (index, task) in (0u32..).zip(&mut state.tasks) {
         if recorded.done.contains(index) {
@@ -242,6 +243,7 @@
     }
 }
 
+/// The progress of a step to record.
 fn record(state: &StepState) -> StepProgress {
     let mut progress = StepProgress::default();
     for (index, task) in (0u32..).zip(&state.tasks) {
--- a/crates/workflow/src/scheduler/advice.rs
+++ b/crates/workflow/src/scheduler/advice.rs
@@ -107,7 +107,7 @@
     }
 
     /// Requests more tickets for a step that found no worker. Returns whether the step needs tickets.
-    pub(super) fn queue_advice(&mut self, key: Ready) -> bool {
+    pub(super) fn queue_ticket_query(&mut self, key: Ready) -> bool {
         let step = StepId { workflow: key.workflow, occurrence: key.occurrence, step: key.step };
         let needs_ticket = self.needs_ticket(step).is_some();
         if needs_ticket {
--- a/crates/workflow/src/scheduler/candidates.rs
+++ b/crates/workflow/src/scheduler/candidates.rs
@@ -8,8 +8,8 @@
 use {
     super::{
         Requirements, Scheduler, Worker,
-        active_workflow::{Searched, StepState},
-        placement::{Fitness, has_capacity},
+        active_workflow::{LastSearch, StepState},
+        placement::{Fitness, meets_requirements},
     },
     crate::{Step, TaskId, WorkerId},
     compact_str::CompactString,
@@ -28,8 +28,8 @@
 /// Maximum number of contacts kept; large fleets have over a thousand within [`FULL_SCAN_INTERVAL`].
 const MAX_CONTACTS: usize = 2_048;
 
-/// Demands of running best-effort tasks that recently fit no other worker. Caches the result, since hundreds of
-/// throttled tasks may search on each reply of their worker.
+/// Demands of running best-effort tasks that recently fit no other worker, so that they aren't moved. Cached, since
+/// hundreds of throttled tasks may search on each reply of their worker.
 #[derive(Debug, Default)]
 pub(super) struct FailedSearches {
     demands: Vec<(Time, CompactString, Step)>,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The most recent replies and changes of workers, in order.
+/// The workers that most recently replied or changed, in order.
 #[derive(Debug, Default)]
 pub(super) struct ContactLog {
     ids: VecDeque<WorkerId>,
@@ -149,7 +149,7 @@
         self.stats.workers_scanned += scanned as u64;
         let at =
             last_search.filter(|_| contacted.is_some()).map_or(now, |last_search| last_search.at);
-        self.set_last_search(task, candidates.is_empty().then_some(Searched { at, contacts }));
+        self.set_last_search(task, candidates.is_empty().then_some(LastSearch { at, contacts }));
         Candidates { best_first: candidates.into(), last_popped: None }
     }
 
@@ -171,9 +171,9 @@
     ) -> Vec<Candidate> {
         let needs_ticket = self.needs_ticket(task.step_id()).is_some();
         let candidate = |(id, worker): (&WorkerId, &Worker)| {
-            // The capacity check comes first, since most workers are full.
-            let eligible =
-                has_capacity(worker, task, requirements) && worker.accepts_work(now, &self.limits);
+            // The cheap check of free capacity comes first, since most workers are full.
+            let eligible = meets_requirements(worker, task, requirements)
+                && worker.accepts_work(now, &self.limits);
             let eligible = eligible && (!needs_ticket || self.is_allowed(now, task, id));
             let fitness = eligible
                 .then(|| self.eligible_fitness(now, (id, worker), task, service, requirements))??;
@@ -188,13 +188,13 @@
         occurrence.steps.get_mut(usize::from(task.step))
     }
 
-    fn last_search(&mut self, task: TaskId) -> Option<Searched> {
-        self.step_state(task)?.searched
+    fn last_search(&mut self, task: TaskId) -> Option<LastSearch> {
+        self.step_state(task)?.last_search
     }
 
-    fn set_last_search(&mut self, task: TaskId, last_search: Option<Searched>) {
+    fn set_last_search(&mut self, task: TaskId, last_search: Option<LastSearch>) {
         if let Some(step) = self.step_state(task) {
-            step.searched = last_search;
+            step.last_search = last_search;
         }
     }
 
--- a/crates/workflow/src/scheduler/fallback.rs
+++ b/crates/workflow/src/scheduler/fallback.rs
@@ -18,7 +18,7 @@
 /// How long a long-running task waits before it may use a quarantined worker; below the platform's limit of 3 s.
 const LAST_RESORT_AFTER: Duration = Duration::from_secs(2);
 
-/// How long a long-running task may be down before it may use a worker reserved for an isolated start.
+/// How long a long-running task may be without a run before it may use a worker reserved for an isolated start.
 const DOWN_TOO_LONG: Duration = Duration::from_secs(6);
 
 impl Scheduler {
@@ -74,14 +74,14 @@
         service: &CompactString,
         requirements: &Requirements<'_>,
     ) -> Option<WorkerId> {
-        if !requirements.step.long_running || !self.is_last_resort(now, task) {
+        if !requirements.step.long_running || !self.has_last_resort(now, task) {
             return None;
         }
         // Prevents a loop of failures on the same worker.
         let avoid = self.task_mut(task).and_then(|state| state.avoid.clone());
         let avoid = avoid.filter(|avoid| now.since(avoid.since) < LAST_RESORT_AFTER);
         let down_too_long = self.is_down_too_long(now, task);
-        let quarantined = self.quarantined.iter().filter(|_| self.waited_long_enough(now, task));
+        let quarantined = self.quarantined.iter().filter(|_| self.may_use_quarantined(now, task));
         let workers = quarantined.chain(self.reserved.iter().filter(|_| down_too_long));
         let workers = workers.filter_map(|id| self.workers.get_key_value(id));
         let workers = workers.filter(|(id, worker)| {
@@ -93,16 +93,17 @@
     }
 
     /// Whether there is a quarantined or reserved worker that a step of long-running tasks may use by now.
-    pub(super) fn is_last_resort(&self, now: Time, task: TaskId) -> bool {
-        (!self.quarantined.is_empty() && self.waited_long_enough(now, task))
+    pub(super) fn has_last_resort(&self, now: Time, task: TaskId) -> bool {
+        (!self.quarantined.is_empty() && self.may_use_quarantined(now, task))
             || (!self.reserved.is_empty() && self.is_down_too_long(now, task))
     }
 
-    fn waited_long_enough(&self, now: Time, task: TaskId) -> bool {
+    /// Whether the step of a task has waited long enough to use a quarantined worker.
+    fn may_use_quarantined(&self, now: Time, task: TaskId) -> bool {
         self.queue_wait(now, task.step_id()) >= LAST_RESORT_AFTER
     }
 
-    /// Whether a task has been down long enough to use a reserved worker.
+    /// Whether a task has been without a run long enough to use a reserved worker.
     pub(super) fn is_down_too_long(&self, now: Time, task: TaskId) -> bool {
         self.down_since(task).is_some_and(|since| now.since(since) >= DOWN_TOO_LONG)
     }
@@ -132,7 +133,7 @@
 
     /// Moves the first task that avoids no worker to the front of the queue, so that a failed task doesn't block the
     /// others of its step. Returns whether there is one.
-    pub(super) fn bring_forward(&mut self, now: Time, key: Ready) -> bool {
+    pub(super) fn move_unrestricted_to_front(&mut self, now: Time, key: Ready) -> bool {
         if !self.front_avoids_worker(now, key) {
             return false;
         }
--- a/crates/workflow/src/scheduler/gangs.rs
+++ b/crates/workflow/src/scheduler/gangs.rs
@@ -4,7 +4,9 @@
 //! that is slower across racks preferably runs in one rack.
 
 use {
-    super::{Attempt, Effect, Phase, Ready, Requirements, Scheduler, placement::has_capacity},
+    super::{
+        Attempt, Effect, Phase, Ready, Requirements, Scheduler, placement::meets_requirements,
+    },
     crate::{RunId, Step, TaskId, WorkerId},
     compact_str::CompactString,
     egretlb_types::Time,
@@ -59,7 +61,7 @@
             }
         }
         if placed.len() < step.count as usize {
-            self.queue_advice(key);
+            self.queue_ticket_query(key);
             return false;
         }
         let run = placed.iter().map(|(task, _)| self.next_run(*task)).max().unwrap_or_default();
@@ -91,7 +93,7 @@
                 && worker.accepts_work(now, &self.limits)
                 && !self.is_in_maintenance(id)
                 && self.is_allowed(now, task, id)
-                && has_capacity(worker, task, requirements);
+                && meets_requirements(worker, task, requirements);
             let Some(rack) = worker.info.rack().filter(|_| eligible) else { continue };
             let fits = worker.free().times(&requirements.reserved);
             let worker_slots = if requirements.step.per_worker == 0 {
--- a/crates/workflow/src/scheduler/isolated_start.rs
+++ b/crates/workflow/src/scheduler/isolated_start.rs
@@ -1,4 +1,4 @@
-//! Isolated starts of tasks that are suspected of crashing workers.
+//! Isolated starts of suspected tasks: those that may crash their workers.
 //!
 //! A suspected task is started on a worker without other attempts in their crash window, and nothing else is started
 //! there until its own window is over. So the next crash shows whether it is the cause, and affects few other tasks.
@@ -6,7 +6,7 @@
 use {
     super::{
         Attempt, Ready, Requirements, Scheduler, Worker, active_workflow::TaskState,
-        lost_workers::CRASH_WINDOW, placement::has_capacity,
+        lost_workers::CRASH_WINDOW, placement::meets_requirements,
     },
     crate::{AnnouncedRun, RunId, TaskId, WorkerId},
     compact_str::CompactString,
@@ -26,9 +26,9 @@
 /// The worker for the isolated start of a suspected task.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum IsolatedStart {
-    /// The task may start on this worker.
+    /// The task may start on this worker now.
     At(WorkerId),
-    /// Workers have free capacity, but none is ready for an isolated start.
+    /// The task has to wait: workers have free capacity, but none is ready for an isolated start.
     Later,
     /// No worker has free capacity.
     NoCapacity,
@@ -83,7 +83,8 @@
             && !self.step(task).is_some_and(|step| step.gang)
     }
 
-    /// Chooses the worker for a suspected task, once the announcement is recorded.
+    /// Chooses the worker for a suspected task. First announces the run, so that a crash is counted even if the leader
+    /// changes; the task may start once the announcement is recorded.
     pub(super) fn choose_isolated(
         &mut self,
         now: Time,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The state of the announced start; none if there is none or its worker doesn't qualify any more.
+    /// Whether the announced run may start now; none if there is none or its worker doesn't qualify any more.
     fn announced_start(
         &mut self,
         now: Time,
@@ -198,7 +199,7 @@
 
     /// Moves the first task that isn't suspected to the front of the queue, so that suspected tasks don't block the
     /// others of the step. Returns whether there is one.
-    pub(super) fn pass_over_suspects(&mut self, key: Ready) -> bool {
+    pub(super) fn move_unsuspected_to_front(&mut self, key: Ready) -> bool {
         let waiting: Vec<u32> = self.queue_of(key).into_iter().flatten().map(|i| *i).collect();
         let position = waiting.iter().position(|index| !self.is_suspect(key.task(*index)));
         let Some(position) = position else { return false };
@@ -218,7 +219,7 @@
         service: &CompactString,
         requirements: &Requirements<'_>,
     ) -> bool {
-        has_capacity(worker, task, requirements)
+        meets_requirements(worker, task, requirements)
             && worker.is_eligible(now, &self.limits)
             && worker.isolated_starts == 0
             && now >= worker.excluded_until()
--- a/crates/workflow/src/scheduler/lost_workers.rs
+++ b/crates/workflow/src/scheduler/lost_workers.rs
@@ -61,7 +61,7 @@
 pub(super) enum WorkerLoss {
     /// It ended after draining, or its VM was taken down for maintenance.
     Left,
-    /// Another process of the same worker answers at its address.
+    /// Another incarnation, a new process with another id, answers at its address.
     Replaced,
     /// It was unresponsive until the leases of its runs lapsed; it may only be partitioned.
     Lapsed,
--- a/crates/workflow/src/scheduler/placement.rs
+++ b/crates/workflow/src/scheduler/placement.rs
@@ -12,11 +12,11 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// A leader's run numbers start at its epoch times this, so they exceed those of previous leaders: workers
-/// reject starts with lower numbers.
-const RUNS_PER_EPOCH: u64 = 1_000;
+/// Distance between the first run numbers of consecutive epochs. A leader numbers its runs from its epoch times this,
+/// so that they exceed those of previous leaders: workers reject starts with lower numbers.
+const EPOCH_RUN_STRIDE: u64 = 1_000;
 
-/// A demand that found no worker; equal or larger demands are skipped in the same pass.
+/// A demand that fits no worker in this placement pass; equal or larger demands are skipped for the rest of it.
 #[derive(Clone, Debug)]
 struct UnmetDemand {
     service: CompactString,
@@ -26,8 +26,9 @@
 }
 
 impl Scheduler {
-    /// Places waiting tasks in queue order. Tasks that fit no worker are skipped, so that smaller ones behind them
-    /// can use the remaining capacity.
+    /// Places waiting tasks in queue order, one pass over all steps. Tasks that fit no worker are skipped, so that
+    /// smaller ones behind them can use the remaining capacity. A complete pass also updates the longest wait of a
+    /// best-effort task and adapts the caution of the interference estimates to it.
     pub(super) fn place_ready(&mut self, now: Time, out: &mut Vec<Effect>) {
         let mut unmet: SmallVec<[UnmetDemand; 8]> = SmallVec::new();
         let mut longest_wait = Duration::ZERO;
@@ -56,13 +57,13 @@
         out: &mut Vec<Effect>,
     ) -> bool {
         let Some(workflow) = self.workflows.get(&key.workflow) else { return true };
-        let limited_to_found = workflow.inherited && !self.unreconciled.is_empty();
+        let found_only = workflow.inherited && !self.unreconciled.is_empty();
         let submission = Arc::clone(&workflow.submission);
         let service = &submission.service;
         let step = &submission.workflow.steps[usize::from(key.step)];
-        // A task that a previous leader may have started could still run on a worker that hasn't replied, unless this
-        // leader has found it running before.
-        if limited_to_found && (step.gang || step.speculative || !self.move_found_to_front(key)) {
+        // Until all workers of the previous leader have replied, a task may still run on one that hasn't. Only tasks
+        // that this leader has found running before can be started.
+        if found_only && (step.gang || step.speculative || !self.move_found_to_front(key)) {
             return false;
         }
         let image = self.colocation.image(&step.image);
@@ -72,8 +73,8 @@
                 && demand.image == image
                 && demand.resources.fits(&step.resources)
         };
-        let unmet_before = unmet.iter().any(is_unmet);
-        if unmet_before && !(step.long_running && self.is_last_resort(now, key.task(0))) {
+        let demand_is_unmet = unmet.iter().any(is_unmet);
+        if demand_is_unmet && !(step.long_running && self.has_last_resort(now, key.task(0))) {
             return false;
         }
         if step.long_running && self.defers_to_batch(now, key) {
@@ -85,37 +86,37 @@
         let requirements = Requirements::new(step, &mut self.colocation);
         let mut candidates = None;
         loop {
-            if limited_to_found && !self.move_found_to_front(key) {
+            if found_only && !self.move_found_to_front(key) {
                 return false;
             }
             let Some(index) = self.front_task(key) else { return true };
             let task = key.task(index);
-            let restarts_too_early = self.was_started(task) && !self.may_restart(now);
-            if restarts_too_early || !self.may_start() {
+            let restart_not_allowed = self.was_started(task) && !self.may_restart(now);
+            if restart_not_allowed || !self.may_start() {
                 return false;
             }
             let worker = if self.is_suspect(task) {
                 match self.choose_isolated(now, task, service, &requirements) {
                     IsolatedStart::At(worker) => Some(worker),
-                    IsolatedStart::Later if !limited_to_found && self.pass_over_suspects(key) => {
+                    IsolatedStart::Later if !found_only && self.move_unsuspected_to_front(key) => {
                         continue;
                     }
                     IsolatedStart::Later => return false,
                     IsolatedStart::NoCapacity => None,
                 }
-            } else if unmet_before {
+            } else if demand_is_unmet {
                 self.choose_last_resort(now, task, service, &requirements)
             } else {
                 self.choose_worker(now, task, service, &requirements, &mut candidates)
             };
             let Some(worker) = worker else {
-                if !limited_to_found && self.bring_forward(now, key) {
+                if !found_only && self.move_unrestricted_to_front(now, key) {
                     continue;
                 }
                 let avoids_worker = self.front_avoids_worker(now, key);
-                let needs_advice = self.queue_advice(key);
+                let needs_ticket = self.queue_ticket_query(key);
                 self.preempt_for(now, key, service, step, out);
-                if step.label.is_none() && step.per_worker == 0 && !needs_advice && !avoids_worker {
+                if step.label.is_none() && step.per_worker == 0 && !needs_ticket && !avoids_worker {
                     let Requirements { image, .. } = requirements;
                     let Step { resources, best_effort, .. } = *step;
                     unmet.push(UnmetDemand {
@@ -145,6 +146,7 @@
         })
     }
 
+    /// The indices of a step's waiting tasks.
     pub(super) fn queue_of(&mut self, key: Ready) -> Option<&mut std::collections::VecDeque<u32>> {
         let workflow = self.workflows.get_mut(&key.workflow)?;
         let occurrence = workflow.occurrences.get_mut(&key.occurrence)?;
@@ -178,8 +180,8 @@
         step.queue.front().copied()
     }
 
-    /// Moves a task that this leader has found running, so that no earlier run of it can be unaccounted for, to the
-    /// front of the queue. Returns whether there is one.
+    /// Moves a task that this leader has found running to the front of the queue; returns whether there is one. No
+    /// run by a previous leader can still be under way elsewhere for such a task.
     fn move_found_to_front(&mut self, key: Ready) -> bool {
         self.front_task(key);
         let Some(workflow) = self.workflows.get_mut(&key.workflow) else { return false };
@@ -203,12 +205,14 @@
         self.task_mut(task).is_some_and(|state| state.last_run > RunId(0))
     }
 
+    /// The number of the next run of a task.
     pub(super) fn next_run(&mut self, task: TaskId) -> RunId {
-        let base = self.epoch.0 * RUNS_PER_EPOCH;
+        let base = self.epoch.0 * EPOCH_RUN_STRIDE;
         let last = self.task_mut(task).map_or(RunId(0), |state| state.last_run);
         RunId((last.0 + 1).max(base))
     }
 
+    /// Starts a task on a worker with the run number `run`, or else the announced or next one.
     pub(super) fn start_attempt(
         &mut self,
         now: Time,
@@ -234,6 +238,7 @@
         attempt.start_deadline_ms = Some(until_ms);
         worker.insert(task, run, attempt);
         if isolated {
+            // From here on the attempt itself keeps other starts away.
             worker.reserved_until = now;
         }
         let Some(state) = self.task_mut(task) else { return };
@@ -267,7 +272,7 @@
         });
     }
 
-    /// Chooses a worker other than the one that the task avoids.
+    /// Chooses a worker other than the one where the task last failed or was slow.
     pub(super) fn choose_elsewhere(
         &mut self,
         now: Time,
@@ -279,12 +284,12 @@
         self.candidates(now, task, service, requirements).pop_best(avoided.as_ref())
     }
 
-    /// The worker that a task avoids.
+    /// The worker where a task last failed or was slow.
     pub(super) fn avoided_worker(&self, task: TaskId) -> Option<WorkerId> {
         self.task(task)?.avoid.as_ref().map(|avoid| avoid.worker.clone())
     }
 
-    /// The fittest of these workers that can take a task.
+    /// The worker with the highest fitness among these that can take a task.
     pub(super) fn best_worker<'a>(
         &self,
         now: Time,
@@ -296,7 +301,7 @@
         let needs_ticket = self.needs_ticket(task.step_id()).is_some();
         let mut best: Option<(Fitness, &WorkerId)> = None;
         for (id, worker) in workers {
-            if !has_capacity(worker, task, requirements)
+            if !meets_requirements(worker, task, requirements)
                 || (needs_ticket && !self.is_allowed(now, task, id))
             {
                 continue;
@@ -313,8 +318,8 @@
         best.map(|(_, id)| id.clone())
     }
 
-    /// Fitness of a worker for a task; higher is better. None if the task would push a latency-critical task over its
-    /// target, or if a latency-critical task should wait for a better worker.
+    /// Fitness of a worker for a task; higher is better. None if a best-effort task would make a latency-critical task
+    /// exceed its target, or if a latency-critical task should wait for a better worker.
     ///
     /// Latency-critical tasks go where they reduce best-effort capacity least, then to workers with the same image,
     /// spread so that a slow worker affects few tasks of each step. Other tasks go where the fewest best-effort
@@ -332,7 +337,7 @@
         let fast = !worker.is_slow(now);
         if step.target_ms > 0 {
             let lost_capacity = self.lost_best_effort_capacity(worker, requirements.image);
-            if lost_capacity > MAX_LOST_CAPACITY_STEPS
+            if lost_capacity > MAX_LOST_CAPACITY_UNITS
                 && self.queue_wait(now, task.step_id()) < BETTER_WORKER_WAIT
             {
                 return None;
@@ -341,7 +346,7 @@
                 - sibling_penalty(worker, task);
             return Some((near_data, true, -lost_capacity, colocation_score, -left_over_cpu));
         }
-        let acceptance = (self.colocation.acceptance(&worker.neighbours) / ACCEPTANCE_STEP) as i64;
+        let acceptance = (self.colocation.acceptance(&worker.neighbours) / ACCEPTANCE_UNIT) as i64;
         if step.best_effort {
             let interference = self
                 .colocation
@@ -356,10 +361,11 @@
         Some((near_data, fast, -acceptance, i64::from(worker.latency_critical > 0), left_over_cpu))
     }
 
-    /// Whether a best-effort task with a poorly known image may run on a worker, as its only best-effort task.
+    /// Whether a best-effort task whose image has few samples may run on a worker, as its only best-effort task.
     ///
     /// The pessimistic estimate for an image that never ran beside the latency-critical images could keep its tasks
-    /// waiting forever, with nothing learned. Its pace is limited by that estimate until more is known.
+    /// waiting forever, without any sample. The pace of the task is limited by that estimate until there are more
+    /// samples.
     fn may_probe_on(
         &self,
         now: Time,
@@ -373,10 +379,11 @@
             && self.colocation.may_probe(&worker.neighbours, requirements.best_effort_demand())
     }
 
-    /// Best-effort capacity lost on a worker through another latency-critical task, in steps.
+    /// Best-effort capacity lost on a worker through another latency-critical task, in units of
+    /// [`CAPACITY_UNIT_MILLICORES`].
     fn lost_best_effort_capacity(&self, worker: &Worker, image: ImageNo) -> i64 {
         let lost_acceptance = self.colocation.acceptance_loss_with(&worker.neighbours, image);
-        (lost_acceptance * worker.best_effort_capacity() as f32 / CAPACITY_STEP_MILLICORES) as i64
+        (lost_acceptance * worker.best_effort_capacity() as f32 / CAPACITY_UNIT_MILLICORES) as i64
     }
 
     /// Whether a latency-critical task waits for a worker where it would reduce best-effort capacity less.
@@ -391,33 +398,35 @@
     }
 }
 
-/// Near the data, not slow, then depending on the kind of task; see [`Scheduler::fitness`].
+/// Compared in this order: whether a worker is near the task's data, whether it isn't slow (not considered for
+/// latency-critical tasks), then three scores that depend on the kind of task; see [`Scheduler::fitness`].
 pub(super) type Fitness = (bool, bool, i64, i64, i64);
 
 /// Granularity at which best-effort capacity is compared: half a typical best-effort task.
-pub(super) const CAPACITY_STEP_MILLICORES: f32 = 2_000.0;
+pub(super) const CAPACITY_UNIT_MILLICORES: f32 = 2_000.0;
 
-/// How long a best-effort task with a poorly known image waits before it may run anyway.
+/// How long a best-effort task whose image has few samples waits before it may run anyway.
 const PROBE_AFTER: Duration = Duration::from_secs(4);
 
-/// Ranks a poorly known image behind every known interference.
+/// Interference assumed for an image with few samples; higher than any estimate.
 const PROBED_INTERFERENCE: u32 = 1_000;
 
-/// Granularity at which acceptance is compared, as a share of the best-effort demand.
-const ACCEPTANCE_STEP: f32 = 0.1;
+/// Granularity at which acceptance, a share of the best-effort demand, is compared.
+const ACCEPTANCE_UNIT: f32 = 0.1;
 
-/// Best-effort capacity that a latency-critical task may take at once, in steps. For more it first waits
-/// [`BETTER_WORKER_WAIT`], since it stays for a minute or longer.
-const MAX_LOST_CAPACITY_STEPS: i64 = 1;
+/// Maximum best-effort capacity that a latency-critical task may reduce without waiting, in units of
+/// [`CAPACITY_UNIT_MILLICORES`]. Otherwise it first waits [`BETTER_WORKER_WAIT`], since it runs for a minute or longer.
+const MAX_LOST_CAPACITY_UNITS: i64 = 1;
 
-/// Below the platform's limit of 3 s for starting a long-running task that fits a worker.
+/// How long a latency-critical task waits for a worker where it costs less best-effort capacity; below the platform's
+/// limit of 3 s for starting a long-running task that fits a worker.
 const BETTER_WORKER_WAIT: Duration = Duration::from_secs(1);
 
 /// Weight of the image affinity relative to one task of the same step.
 const AFFINITY_WEIGHT: i64 = 8;
 
-/// How well an image fits the latency-critical images of a worker: best is only the same image, then none, then few
-/// others.
+/// Affinity of an image to the latency-critical images of a worker: highest with the same image only, then with none,
+/// then lower with each other image.
 fn image_affinity(worker: &Worker, image: ImageNo) -> i64 {
     let images = worker.neighbours.latency_critical();
     let same_image = usize::from(images.iter().any(|(other, _)| *other == image));
@@ -430,11 +439,16 @@
     i64::try_from(count_siblings(worker, task)).unwrap_or(0)
 }
 
-/// Whether a worker can take another task of the step.
+/// Whether a worker has the free capacity for another task of the step, and the step's label, rack and limit of tasks
+/// per worker allow it.
 ///
 /// Best-effort tasks share the CPU that others leave unused. Adding more than fit would slow all of them down, so
 /// the rest stays queued.
-pub(super) fn has_capacity(worker: &Worker, task: TaskId, requirements: &Requirements<'_>) -> bool {
+pub(super) fn meets_requirements(
+    worker: &Worker,
+    task: TaskId,
+    requirements: &Requirements<'_>,
+) -> bool {
     let step = requirements.step;
     let free = worker.free();
     if !requirements.reserved.fits(&free) {
--- a/crates/workflow/src/scheduler/preempt.rs
+++ b/crates/workflow/src/scheduler/preempt.rs
@@ -6,7 +6,7 @@
 
 use {
     super::{
-        Attempt, Effect, Phase, Ready, Scheduler, Worker, placement::CAPACITY_STEP_MILLICORES,
+        Attempt, Effect, Phase, Ready, Scheduler, Worker, placement::CAPACITY_UNIT_MILLICORES,
         waits::StopReason,
     },
     crate::{RunId, Step, TaskId, WorkerId},
@@ -15,8 +15,8 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// How long long-running tasks leave free capacity to batch tasks after one of these fit no worker; below the
-/// platform's limit of 3 s for starting a long-running task that fits.
+/// How long long-running tasks aren't started after a batch task fit no worker, so that it gets the free capacity;
+/// below the platform's limit of 3 s for starting a long-running task that fits.
 const DEFER_FOR: Duration = Duration::from_secs(2);
 
 /// Minimum run time before a long-running task is stopped; earlier, its start would have been wasted.
@@ -26,11 +26,12 @@
 /// first stops take effect.
 const MAX_STOPS_PER_PASS: usize = 3;
 
-/// Value of preempting a task: best-effort capacity gained, in steps, then how small the task is.
+/// Value of preempting a task: best-effort capacity gained, in units of [`CAPACITY_UNIT_MILLICORES`], then how small
+/// the task is.
 type PreemptionValue = (i64, Reverse<MilliCores>);
 
 impl Scheduler {
-    /// Whether a step of long-running tasks currently leaves free capacity to batch tasks.
+    /// Whether a step of long-running tasks isn't started now, so that batch tasks get the free capacity.
     pub(super) fn defers_to_batch(&mut self, now: Time, key: Ready) -> bool {
         if self.batch_blocked_at.is_none_or(|at| now.since(at) >= DEFER_FOR) {
             return false;
@@ -68,7 +69,8 @@
             if freed_cpu >= needed_cpu {
                 break;
             }
-            let Some((id, task, run, cpu)) = self.victim(now, first_task, service, step) else {
+            let Some((id, task, run, cpu)) = self.choose_victim(now, first_task, service, step)
+            else {
                 break;
             };
             freed_cpu += u64::from(cpu.0);
@@ -93,7 +95,7 @@
     /// The long-running task whose stop frees enough capacity for a task of `step` and gains most best-effort
     /// capacity, or the smallest of equal ones. It restarts where it costs less, which improves the colocation of
     /// latency-critical tasks.
-    fn victim(
+    fn choose_victim(
         &self,
         now: Time,
         task: TaskId,
@@ -122,14 +124,14 @@
         best.map(|((_, Reverse(cpu)), id, task, run)| (id, task, run, cpu))
     }
 
-    /// Best-effort capacity gained by stopping a latency-critical task, in steps.
+    /// Best-effort capacity gained by stopping a latency-critical task, in units of [`CAPACITY_UNIT_MILLICORES`].
     fn gained_best_effort_capacity(&self, worker: &Worker, attempt: &Attempt) -> i64 {
         if !attempt.latency_critical {
             return 0;
         }
         let gained_acceptance =
             self.colocation.acceptance_gain_without(&worker.neighbours, attempt.image);
-        (gained_acceptance * worker.best_effort_capacity() as f32 / CAPACITY_STEP_MILLICORES) as i64
+        (gained_acceptance * worker.best_effort_capacity() as f32 / CAPACITY_UNIT_MILLICORES) as i64
     }
 }
 
--- a/crates/workflow/src/scheduler/reconciliation.rs
+++ b/crates/workflow/src/scheduler/reconciliation.rs
@@ -135,9 +135,13 @@
     /// have lapsed.
     fn assume_running(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
         let step = self.step(task).cloned().unwrap_or_default();
-        let need = Requirements::new(&step, &mut self.colocation);
+        let requirements = Requirements::new(&step, &mut self.colocation);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.insert(task, run, Attempt::new(now, &need, Phase::Running { clock_ms: 0 }));
+            worker.insert(
+                task,
+                run,
+                Attempt::new(now, &requirements, Phase::Running { clock_ms: 0 }),
+            );
         }
         if let Some(state) = self.task_mut(task)
             && !state.done
--- a/crates/workflow/src/scheduler/waits/queued.rs
+++ b/crates/workflow/src/scheduler/waits/queued.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        super::{Ready, Requirements, Scheduler, Worker, placement::has_capacity},
+        super::{Ready, Requirements, Scheduler, Worker, placement::meets_requirements},
         Cause, MAX_NAMED, MAX_NAMED_WITH_CAPACITY, Reason, ServiceWorkers, WaitingStep,
     },
     crate::{Step, StepId, TaskId, WorkerId},
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy)]
 struct WaitingTask<'a> {
     task: TaskId,
-    need: Requirements<'a>,
+    requirements: Requirements<'a>,
     /// The requirements without anti-affinity to the step's other tasks.
     without_anti_affinity: Requirements<'a>,
 }
@@ -127,12 +127,12 @@
 
     /// Returns what excludes the most suitable workers.
     fn furthest_stage(&mut self, now: Time, task: TaskId, step: &Step) -> Option<Cause> {
-        let need = Requirements::new(step, &mut self.colocation);
+        let requirements = Requirements::new(step, &mut self.colocation);
         let without_anti_affinity = Step { per_worker: 0, ..step.clone() };
         let waiting = WaitingTask {
             task,
-            need,
-            without_anti_affinity: Requirements { step: &without_anti_affinity, ..need },
+            requirements,
+            without_anti_affinity: Requirements { step: &without_anti_affinity, ..requirements },
         };
         let mut best = CheckStage::NoWorkers;
         let mut workers: SmallVec<[WorkerId; 1]> = SmallVec::new();
@@ -172,34 +172,34 @@
         id: &WorkerId,
         worker: &Worker,
     ) -> Option<CheckStage> {
-        let WaitingTask { task, need, without_anti_affinity } = *waiting;
+        let WaitingTask { task, requirements, without_anti_affinity } = *waiting;
         if !worker.is_eligible(now, &self.limits) {
             return None;
         }
-        if need.step.label.as_ref().is_some_and(|label| !worker.info.has_label(label)) {
+        if requirements.step.label.as_ref().is_some_and(|label| !worker.info.has_label(label)) {
             return Some(CheckStage::NoLabel);
         }
-        if !has_capacity(worker, task, &without_anti_affinity) {
+        if !meets_requirements(worker, task, &without_anti_affinity) {
             return Some(CheckStage::NoCapacity);
         }
         let state = self.task(task)?;
         Some(match () {
             () if now < worker.excluded_until() => CheckStage::Excluded,
-            () if !has_capacity(worker, task, &need) => CheckStage::AntiAffinity,
+            () if !meets_requirements(worker, task, &requirements) => CheckStage::AntiAffinity,
             () if state.avoid.as_ref().is_some_and(|avoid| avoid.worker == *id) => {
                 CheckStage::FailedThere
             }
             () if self.is_in_maintenance(id) => CheckStage::Maintenance,
             () if !self.is_allowed(now, task, id) => CheckStage::NoTicket,
-            () if need.step.best_effort
+            () if requirements.step.best_effort
                 && self
                     .colocation
-                    .added_interference(&worker.neighbours, need.best_effort_demand())
+                    .added_interference(&worker.neighbours, requirements.best_effort_demand())
                     .is_none() =>
             {
                 CheckStage::Interference
             }
-            () if self.waits_for_better_worker(now, worker, task, &need) => {
+            () if self.waits_for_better_worker(now, worker, task, &requirements) => {
                 CheckStage::BetterWorkerExpected
             }
             () => CheckStage::Accepts,
