--- a/crates/workflow/src/scheduler/attempt.rs
+++ b/crates/workflow/src/scheduler/attempt.rs
@@ -65,9 +65,9 @@
     pub(crate) target_ms: u32,
     /// Since when a latency-critical task exceeds its target.
     pub(crate) over_target_since: Option<Time>,
-    /// The last value used by the interference model.
-    pub(crate) learned_measurement: u32,
-    /// Share of its CPU that a best-effort task may use, in percent.
+    /// The last value of `measurement` used by the interference model.
+    pub(crate) last_modelled_measurement: u32,
+    /// Share of its CPU that a best-effort task may use, in percent; 0 pauses it.
     pub(crate) pace: u32,
     /// The pace last sent to the worker; none if unknown.
     pub(crate) pace_sent: Option<u32>,
@@ -148,7 +148,7 @@
             image,
             target_ms: step.target_ms,
             over_target_since: None,
-            learned_measurement: 0,
+            last_modelled_measurement: 0,
             pace: FULL_PACE_PERCENT,
             pace_sent: Some(FULL_PACE_PERCENT),
             throttled_since: None,
--- a/crates/workflow/src/scheduler/commands.rs
+++ b/crates/workflow/src/scheduler/commands.rs
@@ -28,7 +28,7 @@
     Late,
     /// Not run: the worker lacks free capacity.
     NoRoom,
-    /// Not run: its ticket isn't valid.
+    /// Not run: its ticket, which permits the worker to run the step, isn't valid.
     BadTicket,
     /// Not run: the worker is unhealthy or overloaded.
     Unwell,
@@ -38,7 +38,8 @@
     OtherIncarnation,
     /// Not run: nothing was sent.
     NotSent,
-    /// Not run: it was no longer wanted when its turn to be sent came.
+    /// Not run: it wasn't sent, since it was no longer wanted by then; see
+    /// [`Scheduler::wants_start`].
     Withheld,
     /// No answer: it may run, now or later.
     Unknown,
@@ -64,29 +65,32 @@
 /// stopped task to end and for the next poll to list what else runs there.
 const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(500);
 
-/// How long an unhealthy worker gets no starts.
+/// How long a worker gets no starts after it rejected one as unhealthy, or after one wasn't sent.
 const UNHEALTHY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Pause after an unanswered start; then the worker gets one start at a time until it answers.
+/// How long a worker gets no starts after an unanswered one. Then it gets one start at a time until it
+/// answers a command.
 /// Commands to a worker queue behind unanswered ones, so starts for unresponsive workers would use
 /// up the start window and leave healthy workers idle.
 const UNANSWERED_START_PAUSE: Duration = Duration::from_secs(1);
 
-/// Interval after which an unconfirmed stop is sent again.
+/// An unconfirmed stop is sent again after this time.
 const STOP_RETRY: Duration = Duration::from_millis(700);
 
 impl Worker {
-    /// Whether it gets no starts because it left one unanswered.
+    /// Whether it gets no starts because it left one unanswered, either for a while or while another
+    /// is under way.
     pub(super) fn is_backing_off(&self, now: Time) -> bool {
         let start_under_way =
             || self.attempts.values().any(|attempt| attempt.phase == Phase::Starting);
-        self.unconfirmed_start
+        self.unconfirmed_start_at
             .is_some_and(|since| now.since(since) < UNANSWERED_START_PAUSE || start_under_way())
     }
 
-    /// Whether a start was decided before the worker left another one unanswered.
+    /// Whether a start was decided before another one to the worker timed out unanswered. It would
+    /// wait behind that one.
     fn is_outdated(&self, attempt: &Attempt) -> bool {
-        self.unconfirmed_start.is_some_and(|since| attempt.placed_at <= since)
+        self.unconfirmed_start_at.is_some_and(|since| attempt.placed_at <= since)
     }
 }
 
@@ -107,8 +111,8 @@
     /// Whether a task that was started before may be started again.
     ///
     /// A leader that was paused or cut off from the store may have a successor while its own
-    /// authority lasts. The successor renews runs that this leader takes for lapsed and records
-    /// ends that it doesn't know of. If this leader restarted such tasks at a worker that the
+    /// authority lasts. The successor may renew runs that this leader assumes to have lapsed, and
+    /// record ends that this leader doesn't know of. If this leader restarted such tasks at a worker that the
     /// successor hasn't reached yet, they would run twice. Nobody takes over before
     /// [`crate::Limits::takeover_after`] has passed since the last heartbeat.
     pub(super) fn may_restart(&self, now: Time) -> bool {
@@ -120,15 +124,15 @@
         !self.lagging && self.start_window.is_open()
     }
 
-    /// Sets whether reading of the records lags too much to start anything: cancellations since
-    /// then aren't known.
+    /// Sets whether the records are read too late to start anything: recent cancellations may not
+    /// have been read.
     pub fn set_lagging(&mut self, behind: bool) {
         if std::mem::replace(&mut self.lagging, behind) != behind {
             log::warn!(behind; "records_read_late");
         }
     }
 
-    /// Handles the result of a start. Each start is answered exactly once.
+    /// Handles the result of a start; called exactly once for each start.
     pub fn on_start(
         &mut self,
         now: Time,
@@ -153,9 +157,9 @@
                 self.on_other_incarnation(now, id);
             }
             StartResult::Unknown => self.on_start_unknown(now, id, task, run),
-            StartResult::NoRoom => self.reject_start(now, id, task, run, NO_CAPACITY_PAUSE),
+            StartResult::NoRoom => self.on_start_rejected(now, id, task, run, NO_CAPACITY_PAUSE),
             StartResult::Unwell | StartResult::NotSent => {
-                self.reject_start(now, id, task, run, UNHEALTHY_PAUSE);
+                self.on_start_rejected(now, id, task, run, UNHEALTHY_PAUSE);
             }
             StartResult::BadTicket => {
                 log::info!(task:%, run:%, worker:% = id; "ticket_rejected");
@@ -165,7 +169,7 @@
             StartResult::Withheld => self.drop_attempt(now, id, task, run),
             StartResult::OldRun | StartResult::Late | StartResult::Invalid => {
                 log::warn!(task:%, run:%, worker:% = id, result:?; "start_rejected");
-                self.reject_start(now, id, task, run, Duration::ZERO);
+                self.on_start_rejected(now, id, task, run, Duration::ZERO);
             }
         }
     }
@@ -180,17 +184,18 @@
         }
     }
 
-    /// The worker has answered a command.
+    /// Handles the answer of a worker to any command: it no longer counts as leaving starts
+    /// unanswered.
     fn on_command_answered(&mut self, id: &WorkerId) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.unconfirmed_start = None;
+            worker.unconfirmed_start_at = None;
         }
     }
 
     fn on_start_unknown(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.next_poll_at = now;
-        worker.unconfirmed_start = Some(now);
+        worker.unconfirmed_start_at = Some(now);
         if let Some(attempt) = worker.attempts.get_mut(&(task, run))
             && attempt.phase == Phase::Starting
         {
@@ -199,7 +204,8 @@
         }
     }
 
-    fn reject_start(
+    /// Drops the attempt of a rejected start; the worker gets no starts for `pause`.
+    fn on_start_rejected(
         &mut self,
         now: Time,
         id: &WorkerId,
--- a/crates/workflow/src/scheduler/latency_critical.rs
+++ b/crates/workflow/src/scheduler/latency_critical.rs
@@ -15,15 +15,15 @@
 /// by a fifth.
 const RECOVERED_RATIO: f32 = 0.85;
 
-/// How long a task may exceed its target before all best-effort tasks of its worker are evicted. Finding the
-/// interfering one first would take too long; the platform's limit is 4 s.
+/// How long a latency-critical task may exceed its target before all best-effort tasks of its worker are evicted.
+/// Finding the one that interferes would take too long: the platform allows a target to be exceeded for 4 s.
 const EVICT_AFTER: Duration = Duration::from_millis(1_800);
 
 /// Minimum time between two evictions on a worker, until samples show the effect of the first.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(600);
 
 impl Attempt {
-    /// Whether it is latency-critical and at work, so that its samples are meaningful.
+    /// Whether it is latency-critical and has started up completely, so that its samples are meaningful.
     fn is_measurable(&self) -> bool {
         self.latency_critical && self.percent >= 100
     }
@@ -35,11 +35,11 @@
 
     /// Whether the sample is new: workers list the same value again until they measure the next one.
     fn has_new_sample(&self) -> bool {
-        self.is_measurable() && self.measurement != self.learned_measurement
+        self.is_measurable() && self.measurement != self.last_modelled_measurement
     }
 }
 
-/// A latency-critical task that exceeds its target.
+/// A latency-critical task that exceeds its target or hasn't recovered since.
 #[derive(Clone, Copy, Debug)]
 struct OverTarget {
     since: Time,
@@ -55,8 +55,13 @@
         best_effort.map(|attempt| (attempt.image, attempt.measurement as f32 / 1_000.0))
     }
 
-    /// New observations of the latency-critical tasks, by workflow.
-    fn new_observations(&mut self, now: Time, exposure: &Exposure) -> SmallVec<[Observation; 4]> {
+    /// The new samples of the latency-critical tasks as observations, one for each workflow. Marks them as used by the
+    /// interference model.
+    fn take_new_observations(
+        &mut self,
+        now: Time,
+        exposure: &Exposure,
+    ) -> SmallVec<[Observation; 4]> {
         let mut observations: SmallVec<[Observation; 4]> = SmallVec::new();
         for ((task, _), attempt) in
             self.attempts.iter().filter(|(_, attempt)| attempt.has_new_sample())
@@ -80,12 +85,13 @@
             observations.push(Observation { workflow, image, at: now, sample });
         }
         for attempt in self.attempts.values_mut().filter(|attempt| attempt.is_measurable()) {
-            attempt.learned_measurement = attempt.measurement;
+            attempt.last_modelled_measurement = attempt.measurement;
         }
         observations
     }
 
-    /// Updates which latency-critical tasks exceed their targets; returns the one that has for longest.
+    /// Updates which latency-critical tasks exceed their targets or haven't recovered since, see [`RECOVERED_RATIO`].
+    /// Returns the one that first exceeded its target.
     fn update_over_target(&mut self, now: Time) -> Option<OverTarget> {
         let mut longest: Option<OverTarget> = None;
         for attempt in self.attempts.values_mut().filter(|attempt| attempt.is_measurable()) {
@@ -107,7 +113,8 @@
 }
 
 impl Scheduler {
-    /// Processes the samples that a worker has just reported, and evicts best-effort tasks if a target is exceeded.
+    /// Processes the samples that a worker has just reported, and evicts best-effort tasks if a target has been
+    /// exceeded for [`EVICT_AFTER`].
     pub(super) fn check_latency_targets(
         &mut self,
         now: Time,
@@ -119,25 +126,29 @@
             return;
         }
         let exposure = self.colocation.exposure(&worker.neighbours, worker.best_effort_use());
-        let observations = worker.new_observations(now, &exposure);
+        let observations = worker.take_new_observations(now, &exposure);
         worker.neighbours.add_observations(observations);
-        if let Some(over) = worker.update_over_target(now) {
-            let image = self.colocation.model().name(over.image);
-            let (ratio, fillers) = (over.ratio, exposure.as_slice());
+        if let Some(over_target) = worker.update_over_target(now) {
+            let image = self.colocation.model().name(over_target.image);
+            let (ratio, fillers) = (over_target.ratio, exposure.as_slice());
             log::debug!(worker:% = id, image:%, ratio, fillers:?; "over_target");
-            self.evict_best_effort(now, id, over, out);
+            self.evict_best_effort(now, id, over_target, out);
         }
     }
 
+    /// Evicts all best-effort tasks of a worker that aren't paused, unless the target has been exceeded only briefly or
+    /// the worker's last eviction was within [`EVICTION_INTERVAL`].
     fn evict_best_effort(
         &mut self,
         now: Time,
         id: &WorkerId,
-        over: OverTarget,
+        over_target: OverTarget,
         out: &mut Vec<Effect>,
     ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        if now.since(over.since) < EVICT_AFTER || now.since(worker.evicted_at) < EVICTION_INTERVAL {
+        if now.since(over_target.since) < EVICT_AFTER
+            || now.since(worker.evicted_at) < EVICTION_INTERVAL
+        {
             return;
         }
         let is_evictable = |attempt: &Attempt| {
@@ -152,7 +163,7 @@
         }
         worker.evicted_at = now;
         self.stats.evicted += victims.len() as u64;
-        let image = self.colocation.model().name(over.image);
+        let image = self.colocation.model().name(over_target.image);
         log::info!(worker:% = id, image:%, stopped = victims.len(); "serving_relieved");
         self.stop_runs(now, id, StopReason::Evicted, out, |task, run| {
             victims.contains(&(task, run))
@@ -166,7 +177,7 @@
         }
         let demand = self.best_effort_demand();
         let workers = self.workers.values().map(|worker| &worker.neighbours);
-        self.learned_dirty |= self.colocation.learn(now, workers, demand);
+        self.model_dirty |= self.colocation.learn(now, workers, demand);
         for worker in self.workers.values_mut() {
             self.colocation.cache_acceptance(&mut worker.neighbours);
         }
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -1,10 +1,11 @@
 //! The leader's scheduler: reconciles with the workers, places tasks, renews leases, and processes
 //! and records the ends of runs.
 //!
-//! A worker lists its runs, and each end until the end is acknowledged, so a start needs no record.
-//! A new leader polls every worker on the roster: that fences its predecessor there and returns all
-//! runs. A task that the predecessor may have started is started again only once each worker on the
-//! roster has answered, or the predecessor's authority and longest lease there have expired.
+//! Starts aren't recorded: a worker lists its runs, and each end until it is acknowledged. A new
+//! leader polls every worker on the roster. From then on the worker rejects commands of the
+//! predecessor, and the reply lists all runs there. A task that the predecessor may have started is
+//! started again only once each worker on the roster has answered, or the predecessor may no longer
+//! send commands and its longest lease there has expired.
 //!
 //! An end is acknowledged to the worker only after it is recorded, so it can't be lost in between.
 
@@ -71,7 +72,7 @@
 /// Interval between scans of all workers for lapsed leases, unconfirmed stops and draining workers.
 const SCAN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A step with tasks to start. The order of the fields is the order of the queue.
+/// A step with tasks that wait for a worker: an entry of the queue of all steps, in the order of the fields.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Ready {
     priority: u8,
@@ -94,56 +95,69 @@
     ready: BTreeSet<Ready>,
     /// Workers of the predecessor that haven't answered, and when all runs there have lapsed.
     unreconciled: BTreeMap<WorkerId, Time>,
+    /// Workflows whose progress has changed since it was last recorded.
     dirty: BTreeSet<WorkflowId>,
     /// Workflows with a task that has no attempts left and none under way.
     exhausted: BTreeSet<WorkflowId>,
+    /// The roster has changed since it was last recorded.
     roster_dirty: bool,
     /// Records that another writer replaced, to be written again.
     records_to_rewrite: Vec<Record>,
+    /// An append is to be sent soon even without changes.
     append_requested: bool,
+    /// The append to the store that isn't acknowledged yet.
     pending_append: Option<recording::PendingAppend>,
+    /// When the last append was sent.
     append_sent_at: Time,
     /// When the last acknowledged append was sent.
     last_acked_append: Option<Time>,
+    /// Ended workflows, and when this leader recorded or read that. Their records are dropped later.
     ended: Vec<(Time, WorkflowId)>,
     /// Estimated interference between tasks that share workers.
     colocation: Colocation,
-    /// When the learned model was last recorded, and whether it has changed since.
-    learned_recorded_at: Time,
-    learned_dirty: bool,
+    /// When the interference model was last recorded.
+    model_recorded_at: Time,
+    /// It has changed since.
+    model_dirty: bool,
     /// When a batch task last found no free capacity.
     batch_blocked_at: Option<Time>,
-    /// Quarantined workers; may include some whose quarantine has just ended.
+    /// Workers that get only tasks that fit no other worker, since runs there failed in a row. May include some whose
+    /// quarantine has just ended.
     quarantined: Vec<WorkerId>,
-    /// Workers reserved for isolated starts; may include some just released.
+    /// Workers reserved for isolated starts of tasks that may crash them. May include some just released.
     reserved: Vec<WorkerId>,
+    /// Tickets that permit workers to run certain steps.
     advice: advice::Advice,
+    /// Maintenance waves under way.
     maintenance: maintenance::Maintenance,
     /// Longest current wait of a best-effort task, as of the last placement pass.
     best_effort_wait: Duration,
-    /// When latency-critical tasks were last considered for a better worker.
+    /// When regrouping last scanned latency-critical tasks for a better worker.
     regrouped_at: Time,
-    /// Index of the first worker considered next time.
+    /// Which block of workers the last regrouping pass scanned.
     regroup_turn: usize,
     start_window: StartWindow,
-    /// Workers contacted recently; a step that found no worker retries only these.
+    /// Workers that replied or changed recently; a step that found no worker searches only these again.
     contacts: candidates::ContactLog,
+    /// Demands of running best-effort tasks that recently fit no other worker.
     failed_searches: candidates::FailedSearches,
     /// CPU that pending stops will free, in millicores, by service; computed once per pass.
     cpu_being_freed: Vec<(CompactString, u64)>,
-    /// When workers were last scanned for what time alone changes.
+    /// When all workers were last scanned, see [`SCAN_INTERVAL`].
     scanned_at: Time,
-    /// Reading of the records lags too much to start anything.
+    /// The records are read too late to start anything.
     lagging: bool,
     lost_workers: lost_workers::LostWorkers,
-    /// Whether this pass searches workers for suspected tasks; each search scans all of them.
+    /// Whether this tick searches workers for tasks that may crash them; each search scans all workers.
     isolated_starts_due: bool,
     stats: SchedulerStats,
+    /// State of the log lines on waiting tasks.
     waits: waits::Waits,
+    /// Wall-clock time of the last tick, in milliseconds since 1970.
     wall_ms: u64,
 }
 
-/// Counts since the previous call of [`Scheduler::take_stats`], for metrics.
+/// Counts, and the waiting times, since the previous call of [`Scheduler::take_stats`], for metrics.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SchedulerStats {
     /// Waiting times of the tasks that were started.
@@ -152,7 +166,7 @@
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
-    /// Runs that were stopped or lapsed.
+    /// Runs that ended in any other way, such as by a stop.
     pub stopped: u64,
     /// Runs lost with their worker.
     pub lost: u64,
@@ -164,7 +178,7 @@
     pub evicted: u64,
     /// Changes of pace of best-effort tasks.
     pub paced: u64,
-    /// Latency-critical tasks moved to a better colocation group.
+    /// Latency-critical tasks moved next to others that tolerate the same best-effort tasks.
     pub regrouped: u64,
     /// Workers scanned to place tasks.
     pub workers_scanned: u64,
@@ -213,8 +227,8 @@
                 now,
                 ledger.interference_model().cloned().unwrap_or_default(),
             ),
-            learned_recorded_at: now,
-            learned_dirty: false,
+            model_recorded_at: now,
+            model_dirty: false,
             batch_blocked_at: None,
             quarantined: Vec::new(),
             reserved: Vec::new(),
@@ -278,7 +292,7 @@
         let was_ready = worker.info.state == WorkerState::Ready;
         worker.set_info(info);
         if draining && was_ready {
-            // A successor needn't wait for it: nothing more is started there.
+            // Nothing more is started there, so the roster lists its runs, and a successor needn't wait for its answer.
             self.roster_dirty = true;
             log::info!(worker:% = id; "worker_drains");
         }
@@ -337,8 +351,8 @@
         self.lost_workers.log_suppressed_lines(now);
     }
 
-    /// Stops movable tasks on draining workers. A run that is still there when its worker leaves is
-    /// lost, and that is noticed only when its lease has lapsed.
+    /// Stops movable tasks on draining workers, so that they restart elsewhere. A run that is still
+    /// there when its worker leaves is lost, and that is detected only when its lease has lapsed.
     fn evacuate(&mut self, now: Time, out: &mut Vec<Effect>) {
         let is_movable =
             |attempt: &Attempt| attempt.movable && matches!(attempt.phase, Phase::Running { .. });
--- a/crates/workflow/src/scheduler/reconciliation.rs
+++ b/crates/workflow/src/scheduler/reconciliation.rs
@@ -2,10 +2,10 @@
 //!
 //! Starts aren't recorded, so an inherited task waits until each worker has answered or until all
 //! runs there must have lapsed. Two things shorten that wait. A predecessor whose process has
-//! certainly ended, or that gave up its term, renews nothing any more. And a leader records which
-//! workers haven't answered it and when their runs must have lapsed, so a successor waits only for
-//! the rest of that time. Otherwise one lost worker would hold back all inherited tasks for nine
-//! seconds after each change of leader.
+//! certainly ended, or that gave up its term, renews no leases any more. And a leader records which
+//! workers haven't answered it and when their runs must have lapsed, so a successor doesn't wait
+//! beyond that time. Otherwise one lost worker would delay all inherited tasks for nine seconds
+//! after each change of leader.
 
 use {
     super::{
@@ -20,9 +20,9 @@
     std::time::Duration,
 };
 
-/// How long a new leader waits for workers to answer before it writes a roster without them. A
-/// roster that lists workers as unanswered keeps tasks off them until the next one is recorded.
-const ROSTER_GRACE: Duration = Duration::from_millis(400);
+/// How long a new leader waits for all workers to answer before it writes a roster that lists some
+/// as unreconciled. These get no tasks until the next roster is recorded.
+const MAX_ROSTER_DELAY: Duration = Duration::from_millis(400);
 
 impl Scheduler {
     /// Takes over the workers of the last roster: they are polled, and get no tasks before they
@@ -39,12 +39,13 @@
                 entry.state,
                 RosterState::Unresponsive { .. } | RosterState::Unreconciled { .. }
             );
-            let known = matches!(
+            let runs_listed = matches!(
                 entry.state,
                 RosterState::Unresponsive { .. } | RosterState::Draining { .. }
             );
-            worker.inherited = Some(if known { Inherited::Listed } else { Inherited::Unlisted });
-            if !known {
+            worker.inherited =
+                Some(if runs_listed { Inherited::RunsListed } else { Inherited::RunsUnknown });
+            if !runs_listed {
                 self.unreconciled.insert(entry.id.clone(), worker.lease_bound);
             }
             self.workers.insert(entry.id.clone(), worker);
@@ -109,19 +110,19 @@
 
     /// When all runs that earlier leaders started at a worker must have lapsed.
     fn lapse_bound(&self, now: Time, roster: &Roster, roster_state: &RosterState) -> Time {
-        let lease = self.limits.lease_bound();
+        let max_lease = self.limits.lease_bound();
         // If the last leader wrote no roster, it is unknown which of its predecessors can still
         // send commands. All of them lose their authority within this time after the last leader's
         // claim.
-        let latest = now + self.limits.authority + lease;
-        let known = self.succession.follows(roster.epoch);
+        let latest = now + self.limits.authority + max_lease;
+        let by_predecessor = self.succession.follows(roster.epoch);
         match roster_state {
-            RosterState::Open | RosterState::Draining { .. } if known => {
-                self.succession.commands_until() + lease
+            RosterState::Open | RosterState::Draining { .. } if by_predecessor => {
+                self.succession.commands_until() + max_lease
             }
             RosterState::Unresponsive { lapses_ms, .. }
             | RosterState::Unreconciled { lapses_ms }
-                if known =>
+                if by_predecessor =>
             {
                 latest.min(self.succession.local_time(*lapses_ms))
             }
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Assumes that a run is under way at an unresponsive worker, until it answers or its leases
-    /// have lapsed.
+    /// Assumes that a run is under way at a worker, until that worker answers or its leases have
+    /// lapsed. Adds it to the attempts of its task, so that the task isn't started meanwhile.
     fn assume_running(&mut self, now: Time, id: &WorkerId, task: TaskId, run: RunId) {
         let step = self.step(task).cloned().unwrap_or_default();
         let requirements = Requirements::new(&step, &mut self.colocation);
@@ -151,17 +152,17 @@
         }
     }
 
-    /// Whether the roster may be written: it lists which workers haven't answered, and they get a
-    /// short time for it.
+    /// Whether the roster may be written: all workers have answered, or [`MAX_ROSTER_DELAY`] has
+    /// passed.
     pub(super) fn may_write_roster(&self, now: Time) -> bool {
-        self.unreconciled.is_empty() || now.since(self.succession.began) >= ROSTER_GRACE
+        self.unreconciled.is_empty() || now.since(self.succession.began) >= MAX_ROSTER_DELAY
     }
 
-    /// Returns what the roster is to say of a worker.
+    /// Returns the state of a worker to record in the roster.
     pub(super) fn roster_state(&self, now: Time, worker: &Worker) -> RosterState {
         let runs = || worker.attempts.keys().copied().collect();
         let lapses_ms = self.succession.term_ms(worker.lease_bound);
-        if worker.inherited == Some(Inherited::Unlisted) && !worker.reconciled {
+        if worker.inherited == Some(Inherited::RunsUnknown) && !worker.reconciled {
             return RosterState::Unreconciled { lapses_ms };
         }
         if worker.should_list_unresponsive(now, &self.limits) {
@@ -176,9 +177,10 @@
 }
 
 /// Builds the state of a worker known only from the roster: it is polled, and gets no tasks while
-/// its directory entry is missing. It counts as draining only if the predecessor listed it so.
-/// Entries also lapse while a worker or the store is cut off; taking a healthy worker for one that
-/// left, as soon as a connection is refused, would run its tasks twice.
+/// its directory entry is missing. It counts as draining only if the predecessor listed it as
+/// draining: a directory entry also expires while its worker or the store is cut off, and a draining
+/// worker without an entry counts as left once its address refuses a connection. If it hadn't left,
+/// its tasks would run twice.
 fn placeholder(entry: &RosterEntry) -> WorkerInfo {
     let draining = matches!(entry.state, RosterState::Draining { .. });
     WorkerInfo {
--- a/crates/workflow/src/scheduler/recording.rs
+++ b/crates/workflow/src/scheduler/recording.rs
@@ -39,7 +39,7 @@
 const MAX_APPEND_BYTES: usize = 512 * 1024;
 
 /// Interval between records of the learned model, some 2 KB for 15 images that every process reads.
-const LEARNED_INTERVAL: Duration = Duration::from_secs(3);
+const MODEL_RECORD_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Maximum number of old workflows dropped in one append.
 const MAX_DROPPED_PER_APPEND: usize = 200;
@@ -106,7 +106,7 @@
         }
         self.record_roster(now, &mut recording, &mut records);
         self.drop_old_records(now, &mut records);
-        self.record_learned(now, &mut records);
+        self.record_model(now, &mut records);
         let rewritten = self.records_to_rewrite.len().min(MAX_REWRITTEN_PER_APPEND);
         records.extend(self.records_to_rewrite.drain(..rewritten));
         self.append_requested = false;
@@ -190,11 +190,11 @@
         records.push(Record::new(Key::Roster, &roster));
     }
 
-    /// Adds the learned model if it has changed, at most once per [`LEARNED_INTERVAL`].
-    fn record_learned(&mut self, now: Time, records: &mut Vec<Record>) {
-        if self.learned_dirty && now.since(self.learned_recorded_at) >= LEARNED_INTERVAL {
-            self.learned_dirty = false;
-            self.learned_recorded_at = now;
+    /// Adds the learned model if it has changed, at most once per [`MODEL_RECORD_INTERVAL`].
+    fn record_model(&mut self, now: Time, records: &mut Vec<Record>) {
+        if self.model_dirty && now.since(self.model_recorded_at) >= MODEL_RECORD_INTERVAL {
+            self.model_dirty = false;
+            self.model_recorded_at = now;
             records.push(Record::new(Key::InterferenceModel, self.colocation.model()));
         }
     }
--- a/crates/workflow/src/scheduler/restore.rs
+++ b/crates/workflow/src/scheduler/restore.rs
@@ -16,7 +16,7 @@
             // The next heartbeat replaces it.
             Key::Leader => {}
             Key::Roster => self.roster_dirty = true,
-            Key::InterferenceModel => self.learned_dirty = true,
+            Key::InterferenceModel => self.model_dirty = true,
             Key::Wave(number) => self.maintenance.record_again(number),
             Key::Submission(id) => self.records_to_rewrite.extend(submission(id, ledger)),
             Key::Cancel(id) => {
--- a/crates/workflow/src/scheduler/stragglers.rs
+++ b/crates/workflow/src/scheduler/stragglers.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether its remaining time exceeds that of a new attempt elsewhere.
-    fn is_lagging(&self, now: Time, resumed: bool) -> bool {
+    fn is_slower_than_restart(&self, now: Time, resumed: bool) -> bool {
         let ran = now.since(self.running_since);
         let min_run_time = if resumed { MIN_RESUMED_RUN_TIME } else { MIN_JUDGED_RUN_TIME };
         if self.estimate_ms == 0 || ran < min_run_time.max(self.min_sample_span()) {
@@ -147,7 +147,7 @@
     if now.since(attempt.progressed_at) >= STALLED_AFTER && ran >= STALLED_AFTER {
         return Some(Straggler::Stalled);
     }
-    if attempt.is_lagging(now, resumed) {
+    if attempt.is_slower_than_restart(now, resumed) {
         return Some(Straggler::Slow);
     }
     // Best-effort tasks are slowed down by others, and their estimates are unreliable.
--- a/crates/workflow/src/scheduler/worker.rs
+++ b/crates/workflow/src/scheduler/worker.rs
@@ -7,13 +7,13 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// What is known of a worker on a predecessor's roster.
+/// Whether a predecessor's roster lists the runs of a worker that it names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Inherited {
     /// The roster lists what may run there.
-    Listed,
+    RunsListed,
     /// Anything may run there.
-    Unlisted,
+    RunsUnknown,
 }
 
 /// Share of their declared CPU that latency-critical tasks use; the rest is left to best-effort
@@ -57,7 +57,7 @@
     /// Ends up to this number are recorded, so the worker may forget them.
     pub(crate) ends_recorded: u64,
     pub(crate) attempts: BTreeMap<(TaskId, RunId), Attempt>,
-    /// Resources reserved for its runs.
+    /// Resources reserved for its runs; the CPU of best-effort runs isn't included.
     pub(crate) committed: Resources,
     /// CPU requested by its best-effort runs, in millicores.
     pub(crate) best_effort_demand: u32,
@@ -80,8 +80,8 @@
     /// Quarantined after consecutive failures: before this time it gets only tasks that fit no
     /// other worker.
     pub(crate) quarantined_until: Time,
-    /// When it last left a start unanswered; `None` if it has answered a command since.
-    pub(crate) unconfirmed_start: Option<Time>,
+    /// When its last unanswered start timed out; `None` if it has answered a command since.
+    pub(crate) unconfirmed_start_at: Option<Time>,
     /// A latency-critical task exceeds its target: no best-effort task is added.
     pub(crate) over_target: bool,
     /// When best-effort tasks were last evicted for a latency-critical task.
@@ -121,7 +121,7 @@
             failures: 0,
             backoff_until: Time::ZERO,
             quarantined_until: Time::ZERO,
-            unconfirmed_start: None,
+            unconfirmed_start_at: None,
             over_target: false,
             evicted_at: Time::ZERO,
         }
@@ -218,15 +218,15 @@
     }
 
     /// Whether it is draining, by its own directory entry, and its runs are known. An entry may
-    /// have been missing or read late, so a worker once listed as draining may turn out to stay;
-    /// then this is taken back.
+    /// have been missing or read late, so a worker that was listed as draining may turn out not to
+    /// be draining; then the next roster corrects it.
     pub(crate) fn is_draining(&self) -> bool {
         self.info.state == WorkerState::Draining && (self.listed_draining || self.reconciled)
     }
 
     /// Whether it has certainly left: it was draining, its entry is gone, and nothing listens at
-    /// its address. One alone doesn't show it: entries also lapse or are revoked, and a draining
-    /// worker runs on for seconds.
+    /// its address. A missing entry alone isn't enough: entries also expire or are revoked, and a
+    /// draining worker runs on for seconds.
     pub(crate) fn has_left(&self) -> bool {
         self.info.state == WorkerState::Draining && !self.in_directory && self.connection_refused
     }
