--- a/crates/workflow/src/scheduler/advice.rs
+++ b/crates/workflow/src/scheduler/advice.rs
@@ -63,7 +63,7 @@
         (now + TICKET_MARGIN < *expires_at).then_some(ticket)
     }
 
-    /// Whether a query about a worker could return something new.
+    /// Whether there is neither a valid ticket nor a denial for a worker, so that it may be queried.
     fn is_unknown(&self, now: Time, id: &WorkerId) -> bool {
         !self.denied.contains(id) && self.ticket(now, id).is_none()
     }
@@ -89,7 +89,8 @@
 }
 
 impl Scheduler {
-    pub(super) fn needs_ticket(&self, step: StepId) -> Option<AdviceTerms> {
+    /// The terms under which tickets for a step are issued; none if it needs no tickets.
+    pub(super) fn advice_terms(&self, step: StepId) -> Option<AdviceTerms> {
         self.workflows.get(&step.workflow).and_then(|workflow| workflow.submission.advice)
     }
 
@@ -97,7 +98,7 @@
     pub(super) fn is_allowed(&self, now: Time, task: TaskId, id: &WorkerId) -> bool {
         let step = task.step_id();
         let ticket = || self.advice.steps.get(&step).and_then(|advice| advice.ticket(now, id));
-        self.needs_ticket(step).is_none() || ticket().is_some()
+        self.advice_terms(step).is_none() || ticket().is_some()
     }
 
     /// The ticket for a start; empty if none is needed.
@@ -106,10 +107,10 @@
         advice.and_then(|advice| advice.ticket(now, id)).cloned().unwrap_or_default()
     }
 
-    /// Requests more tickets for a step that found no worker. Returns whether the step needs tickets.
+    /// Queues a query for more tickets if a step that found no worker needs them; returns whether it does.
     pub(super) fn queue_ticket_query(&mut self, key: Ready) -> bool {
         let step = StepId { workflow: key.workflow, occurrence: key.occurrence, step: key.step };
-        let needs_ticket = self.needs_ticket(step).is_some();
+        let needs_ticket = self.advice_terms(step).is_some();
         if needs_ticket {
             self.advice.queued.push(step);
         }
--- a/crates/workflow/src/scheduler/audit.rs
+++ b/crates/workflow/src/scheduler/audit.rs
@@ -1,8 +1,8 @@
-//! Detects tasks that the scheduler has lost track of.
+//! Detects stranded tasks, a fault of the scheduler.
 //!
-//! A task whose step is open is queued, with its step in the ready set, or held by runs that are
-//! known at their workers, where an answer or the end of a lease settles them. A task in neither
-//! state would never be started again.
+//! A task whose step is open is either queued, with its step in the ready set, or has runs that are
+//! known at their workers, where a reply or the end of a lease decides them. A task in neither state
+//! is stranded: it would never be started again.
 
 use {
     super::{
@@ -13,8 +13,8 @@
 };
 
 impl Scheduler {
-    /// Returns tasks that are due and that nothing would ever start or settle. Not empty only if
-    /// the scheduler has a fault.
+    /// Returns tasks that are due and would never be started again. Not empty only if the scheduler
+    /// has a fault.
     pub fn stranded(&self) -> Vec<TaskId> {
         let mut stranded = Vec::new();
         for (id, active) in self.workflows.iter().filter(|(_, active)| active.outcome.is_none()) {
@@ -51,14 +51,17 @@
         (0u32..).zip(&state.tasks).filter_map(move |(index, task)| {
             let id = TaskId { workflow, occurrence, step, index };
             let queued = ready && state.queue.contains(&index);
-            let tracked =
-                if task.is_pending() { queued } else { task.done || self.is_held_by(id, task) };
+            let tracked = if task.is_pending() {
+                queued
+            } else {
+                task.done || self.are_runs_tracked(id, task)
+            };
             (!tracked).then_some(id)
         })
     }
 
     /// Whether all runs of a task are known at their workers.
-    fn is_held_by(&self, id: TaskId, task: &TaskState) -> bool {
+    fn are_runs_tracked(&self, id: TaskId, task: &TaskState) -> bool {
         task.attempts.iter().all(|(at, run)| {
             self.workers.get(at).is_some_and(|worker| worker.attempts.contains_key(&(id, *run)))
         })
--- a/crates/workflow/src/scheduler/candidates.rs
+++ b/crates/workflow/src/scheduler/candidates.rs
@@ -169,7 +169,7 @@
         requirements: &Requirements<'_>,
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
     ) -> Vec<Candidate> {
-        let needs_ticket = self.needs_ticket(task.step_id()).is_some();
+        let needs_ticket = self.advice_terms(task.step_id()).is_some();
         let candidate = |(id, worker): (&WorkerId, &Worker)| {
             // The cheap check of free capacity comes first, since most workers are full.
             let eligible = meets_requirements(worker, task, requirements)
--- a/crates/workflow/src/scheduler/effect.rs
+++ b/crates/workflow/src/scheduler/effect.rs
@@ -74,7 +74,7 @@
         /// The share in percent, 0 to 100.
         percent: u32,
     },
-    /// Ask the policy which of these workers may run a step.
+    /// Query the service that issues tickets which of these workers may run a step.
     Advise {
         /// The step.
         step: StepId,
--- a/crates/workflow/src/scheduler/gangs.rs
+++ b/crates/workflow/src/scheduler/gangs.rs
@@ -31,7 +31,7 @@
             return false;
         }
         let waiting = self.queue_of(key).map_or(0, |queue| queue.len());
-        // All members start as one run, so this waits for those that are still ending.
+        // All members start with the same run number, so this waits until all of them are queued.
         if waiting < step.count as usize {
             return false;
         }
@@ -44,6 +44,7 @@
         if wait_for_rack && requirements.rack.is_none() {
             return false;
         }
+        // Each member occupies its worker under run 0 while the others are placed.
         let mut placed: Vec<(TaskId, WorkerId)> = Vec::with_capacity(waiting);
         for index in 0..step.count {
             let task = key.task(index);
--- a/crates/workflow/src/scheduler/maintenance/mod.rs
+++ b/crates/workflow/src/scheduler/maintenance/mod.rs
@@ -1,5 +1,5 @@
-//! Maintenance waves: drains VMs and takes them down in turn, before the deadline and never more at
-//! once than allowed.
+//! Maintenance waves: drains VMs and takes them down one after the other before the deadline, up to
+//! a maximum number at a time.
 //!
 //! A VM that is about to go down gets no new tasks, movable tasks are moved, and batch tasks may
 //! finish; what still runs when it goes down is lost. Steps limit how many of their tasks may be
@@ -12,7 +12,7 @@
 pub(super) use self::stages::Maintenance;
 
 use {
-    self::stages::{Stage, WaveRun},
+    self::stages::{ActiveWave, Stage},
     super::{Attempt, Effect, Phase, Scheduler, waits::StopReason},
     crate::{
         Ledger, MaintenanceResult, RunId, TaskId, VmId, VmList, VmState, Wave, WaveState, WorkerId,
@@ -43,8 +43,12 @@
             return;
         }
         log::info!(wave = number, vms = wave.vms.len(), cap = wave.max_down; "wave_begins");
-        let mut run =
-            WaveRun { deadline: now + wave.within, wave, stages: BTreeMap::new(), reported: None };
+        let mut run = ActiveWave {
+            deadline: now + wave.within,
+            wave,
+            stages: BTreeMap::new(),
+            reported: None,
+        };
         if let Some(progress) = ledger.wave(number) {
             for (vm, worker) in &progress.requested {
                 let stage = Stage::Requested { worker: worker.clone(), sent: None, retry_at: now };
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Whether a worker gets no new tasks because its VM is about to go down.
+    /// Whether a worker gets no new tasks because its VM is about to go down or is down.
     pub(in crate::scheduler) fn is_in_maintenance(&self, id: &WorkerId) -> bool {
         !self.maintenance.waves.is_empty() && self.maintenance.is_in_maintenance(id)
     }
@@ -234,8 +238,8 @@
             .collect();
         for (task, run) in movable {
             if self.may_be_unavailable(task) {
-                self.stop_runs(now, id, StopReason::Maintenance, out, |of, number| {
-                    of == task && number == run
+                self.stop_runs(now, id, StopReason::Maintenance, out, |other_task, other_run| {
+                    other_task == task && other_run == run
                 });
             }
         }
--- a/crates/workflow/src/scheduler/maintenance/stages.rs
+++ b/crates/workflow/src/scheduler/maintenance/stages.rs
@@ -43,7 +43,7 @@
 
 /// A wave under way.
 #[derive(Debug)]
-pub(super) struct WaveRun {
+pub(super) struct ActiveWave {
     pub(super) wave: Wave,
     pub(super) deadline: Time,
     pub(super) stages: BTreeMap<VmId, Stage>,
@@ -51,7 +51,7 @@
     pub(super) reported: Option<(WaveState, bool)>,
 }
 
-impl WaveRun {
+impl ActiveWave {
     /// Number of VMs that are down, or may be.
     pub(super) fn down(&self) -> usize {
         let is_down = |stage: &&Stage| {
@@ -88,7 +88,7 @@
 /// All waves, and the VMs as last listed.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct Maintenance {
-    pub(super) waves: BTreeMap<u64, WaveRun>,
+    pub(super) waves: BTreeMap<u64, ActiveWave>,
     pub(super) vms: BTreeMap<VmId, VmEntry>,
     /// The last listing could be read in full: a VM that isn't in it doesn't exist.
     pub(super) listing_complete: bool,
@@ -96,6 +96,7 @@
     pub(super) listing_requested_at: Option<Time>,
     /// When the last successful listing was requested.
     pub(super) listed_at: Option<Time>,
+    /// Waves whose progress has changed since it was last recorded.
     pub(super) dirty: BTreeSet<u64>,
 }
 
--- a/crates/workflow/src/scheduler/pacing.rs
+++ b/crates/workflow/src/scheduler/pacing.rs
@@ -1,13 +1,14 @@
-//! Paces of best-effort tasks that share a worker with latency-critical tasks.
+//! Throttles best-effort tasks that share a worker with latency-critical tasks: their pace is the
+//! share of their CPU that they may use.
 //!
-//! The load of latency-critical tasks swings within seconds, and a best-effort task that does no
-//! harm at low load does much at the peak. Admitting only what the peak tolerates leaves
-//! best-effort tasks unplaced, and stopping them when a target is missed loses their work. A change
-//! of pace takes effect within a tenth of a second and loses nothing.
+//! The load of latency-critical tasks changes within seconds, and a best-effort task that doesn't
+//! interfere at low load may interfere at peak load. If only those that the peak tolerates were
+//! placed, many would wait; if they were stopped when a target is missed, their work would be lost.
+//! A change of pace takes effect within a tenth of a second and loses no work.
 //!
-//! Each answer of a worker gives the headroom that its latency-critical tasks would have without
-//! best-effort tasks. What is left below the target is divided among the interfering best-effort
-//! tasks.
+//! Each poll reply of a worker gives an estimate of the headroom below their targets that its
+//! latency-critical tasks would have without best-effort tasks. That is divided among the
+//! best-effort tasks that interfere.
 
 use {
     super::{
@@ -39,7 +40,7 @@
 /// full pace.
 const MIN_PACE_CHANGE_PERCENT: u32 = 20;
 
-/// A best-effort task at or below this pace, in percent, is moved if another worker fits it.
+/// A best-effort task at or below this pace, in percent, is moved if another worker can take it.
 const SLOW_PACE_PERCENT: u32 = 30;
 
 /// How long a task must be at or below [`SLOW_PACE_PERCENT`] before it is moved.
@@ -133,10 +134,10 @@
         changes
     }
 
-    /// Moves best-effort tasks that have been slow for long and fit another worker.
+    /// Moves best-effort tasks that have been slow for [`MOVE_SLOW_AFTER`] if another worker can take them.
     fn move_slowed(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
         let Some(worker) = self.workers.get(id) else { return };
-        let is_long_slow = |attempt: &Attempt| {
+        let is_slow_for_long = |attempt: &Attempt| {
             let running = matches!(attempt.phase, Phase::Running { .. });
             let worth_moving = attempt.movable || attempt.percent < MAX_MOVED_PROGRESS_PERCENT;
             running
@@ -146,15 +147,15 @@
         let slowed: Vec<(TaskId, RunId)> = worker
             .attempts
             .iter()
-            .filter(|(_, attempt)| is_long_slow(attempt))
+            .filter(|(_, attempt)| is_slow_for_long(attempt))
             .map(|(key, _)| *key)
             .collect();
         for (task, run) in slowed {
             if self.fits_elsewhere(now, id, task) {
                 self.stats.evicted += 1;
                 log::info!(task:%, run:%, worker:% = id; "slowed_filler_moved");
-                self.stop_runs(now, id, StopReason::Throttled, out, |of, number| {
-                    of == task && number == run
+                self.stop_runs(now, id, StopReason::Throttled, out, |other_task, other_run| {
+                    other_task == task && other_run == run
                 });
             }
         }
--- a/crates/workflow/src/scheduler/placement.rs
+++ b/crates/workflow/src/scheduler/placement.rs
@@ -298,7 +298,7 @@
         requirements: &Requirements<'_>,
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
     ) -> Option<WorkerId> {
-        let needs_ticket = self.needs_ticket(task.step_id()).is_some();
+        let needs_ticket = self.advice_terms(task.step_id()).is_some();
         let mut best: Option<(Fitness, &WorkerId)> = None;
         for (id, worker) in workers {
             if !meets_requirements(worker, task, requirements)
--- a/crates/workflow/src/scheduler/poll_reply.rs
+++ b/crates/workflow/src/scheduler/poll_reply.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Quarantines a worker after several failures in a row. It reports healthy and always has free capacity, so it
-    /// would attract and fail a large share of the tasks.
+    /// Counts a failure on a worker; quarantines it after several in a row. Such a worker reports healthy and always
+    /// has free capacity, so many more tasks would be placed there and fail.
     fn on_failure(&mut self, now: Time, id: &WorkerId) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.failures += 1;
@@ -178,8 +178,8 @@
 
     /// Compares the expected runs of a worker with those that it lists.
     ///
-    /// Replies on two connections may overtake each other. A list is therefore compared by the worker's own clock and
-    /// only covers commands that were confirmed at an earlier reading.
+    /// Replies on two connections may overtake each other. So a list only decides about a run if the worker's clock in
+    /// the reply is later than in the last confirmation of the run or its stop.
     fn compare_runs(
         &mut self,
         now: Time,
@@ -232,7 +232,7 @@
         }
         for (task, run) in expired_starts {
             log::info!(task:%, run:%, worker:% = id; "start_too_late");
-            // Otherwise the worker with most free capacity would be chosen again and again.
+            // Otherwise the same worker, which has the most free capacity, would be chosen again.
             self.avoid(now, task, id);
             self.drop_attempt(now, id, task, run);
         }
@@ -282,7 +282,7 @@
         }
         let passed_crash_window = worker.pass_crash_window(now, task, run);
         let Some(state) = self.task_mut(task) else { return };
-        let announcement_settled = passed_crash_window
+        let announcement_over = passed_crash_window
             && state.announced.take_if(|announced| announced.run == run).is_some();
         if !running.saved.is_empty() {
             state.saved.clone_from(&running.saved);
@@ -290,7 +290,7 @@
         if clears_crashes && !state.crashes.is_empty() {
             self.clear_crashes_of_task(task);
         }
-        if announcement_settled {
+        if announcement_over {
             self.dirty.insert(task.workflow);
         }
     }
@@ -320,7 +320,7 @@
         }
     }
 
-    /// Takes over a run started by a previous leader, or stops it if its task doesn't wait any more.
+    /// Takes over a run started by a previous leader, or stops it if its task doesn't wait for a run any more.
     fn adopt_run(
         &mut self,
         now: Time,
@@ -404,6 +404,7 @@
         }
     }
 
+    /// Removes a found task from its queue and marks its workflow as started.
     fn unqueue(&mut self, task: TaskId) {
         let Some(workflow) = self.workflows.get_mut(&task.workflow) else { return };
         workflow.started = true;
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -23,7 +23,7 @@
     Failed,
 }
 
-/// Lease at a draining worker. It covers the next two polls.
+/// Lease at a draining worker: long enough for the next two polls to renew it.
 const DRAINING_LEASE: Duration = Duration::from_secs(2);
 
 /// Pause after a failed poll.
@@ -90,7 +90,7 @@
                 && !worker.listed_unresponsive
                 && worker.is_responsive(now, &limits);
             let until_ms = if renews && busy {
-                // A short lease: what is left on a draining worker ends with it and can be
+                // With a short lease, tasks that are lost when a draining worker leaves can be
                 // restarted sooner.
                 let draining = worker.info.state == WorkerState::Draining;
                 let span = if draining { DRAINING_LEASE } else { limits.lease };
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Gives up runs that must have lapsed at unresponsive workers, and forgets workers that are
-    /// gone.
+    /// Drops runs that must have lapsed at unresponsive workers, removes workers that are gone, and
+    /// marks the roster to be recorded if the state of a worker has changed.
     pub(super) fn expire(&mut self, now: Time) {
         let limits = self.limits;
         let lapsed = |worker: &super::Worker| {
@@ -142,7 +142,8 @@
         }
         // A worker whose responsiveness or draining state has changed must be listed differently.
         let changed = |worker: &super::Worker| {
-            // All its runs have been moved: a successor that knows this needn't wait for it.
+            // None of the runs that the roster lists is left: once that is recorded, a successor
+            // needn't assume that they still run.
             let drained =
                 worker.listed_draining && worker.listed_runs > 0 && worker.attempts.is_empty();
             worker.differs_from_roster(now, &limits) || (worker.in_roster && drained)
--- a/crates/workflow/src/scheduler/preempt.rs
+++ b/crates/workflow/src/scheduler/preempt.rs
@@ -1,6 +1,6 @@
 //! Preemption of long-running tasks in favour of batch tasks.
 //!
-//! Long-running tasks hold nearly all capacity for minutes, while short batch tasks arrive all the time and find
+//! Long-running tasks occupy nearly all capacity for minutes, while short batch tasks arrive all the time and find
 //! none. A batch task needs little capacity for a short time, so a long-running task is stopped for it and starts
 //! again when there is free capacity.
 
--- a/crates/workflow/src/scheduler/queue.rs
+++ b/crates/workflow/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! The life of a workflow: its occurrences, its open steps and the queues of their tasks.
+//! Life cycle of workflows: their occurrences, their open steps and the queues of tasks.
 
 use {
     super::{
@@ -11,6 +11,7 @@
 };
 
 impl Scheduler {
+    /// Adds a workflow from its records, with its due occurrences. Ignores one that is known already.
     pub(super) fn add_workflow(
         &mut self,
         now: Time,
@@ -27,7 +28,7 @@
         }
         let Some(mut active) = ActiveWorkflow::new(entry, inherited) else { return };
         if entry.cancelled {
-            // Nothing of it is wanted any more; runs that are found are stopped.
+            // No task is started; runs that are found are stopped.
             active.outcome = Some(Outcome::Cancelled);
             active.occurrences.clear();
             self.dirty.insert(id);
@@ -40,6 +41,7 @@
         self.begin_occurrences(now, id);
     }
 
+    /// Begins the due occurrences of all workflows.
     pub(super) fn begin_due(&mut self, now: Time) {
         let due = |active: &ActiveWorkflow| active.next < active.submission.workflow.occurrences();
         let ids: Vec<WorkflowId> =
@@ -129,8 +131,8 @@
         self.remove_advice(id);
         log::info!(workflow:% = id, outcome:? = outcome, copies = attempts.len(); "workflow_ended");
         for (worker, run) in attempts {
-            self.stop_runs(now, &worker, StopReason::WorkflowEnded, out, |task, of| {
-                task.workflow == id && of == run
+            self.stop_runs(now, &worker, StopReason::WorkflowEnded, out, |task, other_run| {
+                task.workflow == id && other_run == run
             });
         }
     }
--- a/crates/workflow/src/scheduler/recording.rs
+++ b/crates/workflow/src/scheduler/recording.rs
@@ -17,7 +17,7 @@
     roster: Vec<ListedWorker>,
     ended: Vec<WorkflowId>,
     waves: Vec<(u64, WaveProgress)>,
-    /// Workflows with crashes not recorded before.
+    /// Workflows with crashes or announced runs not recorded before.
     crashes: Vec<WorkflowId>,
 }
 
@@ -38,10 +38,10 @@
 /// Maximum bytes of records in one append; far below the store's limit of 2 MB.
 const MAX_APPEND_BYTES: usize = 512 * 1024;
 
-/// Interval between records of the learned model, some 2 KB for 15 images that every process reads.
+/// Interval between records of the interference model; each takes some 2 KB for 15 images, and every process reads it.
 const MODEL_RECORD_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Maximum number of old workflows dropped in one append.
+/// Maximum number of ended workflows whose records are dropped in one append.
 const MAX_DROPPED_PER_APPEND: usize = 200;
 
 /// Maximum number of records rewritten in one append; a submission takes a few KB.
@@ -49,8 +49,8 @@
 
 impl Worker {
     /// Whether a successor must poll it: true for workers that a predecessor listed or that have
-    /// answered this leader. Nothing is started before the first answer. An entry may reappear long
-    /// after its worker has gone; if it were listed, each successor would wait for that worker's
+    /// answered this leader. Nothing is started before the first answer. A directory entry may reappear
+    /// long after its worker has gone; if the worker were listed, each successor would wait for its
     /// leases.
     fn belongs_in_roster(&self) -> bool {
         self.in_roster || self.reconciled
@@ -127,7 +127,7 @@
         out.push(Effect::Record { records: Vec::new() });
     }
 
-    /// Adds the progress of changed workflows. Returns whether some are left for the next append.
+    /// Adds the progress of changed workflows to `records`. Returns whether some are left for the next append.
     fn record_progress(
         &mut self,
         recording: &mut PendingAppend,
@@ -190,7 +190,7 @@
         records.push(Record::new(Key::Roster, &roster));
     }
 
-    /// Adds the learned model if it has changed, at most once per [`MODEL_RECORD_INTERVAL`].
+    /// Adds the interference model if it has changed, at most once per [`MODEL_RECORD_INTERVAL`].
     fn record_model(&mut self, now: Time, records: &mut Vec<Record>) {
         if self.model_dirty && now.since(self.model_recorded_at) >= MODEL_RECORD_INTERVAL {
             self.model_dirty = false;
--- a/crates/workflow/src/scheduler/regroup.rs
+++ b/crates/workflow/src/scheduler/regroup.rs
@@ -1,7 +1,6 @@
 //! Regrouping: moves latency-critical tasks next to those that tolerate the same best-effort tasks.
 //!
-//! A moved task is down for about a second. That costs less than the best-effort capacity gained, which is used again
-//! and again.
+//! A moved task is down for about a second. That costs less than the best-effort capacity gained, which lasts.
 
 use {
     super::{
@@ -16,12 +15,12 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// Interval of passes over the same workers; a pass moves one task or swaps two, and later starts show the effect.
+/// Interval between two passes over the same workers; a pass moves one task or swaps two.
 const REGROUP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Maximum number of workers per pass, since a pass compares pairs of workers. Larger fleets take turns, and each
-/// worker is still considered every [`REGROUP_INTERVAL`].
-const MAX_HOSTS_PER_PASS: usize = 96;
+/// Maximum number of workers per pass, since a pass compares pairs of workers. More workers are divided into blocks,
+/// with more frequent passes, so that each worker is still scanned every [`REGROUP_INTERVAL`].
+const MAX_WORKERS_PER_PASS: usize = 96;
 
 /// Tasks are moved only if a best-effort task has waited this long; otherwise there is enough free capacity.
 const MIN_BEST_EFFORT_WAIT: Duration = Duration::from_millis(300);
@@ -39,7 +38,7 @@
 impl Scheduler {
     /// Stops up to two latency-critical tasks per service that fit better elsewhere; they restart at once.
     pub(super) fn regroup(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let turns = self.workers.len().div_ceil(MAX_HOSTS_PER_PASS).max(1);
+        let turns = self.workers.len().div_ceil(MAX_WORKERS_PER_PASS).max(1);
         let interval = REGROUP_INTERVAL / u32::try_from(turns).unwrap_or(u32::MAX);
         if now.since(self.regrouped_at) < interval || self.best_effort_wait < MIN_BEST_EFFORT_WAIT {
             return;
@@ -70,8 +69,8 @@
         let turn = self
             .workers
             .iter()
-            .skip(self.regroup_turn * MAX_HOSTS_PER_PASS)
-            .take(MAX_HOSTS_PER_PASS);
+            .skip(self.regroup_turn * MAX_WORKERS_PER_PASS)
+            .take(MAX_WORKERS_PER_PASS);
         let workers: Vec<(&WorkerId, &Worker)> =
             turn.filter(|(_, worker)| eligible(worker)).collect();
         let hosts: Vec<Host> = workers.iter().map(|(_, worker)| host(worker)).collect();
@@ -107,8 +106,8 @@
             .collect()
     }
 
-    /// Whether a latency-critical task may be moved: it is at work and preemptible, not bound to certain workers,
-    /// and no task of its step is waiting.
+    /// Whether a latency-critical task may be moved: it has started up completely, is preemptible and not bound to
+    /// certain workers, and no task of its step is waiting.
     fn may_be_moved(&self, now: Time, task: TaskId, attempt: &Attempt) -> bool {
         let at_work = matches!(attempt.phase, Phase::Running { .. })
             && attempt.percent >= 100
@@ -119,11 +118,11 @@
             && attempt.preemptible
             && at_work
             && self.step(task).is_some_and(unconstrained)
-            && self.needs_ticket(task.step_id()).is_none()
-            && self.all_placed(task)
+            && self.advice_terms(task.step_id()).is_none()
+            && self.has_no_waiting_tasks(task)
     }
 
-    fn all_placed(&self, task: TaskId) -> bool {
+    fn has_no_waiting_tasks(&self, task: TaskId) -> bool {
         let workflow = self.workflows.get(&task.workflow);
         let occurrence = workflow.and_then(|workflow| workflow.occurrences.get(&task.occurrence));
         let step = occurrence.and_then(|occurrence| occurrence.steps.get(usize::from(task.step)));
--- a/crates/workflow/src/scheduler/start_window.rs
+++ b/crates/workflow/src/scheduler/start_window.rs
@@ -1,12 +1,12 @@
 //! Limits the number of starts under way.
 //!
 //! A leader decides faster than its link, its CPU or its workers execute. Starts beyond that would wait in queues
-//! that can't be revoked, and could run seconds after their task is done. Undecided starts wait in the leader's
-//! queue instead, in its order.
+//! that can't be revoked, and could run seconds after their task is done. The tasks of further starts stay in the
+//! leader's queue instead, in its order.
 
 use {egretlb_types::Time, std::time::Duration};
 
-/// The limit is the number of starts answered within this span, which also bounds how long a start waits to be
+/// The limit is the number of starts answered within this span. So a start waits about this long, at most, to be
 /// executed.
 const RATE_SPAN: Duration = Duration::from_millis(250);
 
@@ -41,7 +41,7 @@
         self.under_way += 1;
     }
 
-    /// Records the end of a start; `answered` if the worker replied.
+    /// Records that a start is no longer under way; `answered` if the worker replied.
     pub fn on_settled(&mut self, now: Time, answered: bool) {
         self.under_way = self.under_way.saturating_sub(1);
         self.answered += usize::from(answered);
--- a/crates/workflow/src/scheduler/stragglers.rs
+++ b/crates/workflow/src/scheduler/stragglers.rs
@@ -25,7 +25,7 @@
 /// off by a fifth.
 const SLOW_PERCENT: u32 = 180;
 
-/// Added to the time above, since a short task takes this long to start.
+/// Added to [`SLOW_PERCENT`] of the estimate, since a short task takes this long to start.
 const SLOW_MARGIN: Duration = Duration::from_millis(200);
 
 /// A slow task with more progress than this stays, since elsewhere it starts over.
@@ -37,14 +37,15 @@
 /// Minimum run time before a run is judged by its progress: a third of a task of 0.8 s.
 const MIN_JUDGED_RUN_TIME: Duration = Duration::from_millis(220);
 
-/// The same for a task with checkpoints, which makes no progress for up to 250 ms while it resumes.
+/// Minimum run time before a task with checkpoints is judged by its progress; it makes none for up to 250 ms while it
+/// resumes.
 const MIN_RESUMED_RUN_TIME: Duration = Duration::from_millis(600);
 
 /// A run is moved if its remaining time exceeds this share of the whole task's estimate, in percent. Estimates are
 /// off by at most a half; slow workers take four times as long or more.
 const MIN_REMAINING_PERCENT: u32 = 150;
 
-/// Added to the time above, for the stop and the new start.
+/// Added to [`MIN_REMAINING_PERCENT`] of the estimate, for the stop and the new start.
 const MOVE_COST: Duration = Duration::from_millis(150);
 
 /// Maximum number of moves of a task; if it is slow everywhere, its estimate is wrong.
@@ -53,8 +54,8 @@
 /// Minimum span of a speed sample.
 const MIN_SPEED_SPAN: Duration = Duration::from_millis(100);
 
-/// The same as a share of the task's estimate, in percent: progress is in whole percents, so a shorter span is
-/// imprecise.
+/// Minimum span of a speed sample as a share of the task's estimate, in percent: progress is in whole percents, so a
+/// shorter span is imprecise.
 const MIN_SPEED_SPAN_PERCENT: u32 = 8;
 
 /// A worker is slow below this multiple of the expected speed.
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Whether another worker could take a task now.
+    /// Whether another worker could take a task now. Also makes the task avoid its present worker.
     pub(super) fn fits_elsewhere(&mut self, now: Time, id: &WorkerId, task: TaskId) -> bool {
         let Some(step) = self.step(task).cloned() else { return false };
         let Some(workflow) = self.workflows.get(&task.workflow) else { return false };
--- a/crates/workflow/src/scheduler/unreadable_rows.rs
+++ b/crates/workflow/src/scheduler/unreadable_rows.rs
@@ -11,9 +11,9 @@
     std::time::Duration,
 };
 
-/// How long an unreadable end stays unacknowledged, so that the worker lists it again, for about five polls. After
-/// that it is given up and its task counts as ended without success, since a reply holds only 500 ends and later
-/// ones would never be listed.
+/// How long an unreadable end stays unacknowledged, so that the worker lists it again, for about five polls. Then it
+/// no longer delays acknowledgements and its run counts as ended without success, since a reply holds only 500 ends
+/// and later ones would never be listed.
 const END_GIVE_UP_AFTER: Duration = Duration::from_secs(1);
 
 /// How long after a confirmed stop a run has certainly ended, in milliseconds of the worker's clock. Workers take
@@ -39,7 +39,7 @@
     /// Numbers of unreadable ends, in order, and since when there are any.
     unreadable_ends: SmallVec<[u64; 4]>,
     unreadable_ends_since: Option<Time>,
-    /// Unreadable ends up to this number are given up.
+    /// Unreadable ends up to this number no longer delay acknowledgements.
     given_up_to: u64,
 }
 
@@ -79,16 +79,16 @@
     /// acknowledged together with later ends, since a number made up by another writer may be higher than those of
     /// ends to come.
     pub(super) fn skipped_ends(&self, reply: &PollReply) -> impl Iterator<Item = u64> {
-        let (odd, given_up) = (&reply.unreadable, self.given_up_to);
-        let given_up = odd.ends.iter().copied().filter(move |number| *number <= given_up);
-        let skipped = given_up.chain(odd.foreign_ends.iter().copied());
+        let (unreadable, given_up) = (&reply.unreadable, self.given_up_to);
+        let given_up = unreadable.ends.iter().copied().filter(move |number| *number <= given_up);
+        let skipped = given_up.chain(unreadable.foreign_ends.iter().copied());
         skipped.filter(|_| reply.is_full())
     }
 
-    /// The last end, at most `taken`, that may be acknowledged once it is recorded.
-    pub(super) fn max_acknowledgeable_end(&self, taken: u64) -> u64 {
+    /// The last end, at most `ends_processed`, that may be acknowledged once it is recorded.
+    pub(super) fn max_acknowledgeable_end(&self, ends_processed: u64) -> u64 {
         let first = self.unreadable_ends.first();
-        first.map_or(taken, |first| taken.min(first.saturating_sub(1)))
+        first.map_or(ends_processed, |first| ends_processed.min(first.saturating_sub(1)))
     }
 
     /// What the absence of a run means in a reply at the worker's clock `clock_ms` to a poll sent at `sent`.
@@ -107,8 +107,8 @@
             {
                 AbsentRun::Ended
             }
-            // A stop could lose a run behind an unreadable row; without a stop, a run that vanished would block its
-            // task forever. So the stop waits for the lease to lapse.
+            // The run may be in an unreadable row, and a stop would end it. Without a stop, a run that has ended would
+            // block its task forever. So the stop is sent once the lease has lapsed.
             (Phase::Running { clock_ms: confirmed_ms }, Some(since))
                 if clock_ms > confirmed_ms && now.since(since) >= lease =>
             {
--- a/crates/workflow/src/scheduler/waits/budget.rs
+++ b/crates/workflow/src/scheduler/waits/budget.rs
@@ -2,7 +2,7 @@
 
 use {egretlb_types::Time, std::time::Duration};
 
-/// Interval between lines on suppressed lines.
+/// Minimum interval between lines that report how many lines were suppressed.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A token bucket of log lines. Suppressed lines are counted and reported afterwards, so that a
--- a/crates/workflow/src/scheduler/waits/held.rs
+++ b/crates/workflow/src/scheduler/waits/held.rs
@@ -1,5 +1,5 @@
-//! Tasks that are neither queued nor running: a command for them is under way or unconfirmed, or
-//! their worker is unresponsive.
+//! Held tasks: they are neither queued nor running, since a command for them is under way or
+//! unconfirmed, or their worker is unresponsive.
 
 use {
     super::{
@@ -98,7 +98,7 @@
         Some(NotRunning { reason, since, until: None })
     }
 
-    /// Whether a task should run and none of its other attempts is running.
+    /// Whether a task should run and none of its attempts other than `except` is running.
     fn is_wanted_and_down(&self, now: Time, task: TaskId, except: (&WorkerId, RunId)) -> bool {
         let Some(state) = self.task(task) else { return false };
         let is_running = |(id, run): &(WorkerId, RunId)| {
@@ -135,9 +135,9 @@
         Some((not_running.reason, not_running.since))
     }
 
-    /// Sets since when a task whose run is over is down; an earlier time is kept if it was already
-    /// down.
-    pub(super) fn note_down(&mut self, task: TaskId, since: Time) {
+    /// Sets since when a task whose run is over hasn't run. An earlier time is kept if the task has
+    /// no attempts left.
+    pub(super) fn set_down_since(&mut self, task: TaskId, since: Time) {
         if let Some(state) = self.task_mut(task)
             && (!state.attempts.is_empty() || state.down_since.is_none())
         {
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Marks a task whose run never began as down; `since` only applies if it wasn't already.
-    pub(super) fn note_still_down(&mut self, task: TaskId, since: Time) {
+    /// Sets since when a task whose run never began hasn't run, unless that is already set.
+    pub(super) fn set_down_since_if_unset(&mut self, task: TaskId, since: Time) {
         if let Some(state) = self.task_mut(task) {
             state.down_since.get_or_insert(since);
         }
--- a/crates/workflow/src/scheduler/waits/mod.rs
+++ b/crates/workflow/src/scheduler/waits/mod.rs
@@ -1,7 +1,8 @@
 //! Reports why tasks aren't running, in log lines and the state dump.
 //!
-//! The lines are bounded per second: one for each start and end of a run of a long-running task,
-//! one for each step that has waited for long, and one for tasks that a new leader holds back.
+//! The number of lines per second is limited. There is one for each start and end of a run of a
+//! long-running task, one for each step that has waited for long, and one for the tasks that a new
+//! leader doesn't start before all workers have answered.
 
 mod budget;
 mod held;
@@ -12,7 +13,7 @@
 mod term;
 
 use {
-    self::{held::HeldTasks, report::Reports, runs::RunLines, term::InheritedHold},
+    self::{held::HeldTasks, report::WaitReports, runs::RunLines, term::InheritedHold},
     super::{Ready, Scheduler},
     crate::{StepId, WorkerId},
     egretlb_types::Time,
@@ -68,7 +69,7 @@
     pub indices: Vec<u32>,
     /// Whether they are long-running.
     pub long_running: bool,
-    /// How long the first of them hasn't run, as far as this leader knows.
+    /// How long the longest-waiting of them hasn't run, as far as this leader knows.
     pub waited: Duration,
     /// Why they wait; for queued tasks, why the next one isn't running.
     pub reason: Reason,
@@ -83,14 +84,14 @@
 /// State of the log lines on waits.
 #[derive(Debug, Default)]
 pub(super) struct Waits {
-    reports: Reports,
+    reports: WaitReports,
     runs: RunLines,
-    term: InheritedHold,
+    inherited_hold: InheritedHold,
 }
 
 impl Scheduler {
     /// Returns steps with waiting tasks, at most `limit`: queued ones in the order of the queue,
-    /// then those whose tasks are held by a run.
+    /// then those whose tasks aren't queued since a run of them isn't settled.
     pub fn waiting_steps(&mut self, now: Time, limit: usize) -> Vec<WaitingStep> {
         let keys: Vec<Ready> = self.ready.iter().take(limit).copied().collect();
         let mut rows: Vec<WaitingStep> =
--- a/crates/workflow/src/scheduler/waits/queued.rs
+++ b/crates/workflow/src/scheduler/waits/queued.rs
@@ -10,8 +10,8 @@
     smallvec::SmallVec,
 };
 
-/// How far a worker gets through the checks for a task, in their order. The furthest stage of all
-/// workers gives the reason.
+/// The check for a task that a worker fails, in the order of the checks. The latest one that any
+/// worker fails, or `Accepts`, gives the reason of the wait.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum CheckStage {
     NoWorkers,
@@ -125,7 +125,7 @@
         Some(cause)
     }
 
-    /// Returns what excludes the most suitable workers.
+    /// Returns what excludes the workers that pass the most checks.
     fn furthest_stage(&mut self, now: Time, task: TaskId, step: &Step) -> Option<Cause> {
         let requirements = Requirements::new(step, &mut self.colocation);
         let without_anti_affinity = Step { per_worker: 0, ..step.clone() };
@@ -164,7 +164,7 @@
         Some(Cause { reason: best.reason(), workers, until, service_workers: Some(counts) })
     }
 
-    /// Returns how far a worker gets; `None` if it accepts no tasks at all.
+    /// Returns the check that a worker fails; `None` if it accepts no tasks at all.
     fn stage(
         &self,
         now: Time,
--- a/crates/workflow/src/scheduler/waits/reason.rs
+++ b/crates/workflow/src/scheduler/waits/reason.rs
@@ -8,7 +8,7 @@
 pub enum Reason {
     /// This leader is new, and some workers that may still run its tasks haven't answered.
     SurveyUnderWay,
-    /// Reading of the records lags too much to start anything.
+    /// The records are read too late to start anything.
     RecordsReadLate,
     /// It ran before, and no append of this leader was acknowledged recently: there may be another
     /// leader.
@@ -38,8 +38,8 @@
     Company,
     /// It leaves free capacity to batch tasks.
     GivesWay,
-    /// Workers were lost under it, so it needs an isolated start, where nothing else has just
-    /// begun.
+    /// Workers were lost during its runs, so it needs an isolated start, on a worker where nothing
+    /// else was just started.
     Trial,
     /// Members of its gang haven't ended yet, or no worker or rack has free capacity for the whole
     /// gang.
--- a/crates/workflow/src/scheduler/waits/report.rs
+++ b/crates/workflow/src/scheduler/waits/report.rs
@@ -26,14 +26,15 @@
 /// Maximum number of lines per scan.
 const MAX_LINES_PER_SCAN: usize = 10;
 
-/// Interval between lines on waits without a line.
+/// Minimum interval between lines that report how many waits were not logged.
 const SKIPPED_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The waiting tasks of a step: its queued ones (`None`), or those held for a reason.
 type Group = (StepId, Option<Reason>);
 
+/// Which waits were logged, and when.
 #[derive(Debug, Default)]
-pub(super) struct Reports {
+pub(super) struct WaitReports {
     scanned_at: Time,
     logged: BTreeMap<StepId, LoggedWaits>,
     skipped_logged_at: Time,
@@ -47,8 +48,8 @@
     groups: SmallVec<[(Option<Reason>, Time); 2]>,
 }
 
-/// A group whose line is due.
-struct Due {
+/// A group of waiting tasks whose log line is due.
+struct DueLine {
     group: Group,
     /// Its key in the queue; `None` if its tasks are held.
     key: Option<Ready>,
@@ -57,7 +58,7 @@
     since: Time,
 }
 
-impl Reports {
+impl WaitReports {
     fn logged_at(&self, (step, reason): Group) -> Option<Time> {
         let groups = &self.logged.get(&step)?.groups;
         groups.iter().find(|(logged_reason, _)| *logged_reason == reason).map(|(_, at)| *at)
@@ -105,7 +106,7 @@
         self.waits.reports.scanned_at = now;
         let held = self.held_steps(now);
         let mut waiting: BTreeSet<StepId> = held.keys().map(|(step, _)| *step).collect();
-        let mut due: Vec<Due> = Vec::new();
+        let mut due: Vec<DueLine> = Vec::new();
         for ready in &self.ready {
             let step = ready.step_id();
             waiting.insert(step);
@@ -113,14 +114,14 @@
             let (group, long_running) = ((step, None), ready.long_running);
             if self.waits.reports.is_due(now, group, since) {
                 let logged_at = self.waits.reports.logged_at(group);
-                due.push(Due { group, key: Some(*ready), logged_at, long_running, since });
+                due.push(DueLine { group, key: Some(*ready), logged_at, long_running, since });
             }
         }
         for ((step, reason), held) in &held {
             let group = (*step, Some(*reason));
             if self.waits.reports.is_due(now, group, held.since) {
                 let logged_at = self.waits.reports.logged_at(group);
-                due.push(Due {
+                due.push(DueLine {
                     group,
                     key: None,
                     logged_at,
@@ -134,7 +135,7 @@
         due.sort_by_key(|due| (due.logged_at, !due.long_running, due.since));
         let mut written = 0;
         let mut skipped: BTreeSet<StepId> = BTreeSet::new();
-        for Due { group, key, .. } in due {
+        for DueLine { group, key, .. } in due {
             if written == MAX_LINES_PER_SCAN {
                 skipped.insert(group.0);
                 continue;
--- a/crates/workflow/src/scheduler/waits/runs.rs
+++ b/crates/workflow/src/scheduler/waits/runs.rs
@@ -17,8 +17,8 @@
 /// Sustained lines per second, some 4 KB. A lost worker ends some ten long-running tasks.
 const LINES_PER_SECOND: u32 = 20;
 
-/// Lines that first starts leave to ends and restarts, so that a new large service doesn't hide the
-/// end of another.
+/// Lines reserved for ends and restarts: first starts can't use them, so that the start of a large
+/// service doesn't suppress the line on the end of another.
 const RESERVED_LINES: u32 = MAX_BURST_LINES / 2;
 
 /// Why a run was stopped.
@@ -32,10 +32,9 @@
     Maintenance,
     /// It interfered with a latency-critical task over its target.
     Evicted,
-    /// It was throttled beside a latency-critical task for so long that another worker finishes it
-    /// sooner.
+    /// A latency-critical task on its worker has throttled it for long, and another worker can take it.
     Throttled,
-    /// It was moved to a better colocation group.
+    /// It was moved next to latency-critical tasks that tolerate the same best-effort tasks.
     Regrouped,
     /// Its worker is slow.
     Slow,
@@ -43,7 +42,7 @@
     StartUnconfirmed,
     /// Another attempt of its task is done.
     OtherAttemptDone,
-    /// It was found at a worker, but another attempt of its task counts.
+    /// It isn't wanted: its task is done, cancelled, or has another attempt.
     Duplicate,
     /// Its workflow was cancelled or has failed.
     WorkflowEnded,
@@ -102,6 +101,7 @@
     }
 }
 
+/// Rate limit of the lines on starts and ends of runs.
 #[derive(Debug)]
 pub(super) struct RunLines(LineBudget);
 
@@ -184,8 +184,8 @@
             .map(|(_, since)| since);
         match (run_end, not_running) {
             // It has been down since before that start.
-            (RunEnd::NeverBegan, Some((_, placed))) => self.note_still_down(task, placed),
-            _ => self.note_down(task, last_contact.unwrap_or(now)),
+            (RunEnd::NeverBegan, Some((_, placed))) => self.set_down_since_if_unset(task, placed),
+            _ => self.set_down_since(task, last_contact.unwrap_or(now)),
         }
         if !long_running || !self.waits.runs.0.take(now, 0) {
             return;
--- a/crates/workflow/src/scheduler/waits/term.rs
+++ b/crates/workflow/src/scheduler/waits/term.rs
@@ -1,4 +1,5 @@
-//! Log lines on the tasks that a new leader holds back for workers that haven't answered it.
+//! Log lines on the hold of a new leader: it doesn't start inherited tasks before all workers of its
+//! predecessor have answered or the runs there must have lapsed.
 
 use {
     super::{super::Scheduler, Joined, MAX_NAMED, ms},
@@ -8,7 +9,7 @@
     std::time::Duration,
 };
 
-/// Minimum hold that is logged; healthy workers answer within some 30 ms of the beginning of a
+/// Minimum duration of a hold that is logged; healthy workers answer within some 30 ms of the beginning of a
 /// term.
 const MIN_LOGGED_HOLD: Duration = Duration::from_millis(300);
 
@@ -26,8 +27,8 @@
             self.log_release(now);
             return;
         }
-        let began = *self.waits.term.began.get_or_insert(now);
-        if self.waits.term.named.is_some() || now.since(began) < MIN_LOGGED_HOLD {
+        let began = *self.waits.inherited_hold.began.get_or_insert(now);
+        if self.waits.inherited_hold.named.is_some() || now.since(began) < MIN_LOGGED_HOLD {
             return;
         }
         let named: SmallVec<[WorkerId; MAX_NAMED]> =
@@ -40,12 +41,12 @@
             epoch:% = self.epoch, held_ms, unanswered, workers:%, at_most_ms = ms(until);
             "inherited_work_held"
         );
-        self.waits.term.named = Some(named);
+        self.waits.inherited_hold.named = Some(named);
     }
 
     fn log_release(&mut self, now: Time) {
-        let Some(began) = self.waits.term.began.take() else { return };
-        let Some(named) = self.waits.term.named.take() else { return };
+        let Some(began) = self.waits.inherited_hold.began.take() else { return };
+        let Some(named) = self.waits.inherited_hold.named.take() else { return };
         let unreconciled =
             |id: &WorkerId| self.workers.get(id).is_none_or(|worker| !worker.reconciled);
         let unreconciled: SmallVec<[WorkerId; MAX_NAMED]> =
