--- a/crates/workflow/src/scheduler/active_workflow.rs
+++ b/crates/workflow/src/scheduler/active_workflow.rs
@@ -77,7 +77,7 @@
     /// Indices of tasks that wait for a worker.
     pub(crate) queue: VecDeque<u32>,
     /// Since when `queue` has been non-empty.
-    pub(crate) since: Time,
+    pub(crate) queue_since: Time,
     /// All steps before it are done.
     pub(crate) open: bool,
     /// The last search of workers for its tasks, if it found none.
@@ -116,7 +116,7 @@
     pub(crate) complete: BTreeSet<u32>,
     pub(crate) occurrences: BTreeMap<u32, Occurrence>,
     /// Number of the first occurrence that isn't due yet.
-    pub(crate) next: u32,
+    pub(crate) next_occurrence: u32,
     /// Completion target, in milliseconds since 1970.
     pub(crate) due_ms: u64,
 }
@@ -138,7 +138,7 @@
             complete_below: *complete_below,
             complete: complete.iter().copied().collect(),
             occurrences: BTreeMap::new(),
-            next: *complete_below,
+            next_occurrence: *complete_below,
         };
         for progress in occurrences {
             let occurrence = active.new_occurrence(Some(progress));
--- a/crates/workflow/src/scheduler/candidates.rs
+++ b/crates/workflow/src/scheduler/candidates.rs
@@ -47,6 +47,7 @@
         })
     }
 
+    /// Adds a demand that fit no other worker.
     pub(super) fn note(&mut self, now: Time, service: CompactString, step: &Step) {
         self.demands.push((now, service, step.clone()));
     }
@@ -61,6 +62,7 @@
 }
 
 impl ContactLog {
+    /// Adds a worker that replied or changed.
     pub(super) fn note(&mut self, id: &WorkerId) {
         self.ids.push_back(id.clone());
         if self.ids.len() > MAX_CONTACTS {
--- a/crates/workflow/src/scheduler/isolated_start.rs
+++ b/crates/workflow/src/scheduler/isolated_start.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum IsolatedStart {
     /// The task may start on this worker now.
-    At(WorkerId),
+    Now(WorkerId),
     /// The task has to wait: workers have free capacity, but none is ready for an isolated start.
     Later,
     /// No worker has free capacity.
@@ -122,7 +122,7 @@
             return Some(IsolatedStart::Later);
         }
         match (past_crash_window, now < worker.reserved_until) {
-            (true, _) => Some(IsolatedStart::At(id)),
+            (true, _) => Some(IsolatedStart::Now(id)),
             (false, true) => Some(IsolatedStart::Later),
             (false, false) => None,
         }
@@ -132,7 +132,7 @@
     fn is_recorded(&self, task: TaskId) -> bool {
         let append = self.pending_append.as_ref();
         !self.lost_workers.has_unrecorded_crash_state(task.workflow)
-            && !append.is_some_and(|recording| recording.has_crashes_of(task.workflow))
+            && !append.is_some_and(|append| append.has_crashes_of(task.workflow))
     }
 
     fn reserve_worker(&mut self, now: Time, id: &WorkerId) {
--- a/crates/workflow/src/scheduler/lost_workers.rs
+++ b/crates/workflow/src/scheduler/lost_workers.rs
@@ -34,9 +34,9 @@
 /// run in its crash window replies every 250 ms.
 const MAX_LATER_CONTACT: Duration = Duration::from_millis(400);
 
-/// After this long without a reply, the runs in their crash window on a worker are recorded, since it may have
-/// crashed. Such a worker is polled every 250 ms.
-const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(1);
+/// After this long without a reply from a worker, the runs in their crash window there are announced, since it may
+/// have crashed. Such a worker is polled every 250 ms.
+const ANNOUNCE_AFTER: Duration = Duration::from_secs(1);
 
 /// After this long without a reply a worker counts as probably lost.
 const PROBABLY_LOST_AFTER: Duration = Duration::from_secs(2);
@@ -86,7 +86,8 @@
     clearable_crashes: BTreeMap<WorkerId, (Time, Vec<(TaskId, RunId)>)>,
     /// Recently lost workers.
     recent: VecDeque<LostWorker>,
-    /// Workflows with a crash or an announced run that is neither in the store nor part of the append under way.
+    /// Workflows with a crash, or a run announced for an isolated start, that is neither in the store nor part of the
+    /// append under way.
     unrecorded_crash_state: BTreeSet<WorkflowId>,
 }
 
@@ -307,10 +308,9 @@
     /// Announces the runs in their crash window on unresponsive workers: they are recorded, so that a crash is counted
     /// even if the leader changes before the loss of the worker is certain.
     pub(super) fn announce_runs_on_unresponsive(&mut self, now: Time) {
-        let is_unresponsive = |worker: &Worker| {
-            worker.last_contact.is_some_and(|at| now.since(at) >= UNRESPONSIVE_AFTER)
-        };
-        let unresponsive = self.workers.iter().filter(|(_, worker)| is_unresponsive(worker));
+        let has_not_replied =
+            |worker: &Worker| worker.last_contact.is_some_and(|at| now.since(at) >= ANNOUNCE_AFTER);
+        let unresponsive = self.workers.iter().filter(|(_, worker)| has_not_replied(worker));
         let runs: Vec<(WorkerId, TaskId, RunId)> = unresponsive
             .flat_map(|(id, worker)| {
                 worker.runs_in_crash_window().map(|(task, run)| (id.clone(), task, run))
--- a/crates/workflow/src/scheduler/maintenance/mod.rs
+++ b/crates/workflow/src/scheduler/maintenance/mod.rs
@@ -43,7 +43,7 @@
             return;
         }
         log::info!(wave = number, vms = wave.vms.len(), cap = wave.max_down; "wave_begins");
-        let mut run = ActiveWave {
+        let mut active = ActiveWave {
             deadline: now + wave.within,
             wave,
             stages: BTreeMap::new(),
@@ -52,13 +52,13 @@
         if let Some(progress) = ledger.wave(number) {
             for (vm, worker) in &progress.requested {
                 let stage = Stage::Requested { worker: worker.clone(), sent: None, retry_at: now };
-                run.stages.insert(vm.clone(), stage);
+                active.stages.insert(vm.clone(), stage);
             }
             for vm in &progress.finished {
-                run.stages.insert(vm.clone(), Stage::Finished);
+                active.stages.insert(vm.clone(), Stage::Finished);
             }
         }
-        self.maintenance.waves.insert(number, run);
+        self.maintenance.waves.insert(number, active);
     }
 
     /// Handles a listing of the VMs that was requested at `sent`; `None` if it failed.
@@ -86,8 +86,8 @@
         result: MaintenanceResult,
         out: &mut Vec<Effect>,
     ) {
-        let Some(run) = self.maintenance.waves.get_mut(&number) else { return };
-        let Some(stage @ Stage::Requested { .. }) = run.stages.get_mut(vm) else { return };
+        let Some(active) = self.maintenance.waves.get_mut(&number) else { return };
+        let Some(stage @ Stage::Requested { .. }) = active.stages.get_mut(vm) else { return };
         let Stage::Requested { worker, .. } = stage else { return };
         let worker = worker.clone();
         log::info!(wave = number, vm:%, result:?; "upkeep_ordered");
@@ -112,10 +112,10 @@
 
     /// Handles whether a reported wave state was stored.
     pub fn on_wave_reported(&mut self, number: u64, state: WaveState, stored: bool) {
-        if let Some(run) = self.maintenance.waves.get_mut(&number)
-            && run.reported == Some((state, false))
+        if let Some(active) = self.maintenance.waves.get_mut(&number)
+            && active.reported == Some((state, false))
         {
-            run.reported = stored.then_some((state, true));
+            active.reported = stored.then_some((state, true));
         }
     }
 
@@ -129,11 +129,15 @@
         if self.maintenance.waves.is_empty() {
             return;
         }
-        let mut by_deadline: Vec<(Time, u64)> =
-            self.maintenance.waves.iter().map(|(number, run)| (run.deadline, *number)).collect();
+        let mut by_deadline: Vec<(Time, u64)> = self
+            .maintenance
+            .waves
+            .iter()
+            .map(|(number, active)| (active.deadline, *number))
+            .collect();
         by_deadline.sort_unstable();
-        let open = self.maintenance.waves.values().any(|run| !run.is_finished());
-        self.request_listing(now, open, out);
+        let unfinished = self.maintenance.waves.values().any(|active| !active.is_finished());
+        self.request_listing(now, unfinished, out);
         for (_, number) in by_deadline {
             self.mark_finished(number);
             self.start_draining(now, number);
@@ -143,9 +147,10 @@
         }
     }
 
-    fn request_listing(&mut self, now: Time, open: bool, out: &mut Vec<Effect>) {
-        let fresh = self.maintenance.listed_at.is_some_and(|at| now.since(at) < LIST_INTERVAL);
-        if open && !fresh && self.maintenance.listing_requested_at.is_none() {
+    fn request_listing(&mut self, now: Time, unfinished: bool, out: &mut Vec<Effect>) {
+        let listed_recently =
+            self.maintenance.listed_at.is_some_and(|at| now.since(at) < LIST_INTERVAL);
+        if unfinished && !listed_recently && self.maintenance.listing_requested_at.is_none() {
             self.maintenance.listing_requested_at = Some(now);
             out.push(Effect::ListVms);
         }
@@ -156,10 +161,10 @@
         let Maintenance { waves, vms, listing_complete, listed_at, dirty, .. } =
             &mut self.maintenance;
         let listing_complete = *listing_complete;
-        let (Some(listed_at), Some(run)) = (*listed_at, waves.get_mut(&number)) else { return };
-        for vm in &run.wave.vms {
+        let (Some(listed_at), Some(active)) = (*listed_at, waves.get_mut(&number)) else { return };
+        for vm in &active.wave.vms {
             let entry = vms.get(vm);
-            let stage = run.stages.get(vm);
+            let stage = active.stages.get(vm);
             let done = match (stage, entry) {
                 (Some(Stage::Finished), _) => false,
                 // An unconfirmed request may still take down a VM that isn't listed now.
@@ -173,7 +178,7 @@
             };
             if done {
                 log::info!(wave = number, vm:%; "upkeep_finished");
-                run.stages.insert(vm.clone(), Stage::Finished);
+                active.stages.insert(vm.clone(), Stage::Finished);
                 dirty.insert(number);
             }
         }
@@ -182,10 +187,11 @@
     /// Starts draining the next VMs, as many as may be down.
     fn start_draining(&mut self, now: Time, number: u64) {
         let Maintenance { waves, vms, .. } = &mut self.maintenance;
-        let Some(run) = waves.get_mut(&number) else { return };
-        let slots = (run.wave.max_down as usize).saturating_sub(run.down() + run.draining());
+        let Some(active) = waves.get_mut(&number) else { return };
+        let slots =
+            (active.wave.max_down as usize).saturating_sub(active.down() + active.draining());
         let mut next: Vec<(usize, VmId, WorkerId)> = Vec::new();
-        for vm in run.wave.vms.iter().filter(|vm| !run.stages.contains_key(*vm)) {
+        for vm in active.wave.vms.iter().filter(|vm| !active.stages.contains_key(*vm)) {
             let Some(entry) = vms.get(vm).filter(|entry| entry.state == VmState::Up) else {
                 continue;
             };
@@ -196,13 +202,13 @@
         next.sort();
         for (_, vm, worker) in next.into_iter().take(slots) {
             log::info!(wave = number, vm:%, worker:%; "vm_emptied");
-            run.stages.insert(vm, Stage::Draining { worker, since: now });
+            active.stages.insert(vm, Stage::Draining { worker, since: now });
         }
     }
 
     fn drain(&mut self, now: Time, number: u64, out: &mut Vec<Effect>) {
-        let Some(run) = self.maintenance.waves.get(&number) else { return };
-        let draining: Vec<(VmId, WorkerId, Time)> = run
+        let Some(active) = self.maintenance.waves.get(&number) else { return };
+        let draining: Vec<(VmId, WorkerId, Time)> = active
             .stages
             .iter()
             .filter_map(|(vm, stage)| match stage {
@@ -210,16 +216,16 @@
                 _ => None,
             })
             .collect();
-        let (deadline, vm_count) = (run.deadline, run.wave.vms.len().max(1) as u32);
+        let (deadline, vm_count) = (active.deadline, active.wave.vms.len().max(1) as u32);
         for (vm, worker, since) in draining {
             self.stop_movable(now, &worker, out);
             // The time until the deadline is divided among all VMs of the wave.
             let time_share = deadline.since(since) / vm_count;
             let timed_out = now.since(since) >= DRAIN_TIMEOUT.min(time_share);
             if self.may_go_down(now, &worker, timed_out)
-                && let Some(run) = self.maintenance.waves.get_mut(&number)
+                && let Some(active) = self.maintenance.waves.get_mut(&number)
             {
-                run.stages.insert(vm, Stage::Recording { worker: Some(worker) });
+                active.stages.insert(vm, Stage::Recording { worker: Some(worker) });
                 self.maintenance.dirty.insert(number);
             }
         }
@@ -285,8 +291,8 @@
     /// Sends the recorded requests that are due.
     fn send_requests(&mut self, now: Time, number: u64, out: &mut Vec<Effect>) {
         let epoch = self.epoch;
-        let Some(run) = self.maintenance.waves.get_mut(&number) else { return };
-        for (vm, stage) in &mut run.stages {
+        let Some(active) = self.maintenance.waves.get_mut(&number) else { return };
+        for (vm, stage) in &mut active.stages {
             let Stage::Requested { sent, retry_at, .. } = stage else { continue };
             if sent.is_none() && now >= *retry_at {
                 *sent = Some(now);
@@ -296,11 +302,11 @@
     }
 
     fn report_progress(&mut self, number: u64, out: &mut Vec<Effect>) {
-        let Some(run) = self.maintenance.waves.get_mut(&number) else { return };
-        let finished = run.is_finished() && !self.maintenance.dirty.contains(&number);
+        let Some(active) = self.maintenance.waves.get_mut(&number) else { return };
+        let finished = active.is_finished() && !self.maintenance.dirty.contains(&number);
         let state = if finished { WaveState::Completed } else { WaveState::Running };
-        if run.reported.is_none_or(|(reported, _)| reported != state) {
-            run.reported = Some((state, false));
+        if active.reported.is_none_or(|(reported, _)| reported != state) {
+            active.reported = Some((state, false));
             out.push(Effect::ReportWave { wave: number, state });
         }
     }
--- a/crates/workflow/src/scheduler/maintenance/stages.rs
+++ b/crates/workflow/src/scheduler/maintenance/stages.rs
@@ -110,7 +110,7 @@
             | Stage::Down { worker, .. } => worker.as_ref() == Some(id),
             Stage::Finished => false,
         };
-        self.waves.values().any(|run| run.stages.values().any(involves_worker))
+        self.waves.values().any(|active| active.stages.values().any(involves_worker))
     }
 
     /// Takes the progress to be recorded, by wave.
@@ -138,9 +138,9 @@
         recorded: &[(u64, WaveProgress)],
     ) {
         for (number, progress) in recorded {
-            let Some(run) = self.waves.get_mut(number) else { continue };
+            let Some(active) = self.waves.get_mut(number) else { continue };
             for (vm, worker) in &progress.requested {
-                if let Some(stage @ Stage::Recording { .. }) = run.stages.get_mut(vm) {
+                if let Some(stage @ Stage::Recording { .. }) = active.stages.get_mut(vm) {
                     let worker = worker.clone();
                     *stage = Stage::Requested { worker, sent: None, retry_at: now };
                 }
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -135,7 +135,7 @@
     /// When regrouping last scanned latency-critical tasks for a better worker.
     regrouped_at: Time,
     /// Which block of workers the last regrouping pass scanned.
-    regroup_turn: usize,
+    regroup_block: usize,
     start_window: StartWindow,
     /// Workers that replied or changed recently; a step that found no worker searches only these again.
     contacts: candidates::ContactLog,
@@ -236,7 +236,7 @@
             maintenance: maintenance::Maintenance::default(),
             best_effort_wait: Duration::ZERO,
             regrouped_at: now,
-            regroup_turn: 0,
+            regroup_block: 0,
             start_window: StartWindow::new(now),
             contacts: candidates::ContactLog::default(),
             failed_searches: candidates::FailedSearches::default(),
@@ -335,7 +335,7 @@
             self.log_given_up(id);
             self.end_workflow(now, id, Outcome::Failed, out);
         }
-        self.begin_due(now);
+        self.begin_due_occurrences(now);
         if scan_due {
             self.evacuate(now, out);
             self.resend_stops(now, out);
--- a/crates/workflow/src/scheduler/placement.rs
+++ b/crates/workflow/src/scheduler/placement.rs
@@ -97,7 +97,7 @@
             }
             let worker = if self.is_suspect(task) {
                 match self.choose_isolated(now, task, service, &requirements) {
-                    IsolatedStart::At(worker) => Some(worker),
+                    IsolatedStart::Now(worker) => Some(worker),
                     IsolatedStart::Later if !found_only && self.move_unsuspected_to_front(key) => {
                         continue;
                     }
@@ -163,7 +163,7 @@
         let workflow = self.workflows.get(&id.workflow);
         let occurrence = workflow.and_then(|workflow| workflow.occurrences.get(&id.occurrence));
         let step = occurrence.and_then(|occurrence| occurrence.steps.get(usize::from(id.step)));
-        step.map_or(Duration::ZERO, |step| now.since(step.since))
+        step.map_or(Duration::ZERO, |step| now.since(step.queue_since))
     }
 
     /// The first waiting task of a step. Drops queued tasks that reconciliation found done or running.
@@ -411,7 +411,8 @@
 /// Interference assumed for an image with few samples; higher than any estimate.
 const PROBED_INTERFERENCE: u32 = 1_000;
 
-/// Granularity at which acceptance, a share of the best-effort demand, is compared.
+/// Granularity at which acceptance is compared: the share of the best-effort demand that the latency-critical tasks of
+/// a worker tolerate.
 const ACCEPTANCE_UNIT: f32 = 0.1;
 
 /// Maximum best-effort capacity that a latency-critical task may reduce without waiting, in units of
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -104,9 +104,9 @@
                 || worker.attempts.values().any(|attempt| unsettled(&attempt.phase));
             let colocated =
                 worker.latency_critical > 0 && (worker.best_effort > 0 || worker.over_target);
-            let fresh = worker.is_reserved(now)
+            let polls_often = worker.is_reserved(now)
                 || worker.attempts.values().any(|attempt| attempt.is_too_recent_to_judge(now));
-            let wait = match (urgent, busy, fresh, colocated) {
+            let wait = match (urgent, busy, polls_often, colocated) {
                 (true, ..) | (_, false, ..) => Duration::ZERO,
                 (false, true, true, _) => NEW_TASK_WAIT,
                 (false, true, false, true) => SAMPLE_WAIT,
--- a/crates/workflow/src/scheduler/preempt.rs
+++ b/crates/workflow/src/scheduler/preempt.rs
@@ -40,7 +40,7 @@
         let step_state = workflow.occurrences.get(&key.occurrence);
         let step_state =
             step_state.and_then(|occurrence| occurrence.steps.get(usize::from(key.step)));
-        step_state.is_some_and(|step| now.since(step.since) < DEFER_FOR)
+        step_state.is_some_and(|step| now.since(step.queue_since) < DEFER_FOR)
     }
 
     /// Stops long-running tasks for a step that fits no worker, unless stops under way already free enough CPU.
--- a/crates/workflow/src/scheduler/queue.rs
+++ b/crates/workflow/src/scheduler/queue.rs
@@ -42,8 +42,10 @@
     }
 
     /// Begins the due occurrences of all workflows.
-    pub(super) fn begin_due(&mut self, now: Time) {
-        let due = |active: &ActiveWorkflow| active.next < active.submission.workflow.occurrences();
+    pub(super) fn begin_due_occurrences(&mut self, now: Time) {
+        let due = |active: &ActiveWorkflow| {
+            active.next_occurrence < active.submission.workflow.occurrences()
+        };
         let ids: Vec<WorkflowId> =
             self.workflows.iter().filter(|(_, active)| due(active)).map(|(id, _)| *id).collect();
         for id in ids {
@@ -54,12 +56,12 @@
     /// Begins the occurrences of a workflow that are due by wall-clock time.
     pub(super) fn begin_occurrences(&mut self, now: Time, id: WorkflowId) {
         while let Some(active) = self.workflows.get_mut(&id) {
-            let number = active.next;
+            let number = active.next_occurrence;
             let more = number < active.submission.workflow.occurrences();
             if active.outcome.is_some() || !more || active.due_at(number) > self.wall_ms {
                 return;
             }
-            active.next += 1;
+            active.next_occurrence += 1;
             if active.complete.contains(&number) || active.occurrences.contains_key(&number) {
                 continue;
             }
@@ -91,7 +93,7 @@
             state.queue = pending.map(|(index, _)| index).collect();
             if !state.queue.is_empty() {
                 let long_running = steps[usize::from(step_no)].long_running;
-                state.since = now;
+                state.queue_since = now;
                 self.ready.insert(Ready {
                     priority,
                     long_running,
@@ -175,7 +177,7 @@
             return;
         }
         if step.queue.is_empty() {
-            step.since = now;
+            step.queue_since = now;
         }
         step.queue.push_front(task.index);
         let long_running = active.submission.workflow.steps[usize::from(task.step)].long_running;
--- a/crates/workflow/src/scheduler/reconciliation.rs
+++ b/crates/workflow/src/scheduler/reconciliation.rs
@@ -33,7 +33,7 @@
             let mut worker = Worker::new(now, placeholder(entry));
             worker.in_directory = false;
             worker.in_roster = true;
-            worker.lease_bound = self.lapse_bound(now, roster, &entry.state);
+            worker.lease_bound = self.inherited_lease_bound(now, roster, &entry.state);
             worker.listed_draining = matches!(entry.state, RosterState::Draining { .. });
             worker.listed_unresponsive = matches!(
                 entry.state,
@@ -109,7 +109,12 @@
     }
 
     /// When all runs that earlier leaders started at a worker must have lapsed.
-    fn lapse_bound(&self, now: Time, roster: &Roster, roster_state: &RosterState) -> Time {
+    fn inherited_lease_bound(
+        &self,
+        now: Time,
+        roster: &Roster,
+        roster_state: &RosterState,
+    ) -> Time {
         let max_lease = self.limits.lease_bound();
         // If the last leader wrote no roster, it is unknown which of its predecessors can still
         // send commands. All of them lose their authority within this time after the last leader's
--- a/crates/workflow/src/scheduler/recording.rs
+++ b/crates/workflow/src/scheduler/recording.rs
@@ -89,29 +89,29 @@
         if !heartbeat_due && !due {
             return;
         }
-        let mut recording = PendingAppend::default();
+        let mut append = PendingAppend::default();
         let mut records = Vec::new();
-        let partial = self.record_progress(&mut recording, &mut records);
+        let partial = self.record_progress(&mut append, &mut records);
         if !partial {
-            recording.ends = self
+            append.ends = self
                 .workers
                 .iter()
                 .filter(|(_, worker)| worker.max_acknowledgeable_end() > worker.ends_recorded)
                 .map(|(id, worker)| (id.clone(), worker.max_acknowledgeable_end()))
                 .collect();
         }
-        recording.waves = self.maintenance.take_dirty();
-        for (number, progress) in &recording.waves {
+        append.waves = self.maintenance.take_dirty();
+        for (number, progress) in &append.waves {
             records.push(Record::new(Key::Wave(*number), progress));
         }
-        self.record_roster(now, &mut recording, &mut records);
+        self.record_roster(now, &mut append, &mut records);
         self.drop_old_records(now, &mut records);
         self.record_model(now, &mut records);
         let rewritten = self.records_to_rewrite.len().min(MAX_REWRITTEN_PER_APPEND);
         records.extend(self.records_to_rewrite.drain(..rewritten));
         self.append_requested = false;
         self.append_sent_at = now;
-        self.pending_append = Some(recording);
+        self.pending_append = Some(append);
         out.push(Effect::Record { records });
     }
 
@@ -128,20 +128,14 @@
     }
 
     /// Adds the progress of changed workflows to `records`. Returns whether some are left for the next append.
-    fn record_progress(
-        &mut self,
-        recording: &mut PendingAppend,
-        records: &mut Vec<Record>,
-    ) -> bool {
+    fn record_progress(&mut self, append: &mut PendingAppend, records: &mut Vec<Record>) -> bool {
         let mut bytes = 0;
         while let Some(id) = self.dirty.pop_first() {
-            recording
-                .crashes
-                .extend(self.lost_workers.take_unrecorded_crash_state(id).then_some(id));
+            append.crashes.extend(self.lost_workers.take_unrecorded_crash_state(id).then_some(id));
             let Some(active) = self.workflows.get(&id) else { continue };
             let record = Record::new(Key::Progress(id), &active.progress());
             if active.outcome.is_some() {
-                recording.ended.push(id);
+                append.ended.push(id);
             }
             bytes += record.size();
             records.push(record);
@@ -152,12 +146,7 @@
         false
     }
 
-    fn record_roster(
-        &mut self,
-        now: Time,
-        recording: &mut PendingAppend,
-        records: &mut Vec<Record>,
-    ) {
+    fn record_roster(&mut self, now: Time, append: &mut PendingAppend, records: &mut Vec<Record>) {
         if !self.roster_dirty || !self.may_write_roster(now) {
             return;
         }
@@ -184,7 +173,7 @@
                 }
                 RosterState::Open | RosterState::Unreconciled { .. } => 0,
             };
-            recording.roster.push(ListedWorker { id: entry.id.clone(), unresponsive, draining });
+            append.roster.push(ListedWorker { id: entry.id.clone(), unresponsive, draining });
         }
         let roster = Roster { epoch: self.epoch, entries };
         records.push(Record::new(Key::Roster, &roster));
@@ -217,22 +206,22 @@
 
     /// Handles the success of the append under way.
     pub fn on_recorded(&mut self, now: Time) {
-        let Some(recording) = self.pending_append.take() else { return };
+        let Some(append) = self.pending_append.take() else { return };
         self.last_acked_append = Some(self.append_sent_at);
-        self.maintenance.on_recorded(now, &recording.waves);
-        for (id, number) in recording.ends {
+        self.maintenance.on_recorded(now, &append.waves);
+        for (id, number) in append.ends {
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.ends_recorded = worker.ends_recorded.max(number);
             }
         }
-        for ListedWorker { id, unresponsive, draining } in recording.roster {
+        for ListedWorker { id, unresponsive, draining } in append.roster {
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.in_roster = true;
                 worker.listed_unresponsive = unresponsive;
                 worker.listed_draining = draining;
             }
         }
-        for id in recording.ended {
+        for id in append.ended {
             self.workflows.remove(&id);
             self.ended.push((now, id));
         }
--- a/crates/workflow/src/scheduler/regroup.rs
+++ b/crates/workflow/src/scheduler/regroup.rs
@@ -38,12 +38,12 @@
 impl Scheduler {
     /// Stops up to two latency-critical tasks per service that fit better elsewhere; they restart at once.
     pub(super) fn regroup(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let turns = self.workers.len().div_ceil(MAX_WORKERS_PER_PASS).max(1);
-        let interval = REGROUP_INTERVAL / u32::try_from(turns).unwrap_or(u32::MAX);
+        let blocks = self.workers.len().div_ceil(MAX_WORKERS_PER_PASS).max(1);
+        let interval = REGROUP_INTERVAL / u32::try_from(blocks).unwrap_or(u32::MAX);
         if now.since(self.regrouped_at) < interval || self.best_effort_wait < MIN_BEST_EFFORT_WAIT {
             return;
         }
-        self.regroup_turn = (self.regroup_turn + 1) % turns;
+        self.regroup_block = (self.regroup_block + 1) % blocks;
         self.regrouped_at = now;
         let services: BTreeSet<CompactString> =
             self.workers.values().map(|worker| worker.info.service.clone()).collect();
@@ -66,13 +66,13 @@
         let eligible = |worker: &Worker| {
             worker.info.service == *service && worker.accepts_work(now, &self.limits)
         };
-        let turn = self
+        let block = self
             .workers
             .iter()
-            .skip(self.regroup_turn * MAX_WORKERS_PER_PASS)
+            .skip(self.regroup_block * MAX_WORKERS_PER_PASS)
             .take(MAX_WORKERS_PER_PASS);
         let workers: Vec<(&WorkerId, &Worker)> =
-            turn.filter(|(_, worker)| eligible(worker)).collect();
+            block.filter(|(_, worker)| eligible(worker)).collect();
         let hosts: Vec<Host> = workers.iter().map(|(_, worker)| host(worker)).collect();
         let (mut movable, mut candidates) = (Vec::new(), Vec::new());
         for (index, (id, worker)) in workers.iter().enumerate() {
--- a/crates/workflow/src/scheduler/waits/held.rs
+++ b/crates/workflow/src/scheduler/waits/held.rs
@@ -119,7 +119,7 @@
         let occurrence = self.workflows.get(&workflow)?.occurrences.get(&occurrence)?;
         let step = occurrence.steps.get(usize::from(step))?;
         // A task that has never run has waited since its step was queued.
-        Some(step.tasks.get(task.index as usize)?.down_since.unwrap_or(step.since))
+        Some(step.tasks.get(task.index as usize)?.down_since.unwrap_or(step.queue_since))
     }
 
     /// Returns why a run isn't known to be running, and since when.
--- a/crates/workflow/src/scheduler/worker.rs
+++ b/crates/workflow/src/scheduler/worker.rs
@@ -260,7 +260,7 @@
     }
 
     /// Returns the end of a lease of `span` from now on the worker's clock, or `None` if its clock
-    /// is unknown. The caller must send the lease, since from here on runs there count as renewed.
+    /// is unknown. The caller must send the lease: `lease_bound` already includes it.
     pub(crate) fn lease_until(
         &mut self,
         now: Time,
