--- a/crates/workflow/src/scheduler/candidates.rs
+++ b/crates/workflow/src/scheduler/candidates.rs
@@ -173,7 +173,7 @@
     ) -> Vec<Candidate> {
         let needs_ticket = self.advice_terms(task.step_id()).is_some();
         let candidate = |(id, worker): (&WorkerId, &Worker)| {
-            // The cheap check of free capacity comes first, since most workers are full.
+            // Free capacity is checked first, since most workers are full.
             let eligible = meets_requirements(worker, task, requirements)
                 && worker.accepts_work(now, &self.limits);
             let eligible = eligible && (!needs_ticket || self.is_allowed(now, task, id));
--- a/crates/workflow/src/scheduler/isolated_start.rs
+++ b/crates/workflow/src/scheduler/isolated_start.rs
@@ -17,7 +17,8 @@
 /// Number of workers of a service per worker reserved at a time, so that most stay open to other tasks.
 const WORKERS_PER_RESERVATION: usize = 4;
 
-/// How long a worker is reserved before an isolated start: runs there pass [`CRASH_WINDOW`], and two polls confirm it.
+/// How long a worker is reserved before an isolated start: runs there outlast [`CRASH_WINDOW`], and two polls confirm
+/// it.
 const RESERVATION_SPAN: Duration = Duration::from_secs(1);
 
 /// A reserved worker, polled every 250 ms, has probably crashed after this long without a reply.
--- a/crates/workflow/src/scheduler/maintenance/mod.rs
+++ b/crates/workflow/src/scheduler/maintenance/mod.rs
@@ -1,5 +1,5 @@
-//! Maintenance waves: drains VMs and takes them down one after the other before the deadline, up to
-//! a maximum number at a time.
+//! Maintenance waves: drains VMs and takes them down before the deadline, with a maximum number of
+//! VMs down at a time.
 //!
 //! A VM that is about to go down gets no new tasks, movable tasks are moved, and batch tasks may
 //! finish; what still runs when it goes down is lost. Steps limit how many of their tasks may be
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -174,7 +174,7 @@
     pub given_up: u64,
     /// Long-running tasks stopped for batch tasks.
     pub preempted: u64,
-    /// Best-effort tasks stopped for a latency-critical task over its target.
+    /// Best-effort tasks stopped for a latency-critical task over its target, or moved since they were throttled.
     pub evicted: u64,
     /// Changes of pace of best-effort tasks.
     pub paced: u64,
--- a/crates/workflow/src/scheduler/placement.rs
+++ b/crates/workflow/src/scheduler/placement.rs
@@ -416,7 +416,7 @@
 const ACCEPTANCE_UNIT: f32 = 0.1;
 
 /// Maximum best-effort capacity that a latency-critical task may reduce without waiting, in units of
-/// [`CAPACITY_UNIT_MILLICORES`]. Otherwise it first waits [`BETTER_WORKER_WAIT`], since it runs for a minute or longer.
+/// [`CAPACITY_UNIT_MILLICORES`]. For more, it first waits [`BETTER_WORKER_WAIT`], since it runs for a minute or longer.
 const MAX_LOST_CAPACITY_UNITS: i64 = 1;
 
 /// How long a latency-critical task waits for a worker where it costs less best-effort capacity; below the platform's
--- a/crates/workflow/src/scheduler/restore.rs
+++ b/crates/workflow/src/scheduler/restore.rs
@@ -1,4 +1,4 @@
-//! Rewrites records that were replaced in the store by ones that this version can't read.
+//! Rewrites records that were replaced in the store by unreadable ones.
 //!
 //! Running processes keep the former record, but one that starts later reads only the newest record
 //! of each key: it wouldn't know the workflow, or would run finished tasks again. So the leader,
