--- a/crates/workflow/src/scheduler/advice.rs
+++ b/crates/workflow/src/scheduler/advice.rs
@@ -6,7 +6,7 @@
 //! tasks of the step. Steps that need no ticket are placed meanwhile.
 
 use {
-    super::{Effect, Ready, Requirements, Scheduler},
+    super::{Effect, QueuedStep, Requirements, Scheduler},
     crate::{AdviceTerms, StepId, TaskId, WorkerId, WorkflowId},
     compact_str::CompactString,
     egretlb_types::Time,
@@ -108,7 +108,7 @@
     }
 
     /// Queues a query for more tickets if a step that found no worker needs them; returns whether it does.
-    pub(super) fn queue_ticket_query(&mut self, key: Ready) -> bool {
+    pub(super) fn queue_ticket_query(&mut self, key: QueuedStep) -> bool {
         let step = StepId { workflow: key.workflow, occurrence: key.occurrence, step: key.step };
         let needs_ticket = self.advice_terms(step).is_some();
         if needs_ticket {
--- a/crates/workflow/src/scheduler/audit.rs
+++ b/crates/workflow/src/scheduler/audit.rs
@@ -1,12 +1,12 @@
 //! Detects stranded tasks, a fault of the scheduler.
 //!
-//! A task whose step is open is either queued, with its step in the ready set, or has runs that are
-//! known at their workers, where a reply or the end of a lease decides them. A task in neither state
-//! is stranded: it would never be started again.
+//! A task whose step is open is either queued, with its step among the queued steps, or has runs
+//! that are known at their workers, where a reply or the end of a lease decides them. A task in
+//! neither state is stranded: it would never be started again.
 
 use {
     super::{
-        Ready, Scheduler,
+        QueuedStep, Scheduler,
         active_workflow::{ActiveWorkflow, StepState, TaskState},
     },
     crate::{StepId, TaskId},
@@ -38,7 +38,7 @@
         id: StepId,
         state: &'a StepState,
     ) -> impl Iterator<Item = TaskId> + 'a {
-        let key = Ready {
+        let key = QueuedStep {
             priority: active.submission.priority,
             long_running: active.submission.workflow.steps[usize::from(id.step)].long_running,
             due_ms: active.due_ms,
@@ -46,11 +46,11 @@
             occurrence: id.occurrence,
             step: id.step,
         };
-        let ready = self.ready.contains(&key);
+        let step_queued = self.queued_steps.contains(&key);
         let StepId { workflow, occurrence, step } = id;
         (0u32..).zip(&state.tasks).filter_map(move |(index, task)| {
             let id = TaskId { workflow, occurrence, step, index };
-            let queued = ready && state.queue.contains(&index);
+            let queued = step_queued && state.queue.contains(&index);
             let tracked = if task.is_pending() {
                 queued
             } else {
--- a/crates/workflow/src/scheduler/fallback.rs
+++ b/crates/workflow/src/scheduler/fallback.rs
@@ -4,7 +4,9 @@
 //! in quarantine. Without a fallback such a task would wait until another task ends.
 
 use {
-    super::{Ready, Requirements, Scheduler, active_workflow::Avoided, candidates::Candidates},
+    super::{
+        QueuedStep, Requirements, Scheduler, active_workflow::Avoided, candidates::Candidates,
+    },
     crate::{TaskId, WorkerId},
     compact_str::CompactString,
     egretlb_types::Time,
@@ -120,7 +122,7 @@
     }
 
     /// Whether the first waiting task of a step still avoids a worker.
-    pub(super) fn front_avoids_worker(&mut self, now: Time, key: Ready) -> bool {
+    pub(super) fn front_avoids_worker(&mut self, now: Time, key: QueuedStep) -> bool {
         let Some(index) = self.front_task(key) else { return false };
         self.avoids_worker(now, key.task(index))
     }
@@ -133,7 +135,7 @@
 
     /// Moves the first task that avoids no worker to the front of the queue, so that a failed task doesn't block the
     /// others of its step. Returns whether there is one.
-    pub(super) fn move_unrestricted_to_front(&mut self, now: Time, key: Ready) -> bool {
+    pub(super) fn move_unrestricted_to_front(&mut self, now: Time, key: QueuedStep) -> bool {
         if !self.front_avoids_worker(now, key) {
             return false;
         }
--- a/crates/workflow/src/scheduler/gangs.rs
+++ b/crates/workflow/src/scheduler/gangs.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        Attempt, Effect, Phase, Ready, Requirements, Scheduler, placement::meets_requirements,
+        Attempt, Effect, Phase, QueuedStep, Requirements, Scheduler, placement::meets_requirements,
     },
     crate::{RunId, Step, TaskId, WorkerId},
     compact_str::CompactString,
@@ -21,7 +21,7 @@
     pub(super) fn place_gang(
         &mut self,
         now: Time,
-        key: Ready,
+        key: QueuedStep,
         service: &CompactString,
         step: &Step,
         out: &mut Vec<Effect>,
--- a/crates/workflow/src/scheduler/isolated_start.rs
+++ b/crates/workflow/src/scheduler/isolated_start.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        Attempt, Ready, Requirements, Scheduler, Worker, active_workflow::TaskState,
+        Attempt, QueuedStep, Requirements, Scheduler, Worker, active_workflow::TaskState,
         lost_workers::CRASH_WINDOW, placement::meets_requirements,
     },
     crate::{AnnouncedRun, RunId, TaskId, WorkerId},
@@ -200,7 +200,7 @@
 
     /// Moves the first task that isn't suspected to the front of the queue, so that suspected tasks don't block the
     /// others of the step. Returns whether there is one.
-    pub(super) fn move_unsuspected_to_front(&mut self, key: Ready) -> bool {
+    pub(super) fn move_unsuspected_to_front(&mut self, key: QueuedStep) -> bool {
         let waiting: Vec<u32> = self.queue_of(key).into_iter().flatten().map(|i| *i).collect();
         let position = waiting.iter().position(|index| !self.is_suspect(key.task(*index)));
         let Some(position) = position else { return false };
--- a/crates/workflow/src/scheduler/latency_critical.rs
+++ b/crates/workflow/src/scheduler/latency_critical.rs
@@ -1,7 +1,7 @@
 //! Latency-critical tasks: samples for the interference model, and eviction of best-effort tasks.
 
 use {
-    super::{Attempt, Effect, Phase, Ready, Scheduler, Worker, waits::StopReason},
+    super::{Attempt, Effect, Phase, QueuedStep, Scheduler, Worker, waits::StopReason},
     crate::{
         RunId, TaskId, WorkerId,
         colocation::{Exposure, ImageNo, Observation, Sample, median_headroom},
@@ -190,8 +190,8 @@
             .filter(|attempt| attempt.best_effort)
             .map(Attempt::best_effort_demand)
             .collect();
-        for key in &self.ready {
-            let Ready { workflow, occurrence, step, .. } = *key;
+        for key in &self.queued_steps {
+            let QueuedStep { workflow, occurrence, step, .. } = *key;
             let Some(active_workflow) = self.workflows.get(&workflow) else { continue };
             let Some(step_spec) = active_workflow.submission.workflow.steps.get(usize::from(step))
             else {
--- a/crates/workflow/src/scheduler/mod.rs
+++ b/crates/workflow/src/scheduler/mod.rs
@@ -74,7 +74,7 @@
 
 /// A step with tasks that wait for a worker: an entry of the queue of all steps, in the order of the fields.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Ready {
+struct QueuedStep {
     priority: u8,
     /// Long-running tasks come after batch tasks: they occupy capacity for minutes.
     long_running: bool,
@@ -92,7 +92,7 @@
     limits: Limits,
     workers: BTreeMap<WorkerId, Worker>,
     workflows: BTreeMap<WorkflowId, ActiveWorkflow>,
-    ready: BTreeSet<Ready>,
+    queued_steps: BTreeSet<QueuedStep>,
     /// Workers of the predecessor that haven't answered, and when all runs there have lapsed.
     unreconciled: BTreeMap<WorkerId, Time>,
     /// Workflows whose progress has changed since it was last recorded.
@@ -184,14 +184,14 @@
     pub workers_scanned: u64,
 }
 
-impl Ready {
+impl QueuedStep {
     fn task(self, index: u32) -> TaskId {
-        let Ready { workflow, occurrence, step, .. } = self;
+        let QueuedStep { workflow, occurrence, step, .. } = self;
         TaskId { workflow, occurrence, step, index }
     }
 
     fn step_id(self) -> StepId {
-        let Ready { workflow, occurrence, step, .. } = self;
+        let QueuedStep { workflow, occurrence, step, .. } = self;
         StepId { workflow, occurrence, step }
     }
 }
@@ -212,7 +212,7 @@
             limits,
             workers: BTreeMap::new(),
             workflows: BTreeMap::new(),
-            ready: BTreeSet::new(),
+            queued_steps: BTreeSet::new(),
             unreconciled: BTreeMap::new(),
             dirty: BTreeSet::new(),
             exhausted: BTreeSet::new(),
@@ -342,7 +342,7 @@
             self.advance_waves(now, out);
         }
         self.update_interference_model(now);
-        self.place_ready(now, out);
+        self.place_queued_steps(now, out);
         self.regroup(now, out);
         self.request_advice(now, out);
         self.poll(now, out);
@@ -386,7 +386,7 @@
 
     /// Number of steps with tasks that wait for a worker.
     pub fn waiting_step_count(&self) -> usize {
-        self.ready.len()
+        self.queued_steps.len()
     }
 
     /// Number of the predecessor's workers that haven't answered yet.
--- a/crates/workflow/src/scheduler/placement.rs
+++ b/crates/workflow/src/scheduler/placement.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        Attempt, Effect, Phase, Ready, Requirements, Scheduler, Worker, active_workflow::TaskState,
-        isolated_start::IsolatedStart,
+        Attempt, Effect, Phase, QueuedStep, Requirements, Scheduler, Worker,
+        active_workflow::TaskState, isolated_start::IsolatedStart,
     },
     crate::{RunId, Step, StepId, TaskId, WorkerId, colocation::ImageNo},
     compact_str::CompactString,
@@ -29,17 +29,17 @@
     /// Places waiting tasks in queue order, one pass over all steps. Tasks that fit no worker are skipped, so that
     /// smaller ones behind them can use the remaining capacity. A complete pass also updates the longest wait of a
     /// best-effort task and adapts the caution of the interference estimates to it.
-    pub(super) fn place_ready(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn place_queued_steps(&mut self, now: Time, out: &mut Vec<Effect>) {
         let mut unmet: SmallVec<[UnmetDemand; 8]> = SmallVec::new();
         let mut longest_wait = Duration::ZERO;
-        let keys: Vec<Ready> = self.ready.iter().copied().collect();
+        let keys: Vec<QueuedStep> = self.queued_steps.iter().copied().collect();
         self.cpu_being_freed.clear();
         for key in keys {
             if !self.may_start() {
                 return;
             }
             if self.place_step(now, key, &mut unmet, out) {
-                self.ready.remove(&key);
+                self.queued_steps.remove(&key);
             } else if self.is_best_effort(key) {
                 longest_wait = longest_wait.max(self.step_wait(now, key));
             }
@@ -52,7 +52,7 @@
     fn place_step(
         &mut self,
         now: Time,
-        key: Ready,
+        key: QueuedStep,
         unmet: &mut SmallVec<[UnmetDemand; 8]>,
         out: &mut Vec<Effect>,
     ) -> bool {
@@ -139,7 +139,7 @@
         }
     }
 
-    fn is_best_effort(&self, key: Ready) -> bool {
+    fn is_best_effort(&self, key: QueuedStep) -> bool {
         let workflow = self.workflows.get(&key.workflow);
         workflow.is_some_and(|workflow| {
             workflow.submission.workflow.steps[usize::from(key.step)].best_effort
@@ -147,14 +147,17 @@
     }
 
     /// The indices of a step's waiting tasks.
-    pub(super) fn queue_of(&mut self, key: Ready) -> Option<&mut std::collections::VecDeque<u32>> {
+    pub(super) fn queue_of(
+        &mut self,
+        key: QueuedStep,
+    ) -> Option<&mut std::collections::VecDeque<u32>> {
         let workflow = self.workflows.get_mut(&key.workflow)?;
         let occurrence = workflow.occurrences.get_mut(&key.occurrence)?;
         Some(&mut occurrence.steps.get_mut(usize::from(key.step))?.queue)
     }
 
     /// How long a step has had waiting tasks.
-    pub(super) fn step_wait(&self, now: Time, key: Ready) -> Duration {
+    pub(super) fn step_wait(&self, now: Time, key: QueuedStep) -> Duration {
         self.queue_wait(now, key.task(0).step_id())
     }
 
@@ -167,7 +170,7 @@
     }
 
     /// The first waiting task of a step. Drops queued tasks that reconciliation found done or running.
-    pub(super) fn front_task(&mut self, key: Ready) -> Option<u32> {
+    pub(super) fn front_task(&mut self, key: QueuedStep) -> Option<u32> {
         let workflow = self.workflows.get_mut(&key.workflow)?;
         let occurrence = workflow.occurrences.get_mut(&key.occurrence)?;
         let step = occurrence.steps.get_mut(usize::from(key.step))?;
@@ -182,7 +185,7 @@
 
     /// Moves a task that this leader has found running to the front of the queue; returns whether there is one. No
     /// run by a previous leader can still be under way elsewhere for such a task.
-    fn move_found_to_front(&mut self, key: Ready) -> bool {
+    fn move_found_to_front(&mut self, key: QueuedStep) -> bool {
         self.front_task(key);
         let Some(workflow) = self.workflows.get_mut(&key.workflow) else { return false };
         let Some(occurrence) = workflow.occurrences.get_mut(&key.occurrence) else { return false };
@@ -194,7 +197,7 @@
         true
     }
 
-    fn pop_front_task(&mut self, key: Ready) {
+    fn pop_front_task(&mut self, key: QueuedStep) {
         if let Some(queue) = self.queue_of(key) {
             queue.pop_front();
         }
--- a/crates/workflow/src/scheduler/preempt.rs
+++ b/crates/workflow/src/scheduler/preempt.rs
@@ -6,7 +6,7 @@
 
 use {
     super::{
-        Attempt, Effect, Phase, Ready, Scheduler, Worker, placement::CAPACITY_UNIT_MILLICORES,
+        Attempt, Effect, Phase, QueuedStep, Scheduler, Worker, placement::CAPACITY_UNIT_MILLICORES,
         waits::StopReason,
     },
     crate::{RunId, Step, TaskId, WorkerId},
@@ -32,7 +32,7 @@
 
 impl Scheduler {
     /// Whether a step of long-running tasks isn't started now, so that batch tasks get the free capacity.
-    pub(super) fn defers_to_batch(&mut self, now: Time, key: Ready) -> bool {
+    pub(super) fn defers_to_batch(&mut self, now: Time, key: QueuedStep) -> bool {
         if self.batch_blocked_at.is_none_or(|at| now.since(at) >= DEFER_FOR) {
             return false;
         }
@@ -47,7 +47,7 @@
     pub(super) fn preempt_for(
         &mut self,
         now: Time,
-        key: Ready,
+        key: QueuedStep,
         service: &CompactString,
         step: &Step,
         out: &mut Vec<Effect>,
@@ -58,7 +58,7 @@
         self.batch_blocked_at = Some(now);
         let waiting = self.queue_of(key).map_or(0, |queue| queue.len());
         let needed_cpu = u64::from(step.resources.cpu.0) * waiting as u64;
-        let Ready { workflow, occurrence, step: step_index, .. } = key;
+        let QueuedStep { workflow, occurrence, step: step_index, .. } = key;
         let first_task = TaskId { workflow, occurrence, step: step_index, index: 0 };
         let mut freed_cpu =
             match self.cpu_being_freed.iter().find(|(entry_service, _)| entry_service == service) {
--- a/crates/workflow/src/scheduler/queue.rs
+++ b/crates/workflow/src/scheduler/queue.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Effect, Ready, Scheduler,
+        Effect, QueuedStep, Scheduler,
         active_workflow::{ActiveWorkflow, StepState, TaskState},
         waits::StopReason,
     },
@@ -94,7 +94,7 @@
             if !state.queue.is_empty() {
                 let long_running = steps[usize::from(step_no)].long_running;
                 state.queue_since = now;
-                self.ready.insert(Ready {
+                self.queued_steps.insert(QueuedStep {
                     priority,
                     long_running,
                     due_ms,
@@ -124,7 +124,7 @@
         }
         active.outcome = Some(outcome);
         self.dirty.insert(id);
-        self.ready.retain(|ready| ready.workflow != id);
+        self.queued_steps.retain(|queued| queued.workflow != id);
         let tasks = active.occurrences.values().flat_map(|occurrence| &occurrence.steps);
         let attempts: Vec<(WorkerId, RunId)> =
             tasks.flat_map(|step| &step.tasks).flat_map(|task| task.attempts.clone()).collect();
@@ -181,7 +181,7 @@
         }
         step.queue.push_front(task.index);
         let long_running = active.submission.workflow.steps[usize::from(task.step)].long_running;
-        self.ready.insert(Ready {
+        self.queued_steps.insert(QueuedStep {
             priority,
             long_running,
             due_ms,
--- a/crates/workflow/src/scheduler/waits/mod.rs
+++ b/crates/workflow/src/scheduler/waits/mod.rs
@@ -14,7 +14,7 @@
 
 use {
     self::{held::HeldTasks, report::WaitReports, runs::RunLines, term::InheritedHold},
-    super::{Ready, Scheduler},
+    super::{QueuedStep, Scheduler},
     crate::{StepId, WorkerId},
     egretlb_types::Time,
     smallvec::SmallVec,
@@ -93,7 +93,7 @@
     /// Returns steps with waiting tasks, at most `limit`: queued ones in the order of the queue,
     /// then those whose tasks aren't queued since a run of them isn't settled.
     pub fn waiting_steps(&mut self, now: Time, limit: usize) -> Vec<WaitingStep> {
-        let keys: Vec<Ready> = self.ready.iter().take(limit).copied().collect();
+        let keys: Vec<QueuedStep> = self.queued_steps.iter().take(limit).copied().collect();
         let mut rows: Vec<WaitingStep> =
             keys.into_iter().filter_map(|key| self.queued_row(now, key)).collect();
         let held = self.held_steps(now);
--- a/crates/workflow/src/scheduler/waits/queued.rs
+++ b/crates/workflow/src/scheduler/waits/queued.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        super::{Ready, Requirements, Scheduler, Worker, placement::meets_requirements},
+        super::{QueuedStep, Requirements, Scheduler, Worker, placement::meets_requirements},
         Cause, MAX_NAMED, MAX_NAMED_WITH_CAPACITY, Reason, ServiceWorkers, WaitingStep,
     },
     crate::{Step, StepId, TaskId, WorkerId},
@@ -61,14 +61,14 @@
 
 impl Scheduler {
     /// Describes the queued tasks of a step.
-    pub(super) fn queued_row(&mut self, now: Time, key: Ready) -> Option<WaitingStep> {
+    pub(super) fn queued_row(&mut self, now: Time, key: QueuedStep) -> Option<WaitingStep> {
         self.front_task(key)?;
         let Cause { reason, workers, until, service_workers } = self.cause(now, key)?;
         let queue = self.queue_of(key)?;
         let tasks = queue.len();
         let mut indices: Vec<u32> = queue.iter().copied().take(MAX_NAMED).collect();
         indices.sort_unstable();
-        let Ready { workflow, occurrence, step, long_running, .. } = key;
+        let QueuedStep { workflow, occurrence, step, long_running, .. } = key;
         let step = StepId { workflow, occurrence, step };
         Some(WaitingStep {
             step,
@@ -84,12 +84,12 @@
     }
 
     /// Since when the longest-waiting queued task of the step hasn't run.
-    pub(super) fn queued_since(&mut self, key: Ready) -> Option<Time> {
+    pub(super) fn queued_since(&mut self, key: QueuedStep) -> Option<Time> {
         let queue: SmallVec<[u32; 16]> = self.queue_of(key)?.iter().copied().collect();
         queue.into_iter().filter_map(|index| self.down_since(key.task(index))).min()
     }
 
-    fn cause(&mut self, now: Time, key: Ready) -> Option<Cause> {
+    fn cause(&mut self, now: Time, key: QueuedStep) -> Option<Cause> {
         let active = self.workflows.get(&key.workflow)?;
         let step = active.submission.workflow.steps.get(usize::from(key.step))?.clone();
         if active.inherited && !self.unreconciled.is_empty() {
--- a/crates/workflow/src/scheduler/waits/report.rs
+++ b/crates/workflow/src/scheduler/waits/report.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        super::{Ready, Scheduler},
+        super::{QueuedStep, Scheduler},
         Joined, Reason, ServiceWorkers, WaitingStep, ms,
     },
     crate::StepId,
@@ -52,7 +52,7 @@
 struct DueLine {
     group: Group,
     /// Its key in the queue; `None` if its tasks are held.
-    key: Option<Ready>,
+    key: Option<QueuedStep>,
     logged_at: Option<Time>,
     long_running: bool,
     since: Time,
@@ -107,14 +107,14 @@
         let held = self.held_steps(now);
         let mut waiting: BTreeSet<StepId> = held.keys().map(|(step, _)| *step).collect();
         let mut due: Vec<DueLine> = Vec::new();
-        for ready in &self.ready {
-            let step = ready.step_id();
+        for key in &self.queued_steps {
+            let step = key.step_id();
             waiting.insert(step);
-            let since = now - self.step_wait(now, *ready);
-            let (group, long_running) = ((step, None), ready.long_running);
+            let since = now - self.step_wait(now, *key);
+            let (group, long_running) = ((step, None), key.long_running);
             if self.waits.reports.is_due(now, group, since) {
                 let logged_at = self.waits.reports.logged_at(group);
-                due.push(DueLine { group, key: Some(*ready), logged_at, long_running, since });
+                due.push(DueLine { group, key: Some(*key), logged_at, long_running, since });
             }
         }
         for ((step, reason), held) in &held {
@@ -157,7 +157,7 @@
 
     /// Returns `None` if no queued task has waited for long: the queue as a whole may be older than
     /// its tasks.
-    fn long_queued_row(&mut self, now: Time, key: Ready) -> Option<WaitingStep> {
+    fn long_queued_row(&mut self, now: Time, key: QueuedStep) -> Option<WaitingStep> {
         // Checked first, since finding the reason scans all workers.
         let since = self.queued_since(key)?;
         if now.since(since) < MIN_LOGGED_WAIT {
