--- a/crates/workflow/src/scheduler/attempt.rs
+++ b/crates/workflow/src/scheduler/attempt.rs
@@ -42,10 +42,10 @@
     /// The worker's clock, in milliseconds, after which the worker rejects the start. None if a previous leader
     /// started it.
     pub(crate) start_deadline_ms: Option<u64>,
-    /// Nothing else is started on the worker until this attempt passes its probation.
+    /// An isolated start: nothing else is started on the worker while this attempt is in its crash window.
     pub(crate) isolated: bool,
-    /// Started by a previous leader that didn't see it running past its probation.
-    pub(crate) inherited_in_probation: bool,
+    /// Started by a previous leader that recorded it as in its crash window.
+    pub(crate) inherited_in_crash_window: bool,
     /// The worker has answered the start or listed the run.
     pub(crate) confirmed: bool,
     /// When it was started, or first listed by the worker.
@@ -65,9 +65,9 @@
     pub(crate) target_ms: u32,
     /// Since when a latency-critical task exceeds its target.
     pub(crate) over_target_since: Option<Time>,
-    /// The last value used by the interference model.
-    pub(crate) learned_measurement: u32,
-    /// Share of its CPU that a best-effort task may use, in percent.
+    /// The last value of `measurement` used by the interference model.
+    pub(crate) last_modelled_measurement: u32,
+    /// Share of its CPU that a best-effort task may use, in percent; 0 pauses it.
     pub(crate) pace: u32,
     /// The pace last sent to the worker; none if unknown.
     pub(crate) pace_sent: Option<u32>,
@@ -132,7 +132,7 @@
             is_restart: false,
             start_deadline_ms: None,
             isolated: false,
-            inherited_in_probation: false,
+            inherited_in_crash_window: false,
             confirmed: false,
             placed_at: now,
             running_since: now,
@@ -148,7 +148,7 @@
             image,
             target_ms: step.target_ms,
             over_target_since: None,
-            learned_measurement: 0,
+            last_modelled_measurement: 0,
             pace: FULL_PACE_PERCENT,
             pace_sent: Some(FULL_PACE_PERCENT),
             throttled_since: None,
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -23,7 +23,7 @@
     Failed,
 }
 
-/// Lease at a draining worker. It covers the next two polls.
+/// Lease at a draining worker: long enough for the next two polls to renew it.
 const DRAINING_LEASE: Duration = Duration::from_secs(2);
 
 /// Pause after a failed poll.
@@ -90,7 +90,7 @@
                 && !worker.listed_unresponsive
                 && worker.is_responsive(now, &limits);
             let until_ms = if renews && busy {
-                // A short lease: what is left on a draining worker ends with it and can be
+                // With a short lease, tasks that are lost when a draining worker leaves can be
                 // restarted sooner.
                 let draining = worker.info.state == WorkerState::Draining;
                 let span = if draining { DRAINING_LEASE } else { limits.lease };
@@ -104,9 +104,9 @@
                 || worker.attempts.values().any(|attempt| unsettled(&attempt.phase));
             let colocated =
                 worker.latency_critical > 0 && (worker.best_effort > 0 || worker.over_target);
-            let fresh = worker.is_reserved(now)
+            let polls_often = worker.is_reserved(now)
                 || worker.attempts.values().any(|attempt| attempt.is_too_recent_to_judge(now));
-            let wait = match (urgent, busy, fresh, colocated) {
+            let wait = match (urgent, busy, polls_often, colocated) {
                 (true, ..) | (_, false, ..) => Duration::ZERO,
                 (false, true, true, _) => NEW_TASK_WAIT,
                 (false, true, false, true) => SAMPLE_WAIT,
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Gives up runs that must have lapsed at unresponsive workers, and forgets workers that are
-    /// gone.
+    /// Drops runs that must have lapsed at unresponsive workers, removes workers that are gone, and
+    /// marks the roster to be recorded if the state of a worker has changed.
     pub(super) fn expire(&mut self, now: Time) {
         let limits = self.limits;
         let lapsed = |worker: &super::Worker| {
@@ -142,7 +142,8 @@
         }
         // A worker whose responsiveness or draining state has changed must be listed differently.
         let changed = |worker: &super::Worker| {
-            // All its runs have been moved: a successor that knows this needn't wait for it.
+            // None of the runs that the roster lists is left: once that is recorded, a successor
+            // needn't assume that they still run.
             let drained =
                 worker.listed_draining && worker.listed_runs > 0 && worker.attempts.is_empty();
             worker.differs_from_roster(now, &limits) || (worker.in_roster && drained)
--- a/crates/workflow/src/scheduler/recording.rs
+++ b/crates/workflow/src/scheduler/recording.rs
@@ -17,7 +17,7 @@
     roster: Vec<ListedWorker>,
     ended: Vec<WorkflowId>,
     waves: Vec<(u64, WaveProgress)>,
-    /// Workflows with crashes not recorded before.
+    /// Workflows with crashes or announced runs not recorded before.
     crashes: Vec<WorkflowId>,
 }
 
@@ -38,10 +38,10 @@
 /// Maximum bytes of records in one append; far below the store's limit of 2 MB.
 const MAX_APPEND_BYTES: usize = 512 * 1024;
 
-/// Interval between records of the learned model, some 2 KB for 15 images that every process reads.
-const LEARNED_INTERVAL: Duration = Duration::from_secs(3);
+/// Interval between records of the interference model; each takes some 2 KB for 15 images, and every process reads it.
+const MODEL_RECORD_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Maximum number of old workflows dropped in one append.
+/// Maximum number of ended workflows whose records are dropped in one append.
 const MAX_DROPPED_PER_APPEND: usize = 200;
 
 /// Maximum number of records rewritten in one append; a submission takes a few KB.
@@ -49,8 +49,8 @@
 
 impl Worker {
     /// Whether a successor must poll it: true for workers that a predecessor listed or that have
-    /// answered this leader. Nothing is started before the first answer. An entry may reappear long
-    /// after its worker has gone; if it were listed, each successor would wait for that worker's
+    /// answered this leader. Nothing is started before the first answer. A directory entry may reappear
+    /// long after its worker has gone; if the worker were listed, each successor would wait for its
     /// leases.
     fn belongs_in_roster(&self) -> bool {
         self.in_roster || self.reconciled
@@ -89,29 +89,29 @@
         if !heartbeat_due && !due {
             return;
         }
-        let mut recording = PendingAppend::default();
+        let mut append = PendingAppend::default();
         let mut records = Vec::new();
-        let partial = self.record_progress(&mut recording, &mut records);
+        let partial = self.record_progress(&mut append, &mut records);
         if !partial {
-            recording.ends = self
+            append.ends = self
                 .workers
                 .iter()
                 .filter(|(_, worker)| worker.max_acknowledgeable_end() > worker.ends_recorded)
                 .map(|(id, worker)| (id.clone(), worker.max_acknowledgeable_end()))
                 .collect();
         }
-        recording.waves = self.maintenance.take_dirty();
-        for (number, progress) in &recording.waves {
+        append.waves = self.maintenance.take_dirty();
+        for (number, progress) in &append.waves {
             records.push(Record::new(Key::Wave(*number), progress));
         }
-        self.record_roster(now, &mut recording, &mut records);
+        self.record_roster(now, &mut append, &mut records);
         self.drop_old_records(now, &mut records);
-        self.record_learned(now, &mut records);
+        self.record_model(now, &mut records);
         let rewritten = self.records_to_rewrite.len().min(MAX_REWRITTEN_PER_APPEND);
         records.extend(self.records_to_rewrite.drain(..rewritten));
         self.append_requested = false;
         self.append_sent_at = now;
-        self.pending_append = Some(recording);
+        self.pending_append = Some(append);
         out.push(Effect::Record { records });
     }
 
@@ -127,19 +127,15 @@
         out.push(Effect::Record { records: Vec::new() });
     }
 
-    /// Adds the progress of changed workflows. Returns whether some are left for the next append.
-    fn record_progress(
-        &mut self,
-        recording: &mut PendingAppend,
-        records: &mut Vec<Record>,
-    ) -> bool {
+    /// Adds the progress of changed workflows to `records`. Returns whether some are left for the next append.
+    fn record_progress(&mut self, append: &mut PendingAppend, records: &mut Vec<Record>) -> bool {
         let mut bytes = 0;
         while let Some(id) = self.dirty.pop_first() {
-            recording.crashes.extend(self.lost_workers.take_unrecorded(id).then_some(id));
+            append.crashes.extend(self.lost_workers.take_unrecorded_crash_state(id).then_some(id));
             let Some(active) = self.workflows.get(&id) else { continue };
             let record = Record::new(Key::Progress(id), &active.progress());
             if active.outcome.is_some() {
-                recording.ended.push(id);
+                append.ended.push(id);
             }
             bytes += record.size();
             records.push(record);
@@ -150,12 +146,7 @@
         false
     }
 
-    fn record_roster(
-        &mut self,
-        now: Time,
-        recording: &mut PendingAppend,
-        records: &mut Vec<Record>,
-    ) {
+    fn record_roster(&mut self, now: Time, append: &mut PendingAppend, records: &mut Vec<Record>) {
         if !self.roster_dirty || !self.may_write_roster(now) {
             return;
         }
@@ -182,17 +173,17 @@
                 }
                 RosterState::Open | RosterState::Unreconciled { .. } => 0,
             };
-            recording.roster.push(ListedWorker { id: entry.id.clone(), unresponsive, draining });
+            append.roster.push(ListedWorker { id: entry.id.clone(), unresponsive, draining });
         }
         let roster = Roster { epoch: self.epoch, entries };
         records.push(Record::new(Key::Roster, &roster));
     }
 
-    /// Adds the learned model if it has changed, at most once per [`LEARNED_INTERVAL`].
-    fn record_learned(&mut self, now: Time, records: &mut Vec<Record>) {
-        if self.learned_dirty && now.since(self.learned_recorded_at) >= LEARNED_INTERVAL {
-            self.learned_dirty = false;
-            self.learned_recorded_at = now;
+    /// Adds the interference model if it has changed, at most once per [`MODEL_RECORD_INTERVAL`].
+    fn record_model(&mut self, now: Time, records: &mut Vec<Record>) {
+        if self.model_dirty && now.since(self.model_recorded_at) >= MODEL_RECORD_INTERVAL {
+            self.model_dirty = false;
+            self.model_recorded_at = now;
             records.push(Record::new(Key::InterferenceModel, self.colocation.model()));
         }
     }
@@ -215,22 +206,22 @@
 
     /// Handles the success of the append under way.
     pub fn on_recorded(&mut self, now: Time) {
-        let Some(recording) = self.pending_append.take() else { return };
+        let Some(append) = self.pending_append.take() else { return };
         self.last_acked_append = Some(self.append_sent_at);
-        self.maintenance.on_recorded(now, &recording.waves);
-        for (id, number) in recording.ends {
+        self.maintenance.on_recorded(now, &append.waves);
+        for (id, number) in append.ends {
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.ends_recorded = worker.ends_recorded.max(number);
             }
         }
-        for ListedWorker { id, unresponsive, draining } in recording.roster {
+        for ListedWorker { id, unresponsive, draining } in append.roster {
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.in_roster = true;
                 worker.listed_unresponsive = unresponsive;
                 worker.listed_draining = draining;
             }
         }
-        for id in recording.ended {
+        for id in append.ended {
             self.workflows.remove(&id);
             self.ended.push((now, id));
         }
