--- a/crates/lab/src/experiments/books.rs
+++ b/crates/lab/src/experiments/books.rs
@@ -12,9 +12,9 @@
     compact_str::format_compact,
     egretlb_log::{EntryKind, JournalBatch, JournalEntry, JournalReader, ReadOutcome, Record},
     egretlb_tasks::{
-        CallId, JobBook, JobEffect, JobEvent, JobSpec, RackBook, RackEffect, RackEvent,
+        CallId, JobEffect, JobEvent, JobSpec, JobTable, RackEffect, RackEvent, RackTable,
         WorkerAnswer, WorkerCall,
-        msg::{NodeMsg, Place, Want},
+        msg::{NodeMsg, Place, TaskRequest},
     },
     egretlb_types::{
         Attempt, ClassName, Epoch, Fence, JobId, Megabytes, MilliCores, Offset, Resources,
@@ -62,7 +62,7 @@
 
 /// A rack book that owns everything, with its VMs' reports answered.
 struct Racks {
-    book: RackBook,
+    book: RackTable,
     held: Held,
     now: Time,
     tasks_per_vm: usize,
@@ -71,7 +71,7 @@
 impl Racks {
     fn new(seed: u64, tasks_per_vm: usize) -> Self {
         let shards = all_shards();
-        let book = RackBook::builder().seed(seed).build();
+        let book = RackTable::builder().seed(seed).build();
         let mut racks = Racks { book, held: Held::new(&shards), now: Time::ZERO, tasks_per_vm };
         racks.step(RackEvent::Config { document: Arc::new(document(40, 25)) });
         for shard in shards {
@@ -186,7 +186,7 @@
 }
 
 fn place(n: u32) -> Place {
-    let want = Want {
+    let want = TaskRequest {
         task: TaskId { job: job_id("want", n as usize), index: 0 },
         attempt: Attempt(1),
         class: class_name(BATCH),
@@ -194,17 +194,17 @@
         resources: size(1_000, 2_000),
         learned_size: false,
         service: false,
-        lent: false,
+        over_quota: false,
         reclaim: false,
         avoid: Default::default(),
         avoid_data_centres: Default::default(),
     };
-    Place { shard: ShardId(0), round: Ticket(u64::from(n) + 1), wants: vec![want] }
+    Place { shard: ShardId(0), round: Ticket(u64::from(n) + 1), requests: vec![want] }
 }
 
 /// A job book that owns everything and has room nowhere.
 struct Jobs {
-    book: JobBook,
+    book: JobTable,
     held: Held,
     now: Time,
     entries: Vec<(ShardId, Vec<u8>)>,
@@ -214,7 +214,7 @@
 impl Jobs {
     fn new(seed: u64) -> Self {
         let shards = all_shards();
-        let book = JobBook::builder().seed(seed).build();
+        let book = JobTable::builder().seed(seed).build();
         let held = Held::new(&shards);
         let mut jobs = Jobs { book, held, now: Time::ZERO, entries: Vec::new(), submitted: 0 };
         jobs.step(JobEvent::Config { document: Arc::new(document(40, 25)) });
@@ -295,7 +295,7 @@
         let recovered = reader.recovered(shard, Held::EPOCH).expect("a snapshot").clone();
         read.push(tasks as f64, start.elapsed().as_secs_f64() * 1e3);
         let start = Instant::now();
-        let mut new = JobBook::builder().seed(seed).build();
+        let mut new = JobTable::builder().seed(seed).build();
         new.restore(shard, postcard::from_bytes(&recovered.snapshot).expect("a snapshot"));
         for change in &recovered.changes {
             new.replay(shard, &postcard::from_bytes(change).expect("an entry"));
--- a/crates/lab/src/models/world.rs
+++ b/crates/lab/src/models/world.rs
@@ -15,7 +15,7 @@
     egretlb_log::{AppendOutcome, EntryKind, JournalEntry, JournalWriter, WriterOptions},
     egretlb_standins::worker::{WorkerSettings, WorkerState},
     egretlb_tasks::{
-        CallId, JobBook, JobEffect, JobEvent, JobReply, JobSpec, RackBook, RackEffect, RackEvent,
+        CallId, JobEffect, JobEvent, JobReply, JobSpec, JobTable, RackEffect, RackEvent, RackTable,
         WorkerAnswer, WorkerCall,
     },
     egretlb_types::{
@@ -83,8 +83,8 @@
 }
 
 struct Node {
-    jobs: JobBook,
-    racks: RackBook,
+    jobs: JobTable,
+    racks: RackTable,
     writer: JournalWriter,
     held: Held,
 }
@@ -145,8 +145,8 @@
         let shards = shards_of(n, ids.len());
         let seed = seed.wrapping_mul(1_000).wrapping_add(n as u64);
         self.nodes.push(Node {
-            jobs: JobBook::builder().seed(seed).build(),
-            racks: RackBook::builder().seed(seed).build(),
+            jobs: JobTable::builder().seed(seed).build(),
+            racks: RackTable::builder().seed(seed).build(),
             writer: JournalWriter::new(WriterOptions::new(ids[n], seed)),
             held: Held::new(&shards),
         });
--- a/crates/node/src/scheduler/tables.rs
+++ b/crates/node/src/scheduler/tables.rs
@@ -18,8 +18,8 @@
         shares::{ServerInfo, ServerSpec},
     },
     egretlb_tasks::{
-        Backend, CallError, CallId, Guard, JobBook, JobEffect, JobEntry, JobEvent, JobSnapshot,
-        RackBook, RackEffect, RackEvent, WorkerAnswer,
+        Backend, CallError, CallId, Guard, JobEffect, JobEntry, JobEvent, JobSnapshot, JobTable,
+        RackEffect, RackEvent, RackTable, WorkerAnswer,
     },
     egretlb_types::{
         Authority, ConfigDocument, Epoch, NodeId, ShardId, Ticket, Time, VmRecord, VmState,
@@ -63,8 +63,8 @@
 }
 
 pub(super) struct SchedulerTables {
-    jobs: JobBook,
-    racks: RackBook,
+    jobs: JobTable,
+    racks: RackTable,
     shares: ShareTable,
     keys: KeyTable,
     callers: BTreeMap<CallId, Caller>,
@@ -77,8 +77,8 @@
 impl SchedulerTables {
     pub(super) fn new(node: NodeId, seed: u64) -> Self {
         SchedulerTables {
-            jobs: JobBook::builder().seed(seed).build(),
-            racks: RackBook::builder().seed(seed.wrapping_add(node.0)).build(),
+            jobs: JobTable::builder().seed(seed).build(),
+            racks: RackTable::builder().seed(seed.wrapping_add(node.0)).build(),
             shares: ShareTable::new(),
             keys: KeyTable::new(),
             callers: BTreeMap::new(),
@@ -89,7 +89,7 @@
         }
     }
 
-    pub(super) fn racks(&self) -> &RackBook {
+    pub(super) fn racks(&self) -> &RackTable {
         &self.racks
     }
 
--- a/crates/tasks/examples/measure.rs
+++ b/crates/tasks/examples/measure.rs
@@ -11,8 +11,8 @@
 
 use {
     egretlb_tasks::{
-        JobSpec, Limits, Protections, RackBook, RackEffect, RackEvent, WorkerAnswer, WorkerCall,
-        msg::{NodeMsg, Place, Want},
+        JobSpec, Limits, Protections, RackEffect, RackEvent, RackTable, WorkerAnswer, WorkerCall,
+        msg::{NodeMsg, Place, TaskRequest},
     },
     egretlb_types::{
         Attempt, Authority, ClassLoad, ClassName, Epoch, NodeId, Resources, SHARD_COUNT, ShardId,
@@ -59,8 +59,8 @@
     }
 }
 
-fn want(index: u32, resources: Resources) -> Want {
-    Want {
+fn want(index: u32, resources: Resources) -> TaskRequest {
+    TaskRequest {
         task: TaskId { job: "job".parse().unwrap(), index },
         attempt: Attempt(1),
         class: "night".parse().unwrap(),
@@ -68,7 +68,7 @@
         resources,
         learned_size: true,
         service: false,
-        lent: false,
+        over_quota: false,
         reclaim: false,
         avoid: Default::default(),
         avoid_data_centres: Default::default(),
@@ -76,8 +76,8 @@
 }
 
 /// A book that owns all racks of so many VMs, half of them filled unevenly.
-fn filled(count: usize) -> (RackBook, Time) {
-    let mut book = RackBook::builder().seed(1).build();
+fn filled(count: usize) -> (RackTable, Time) {
+    let mut book = RackTable::builder().seed(1).build();
     let mut now = Time::from_secs(10);
     let mut out = Vec::new();
     for shard in 0..SHARD_COUNT {
@@ -104,9 +104,9 @@
     (book, now)
 }
 
-fn ask(book: &mut RackBook, now: Time, wants: Vec<Want>) -> usize {
+fn ask(book: &mut RackTable, now: Time, requests: Vec<TaskRequest>) -> usize {
     let mut out = Vec::new();
-    let place = Place { shard: ShardId(0), round: Ticket(1), wants };
+    let place = Place { shard: ShardId(0), round: Ticket(1), requests };
     let event = RackEvent::NodeMessage { from: NodeId(0), msg: NodeMsg::Place(place) };
     book.step(now, event, &Always, &mut out);
     let granted = |effect: &RackEffect| match effect {
--- a/crates/tasks/src/jobs/api.rs
+++ b/crates/tasks/src/jobs/api.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`JobBook`](super::JobBook) and comes out of it.
+//! What goes into a [`JobTable`](super::JobBook) and comes out of it.
 
 use {
     super::record::{JobEntry, JobSpec},
--- a/crates/tasks/src/jobs/calls.rs
+++ b/crates/tasks/src/jobs/calls.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        JobBook, Pending,
+        JobTable, Pending,
         api::{CallId, JobEffect, JobRefusal, JobReply},
         job::Job,
         record::{JobEntry, JobRecord, JobSpec, is_service_job},
@@ -26,7 +26,7 @@
     JobEffect::Reply { call, reply: JobReply::Refused(refusal) }
 }
 
-impl JobBook {
+impl JobTable {
     pub(super) fn submit(
         &mut self,
         now: Time,
@@ -61,11 +61,11 @@
             let same = job.record.spec == *spec;
             return if same { Ok(None) } else { Err(JobRefusal::OtherSpec) };
         }
-        let max = self.limits.job_tasks_max;
+        let max = self.limits.max_job_tasks;
         if !(1..=max).contains(&spec.tasks) {
             return Err(JobRefusal::BadCount { max });
         }
-        if kept.jobs.len() >= self.limits.shard_jobs_max {
+        if kept.jobs.len() >= self.limits.max_shard_jobs {
             return Err(JobRefusal::Full { after: RetryAfter::from_wait(FULL_BACK) });
         }
         let record = self.record_of(spec, after)?;
@@ -204,7 +204,7 @@
     /// Answers calls that the journal keeps waiting: with the log down they would wait for as long
     /// as it takes, and their callers with them.
     pub(super) fn give_up_calls(&mut self, now: Time, out: &mut Vec<JobEffect>) {
-        let within = self.limits.ack_within;
+        let within = self.limits.ack_timeout;
         self.pending.retain(|_, pending| match pending {
             Pending::Call { call, since, .. } if now.since(*since) >= within => {
                 out.push(ask_again(*call));
--- a/crates/tasks/src/jobs/ends.rs
+++ b/crates/tasks/src/jobs/ends.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        JobAlarm, JobBook, JobEffect, JobEntry, Pending,
+        JobAlarm, JobEffect, JobEntry, JobTable, Pending,
         job::{Job, Waiting},
         record::{TaskLife, TaskResult},
     },
@@ -20,7 +20,7 @@
 /// How often jobs that ended long ago are looked for.
 const FORGET_EVERY: Duration = Duration::from_secs(10);
 
-impl JobBook {
+impl JobTable {
     pub(super) fn on_ended(
         &mut self,
         now: Time,
@@ -62,7 +62,7 @@
     ) {
         let task = ended.of.task.clone();
         let failed = ended.how == AttemptEnd::Failed;
-        let blamed = (failed && !ended.suspect).then(|| ended.vm.clone());
+        let blamed = (failed && !ended.vm_quarantined).then(|| ended.vm.clone());
         let entry = JobEntry::Ended { task: task.clone(), fence, how: ended.how.clone(), blamed };
         let ticket = self.journal(shard, entry, out);
         self.after_end(now, &ended, out);
@@ -102,7 +102,7 @@
                 out.push(JobEffect::Alarm(alarm));
             }
             AttemptEnd::Done => {
-                self.run_times.note_end(&class, &Resources::default(), ended.ran, TaskEnd::Done);
+                self.run_times.record_end(&class, &Resources::default(), ended.ran, TaskEnd::Done);
             }
             _ => {}
         }
@@ -147,7 +147,7 @@
             return;
         }
         self.forget_at = now + FORGET_EVERY;
-        let keep = self.limits.keep_ended;
+        let keep = self.limits.ended_retention;
         let is_old = |job: &Job| job.over_since.is_some_and(|since| now.since(since) >= keep);
         let mut old: Vec<(ShardId, JobId)> = Vec::new();
         for (shard, kept) in &self.shards {
--- a/crates/tasks/src/jobs/mod.rs
+++ b/crates/tasks/src/jobs/mod.rs
@@ -67,15 +67,15 @@
     rounds: BTreeMap<Ticket, Round>,
 }
 
-/// Builds a [`JobBook`].
+/// Builds a [`JobTable`].
 #[derive(Debug, Default)]
-pub struct JobBookBuilder {
+pub struct JobTableBuilder {
     limits: Limits,
     protections: Protections,
     seed: u64,
 }
 
-impl JobBookBuilder {
+impl JobTableBuilder {
     /// Other limits than the default ones.
     pub fn limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
@@ -95,8 +95,8 @@
     }
 
     /// The book, without any shards.
-    pub fn build(self) -> JobBook {
-        JobBook {
+    pub fn build(self) -> JobTable {
+        JobTable {
             limits: self.limits,
             protections: self.protections,
             rng: SmallRng::seed_from_u64(self.seed),
@@ -117,7 +117,7 @@
 
 /// The book of jobs and where their tasks may run.
 #[derive(Debug)]
-pub struct JobBook {
+pub struct JobTable {
     limits: Limits,
     protections: Protections,
     rng: SmallRng,
@@ -137,10 +137,10 @@
     sizes: Sizes,
 }
 
-impl JobBook {
+impl JobTable {
     /// A builder.
-    pub fn builder() -> JobBookBuilder {
-        JobBookBuilder::default()
+    pub fn builder() -> JobTableBuilder {
+        JobTableBuilder::default()
     }
 
     /// Takes in one event and puts what is to be done into `out`.
@@ -302,13 +302,13 @@
         match msg {
             JobMsg::Placed(placed) => self.on_placed(now, from, placed, auth, out),
             JobMsg::Started { vm, rack, of } => self.on_started(now, vm, rack, of, auth, out),
-            JobMsg::InDoubt { of } => {
+            JobMsg::UnconfirmedStart { of } => {
                 if let Some(active) = self.active_mut(&of) {
                     active.doubt = true;
                 }
             }
             JobMsg::Ended(ended) => self.on_ended(now, ended, auth, out),
-            JobMsg::Leaving { of } => {
+            JobMsg::VmDraining { of } => {
                 if let Some(active) = self.active_mut(&of) {
                     active.leaving = true;
                 }
--- a/crates/tasks/src/jobs/queue.rs
+++ b/crates/tasks/src/jobs/queue.rs
@@ -5,8 +5,8 @@
 //! lags most behind its target goes first.
 
 use {
-    super::{JobBook, job::Job, rounds::Round},
-    crate::msg::{NodeMsg, NodeRoom, Place, Want},
+    super::{JobTable, job::Job, rounds::Round},
+    crate::msg::{NodeCapacity, NodeMsg, Place, TaskRequest},
     egretlb_types::{ClassKind, JobId, NodeId, Resources, ShardId, TaskId, TeamName, Ticket, Time},
     rand::Rng,
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
@@ -33,7 +33,7 @@
 /// What is known of a node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NodeInfo {
-    pub(super) room: Option<NodeRoom>,
+    pub(super) room: Option<NodeCapacity>,
     pub(super) usage: BTreeMap<TeamName, Resources>,
     pub(super) asked: Option<Time>,
 }
@@ -57,7 +57,7 @@
 }
 
 impl Sizes {
-    pub(super) fn note(&mut self, now: Time, room: &NodeRoom) {
+    pub(super) fn note(&mut self, now: Time, room: &NodeCapacity) {
         self.since = self.since.or((!room.largest.is_empty()).then_some(now));
         self.seen.retain(|(_, at)| now.since(*at) < SIZE_LIFE);
         for size in &room.largest {
@@ -77,7 +77,7 @@
     Lent,
 }
 
-impl JobBook {
+impl JobTable {
     pub(super) fn take_nodes(&mut self, nodes: Vec<NodeId>) {
         self.nodes.retain(|node, _| nodes.contains(node));
         for node in nodes {
@@ -96,7 +96,7 @@
                 continue;
             }
             node.asked = Some(now);
-            let msg = NodeMsg::Place(Place { shard, round: Ticket(0), wants: Vec::new() });
+            let msg = NodeMsg::Place(Place { shard, round: Ticket(0), requests: Vec::new() });
             out.push(super::JobEffect::SendToNode { node: *id, msg });
         }
     }
@@ -105,7 +105,7 @@
     pub(super) fn plan(&mut self, now: Time, shard: ShardId, out: &mut Vec<super::JobEffect>) {
         let Some(kept) = self.shards.get(&shard) else { return };
         let in_rounds: usize = kept.rounds.values().map(|round| round.tasks.len()).sum();
-        let mut budget = self.limits.place_at_once.saturating_sub(in_rounds);
+        let mut budget = self.limits.max_pending_placements.saturating_sub(in_rounds);
         let mut order: Vec<(Rank, Reverse<u64>, JobId)> = Vec::new();
         for id in &kept.open {
             let Some(job) = kept.jobs.get(id) else { continue };
@@ -114,15 +114,15 @@
             }
         }
         order.sort();
-        let mut batches: BTreeMap<NodeId, Vec<Want>> = BTreeMap::new();
+        let mut batches: BTreeMap<NodeId, Vec<TaskRequest>> = BTreeMap::new();
         for (rank, _, id) in order {
             if budget == 0 {
                 break;
             }
             budget -= self.plan_job(now, shard, &id, rank, budget, &mut batches);
         }
-        for (node, wants) in batches {
-            self.ask_node(now, shard, node, wants, out);
+        for (node, requests) in batches {
+            self.ask_node(now, shard, node, requests, out);
         }
     }
 
@@ -134,7 +134,7 @@
         id: &JobId,
         rank: Rank,
         budget: usize,
-        batches: &mut BTreeMap<NodeId, Vec<Want>>,
+        batches: &mut BTreeMap<NodeId, Vec<TaskRequest>>,
     ) -> usize {
         let Some(job) = self.shards.get(&shard).and_then(|kept| kept.jobs.get(id)) else {
             return 0;
@@ -159,8 +159,8 @@
             if reclaim {
                 job.reclaimed_at = Some(now);
             }
-            let wants = chunk.iter().map(|index| want(job, *index, rank, reclaim));
-            batches.entry(node).or_default().extend(wants);
+            let requests = chunk.iter().map(|index| want(job, *index, rank, reclaim));
+            batches.entry(node).or_default().extend(requests);
             planned += chunk.len();
         }
         planned
@@ -178,13 +178,13 @@
         now: Time,
         shard: ShardId,
         node: NodeId,
-        wants: Vec<Want>,
+        requests: Vec<TaskRequest>,
         out: &mut Vec<super::JobEffect>,
     ) {
         self.next_ticket = self.next_ticket.next();
         let round = self.next_ticket;
-        let tasks: Vec<TaskId> = wants.iter().map(|want| want.task.clone()).collect();
-        for want in wants.iter().filter(|want| want.reclaim) {
+        let tasks: Vec<TaskId> = requests.iter().map(|want| want.task.clone()).collect();
+        for want in requests.iter().filter(|want| want.reclaim) {
             if let Some(job) = self.job_mut(&want.task) {
                 job.reclaim_round = Some(round);
             }
@@ -202,7 +202,7 @@
         if let Some(info) = self.nodes.get_mut(&node) {
             info.asked = Some(now);
         }
-        let msg = NodeMsg::Place(Place { shard, round, wants });
+        let msg = NodeMsg::Place(Place { shard, round, requests });
         out.push(super::JobEffect::SendToNode { node, msg });
     }
 
@@ -213,7 +213,7 @@
         let resources = &job.record.resources;
         let may = |(node, info): &(&NodeId, &NodeInfo)| {
             !job.full.contains(node)
-                && info.room.as_ref().is_none_or(|room| room.could_hold(resources))
+                && info.room.as_ref().is_none_or(|room| room.could_fit(resources))
         };
         let nodes: Vec<(&NodeId, &NodeInfo)> = self.nodes.iter().filter(may).collect();
         if nodes.is_empty() {
@@ -313,11 +313,11 @@
     urgent: bool,
 }
 
-fn want(job: &Job, index: u32, rank: Rank, reclaim: bool) -> Want {
+fn want(job: &Job, index: u32, rank: Rank, reclaim: bool) -> TaskRequest {
     let record = &job.record;
     let task = &record.tasks[index as usize];
     let spread = if job.spread { job.data_centres() } else { Default::default() };
-    Want {
+    TaskRequest {
         task: TaskId { job: record.spec.job.clone(), index },
         attempt: task.attempts.next(),
         class: record.spec.class.clone(),
@@ -326,7 +326,7 @@
         // A task that failed may have been held to too little.
         learned_size: record.learned_size && task.fails == 0,
         service: record.service,
-        lent: rank == Rank::Lent,
+        over_quota: rank == Rank::Lent,
         reclaim,
         avoid: task.failed_on.clone(),
         avoid_data_centres: spread,
--- a/crates/tasks/src/jobs/record.rs
+++ b/crates/tasks/src/jobs/record.rs
@@ -92,7 +92,7 @@
     /// What it may use.
     pub resources: Resources,
     /// Whether its room is lent.
-    pub lent: bool,
+    pub over_quota: bool,
 }
 
 /// What lasts of one task.
@@ -234,7 +234,7 @@
         if !current {
             return;
         }
-        task.note_end(how, blamed);
+        task.record_end(how, blamed);
         task.life = match how {
             AttemptEnd::Done if !service => TaskLife::Over(TaskResult::Done),
             _ if cancelled => TaskLife::Over(TaskResult::Cancelled),
@@ -247,7 +247,7 @@
 }
 
 impl TaskRecord {
-    fn note_end(&mut self, how: &AttemptEnd, blamed: &Option<VmId>) {
+    fn record_end(&mut self, how: &AttemptEnd, blamed: &Option<VmId>) {
         match how {
             // A stop without a checkpoint leaves the earlier one: resuming from it repeats some
             // work, which is better than all of it.
--- a/crates/tasks/src/jobs/rounds.rs
+++ b/crates/tasks/src/jobs/rounds.rs
@@ -1,7 +1,7 @@
 //! Questions for room in progress, and their answers.
 
 use {
-    super::{JobBook, JobEffect, queue::NodeInfo},
+    super::{JobEffect, JobTable, queue::NodeInfo},
     crate::msg::{Grant, Placed},
     egretlb_types::{Authority, NodeId, ShardId, TaskId, Ticket, Time},
 };
@@ -14,7 +14,7 @@
     pub(super) tasks: Vec<TaskId>,
 }
 
-impl JobBook {
+impl JobTable {
     pub(super) fn on_placed(
         &mut self,
         now: Time,
@@ -42,9 +42,9 @@
 
     fn note_node(&mut self, now: Time, from: NodeId, placed: &Placed) {
         let Some(node) = self.nodes.get_mut(&from) else { return };
-        self.sizes.note(now, &placed.room);
+        self.sizes.note(now, &placed.capacity);
         let NodeInfo { room, usage, .. } = node;
-        *room = Some(placed.room.clone());
+        *room = Some(placed.capacity.clone());
         for of_team in &placed.usage {
             usage.insert(of_team.team.clone(), of_team.held);
         }
--- a/crates/tasks/src/jobs/services.rs
+++ b/crates/tasks/src/jobs/services.rs
@@ -6,7 +6,7 @@
 
 use {
     super::{
-        JobAlarm, JobBook, JobEffect, JobEntry, JobSpec,
+        JobAlarm, JobEffect, JobEntry, JobSpec, JobTable,
         job::Job,
         record::{JobRecord, service_job},
     },
@@ -116,7 +116,7 @@
     }
 }
 
-impl JobBook {
+impl JobTable {
     pub(super) fn on_load(&mut self, now: Time, from: NodeId, class: ClassName, load: ClassLoad) {
         if let Some(service) = self.services.get_mut(&class) {
             service.loads.insert(from, (now, load));
@@ -275,14 +275,14 @@
         wanted.saturating_sub(stays + asked)
     }
 
-    fn tell_pressure(&mut self, class: &ClassName, missing: bool, out: &mut Vec<JobEffect>) {
+    fn tell_pressure(&mut self, class: &ClassName, missed: bool, out: &mut Vec<JobEffect>) {
         let Some(service) = self.services.get_mut(class) else { return };
-        if !missing {
+        if !missed {
             return;
         }
         service.idle_since = None;
         for node in self.nodes.keys() {
-            let msg = NodeMsg::Pressure { class: class.clone(), missing };
+            let msg = NodeMsg::TargetStatus { class: class.clone(), missed };
             out.push(JobEffect::SendToNode { node: *node, msg });
         }
     }
--- a/crates/tasks/src/jobs/starts.rs
+++ b/crates/tasks/src/jobs/starts.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        JobBook, JobEffect, JobEntry, Pending,
+        JobEffect, JobEntry, JobTable, Pending,
         job::{Active, Job},
         record::AttemptRecord,
     },
@@ -10,7 +10,7 @@
     egretlb_types::{Authority, Fence, ShardId, TaskId, Time, VmId, worker::TaskFence},
 };
 
-impl JobBook {
+impl JobTable {
     /// Journals an attempt for which room was found. It is asked for once that is acknowledged:
     /// an attempt that runs and that a successor can't read of would be started a second time.
     pub(super) fn start(
@@ -25,14 +25,14 @@
             return;
         }
         let Some(epoch) = self.held(now, shard, auth) else { return };
-        let lent = self.is_lent(now, &grant.task);
+        let over_quota = self.is_lent(now, &grant.task);
         let attempt = AttemptRecord {
             fence: Fence { epoch, attempt: grant.attempt },
             vm: grant.vm,
             rack: grant.rack,
             data_centre: grant.data_centre,
             resources: grant.resources,
-            lent,
+            over_quota,
         };
         let of = TaskFence { task: grant.task.clone(), fence: attempt.fence };
         if let Some(job) = self.job_mut(&grant.task) {
@@ -78,8 +78,8 @@
     /// Asks again for what has had no answer: starts, stops, and now and then running attempts.
     pub(super) fn resend(&mut self, now: Time, shard: ShardId, out: &mut Vec<JobEffect>) {
         let again = now + self.limits.resend;
-        let seldom = now + self.limits.ask_running;
-        let mut stops = self.limits.cancel_at_once;
+        let seldom = now + self.limits.running_check_interval;
+        let mut stops = self.limits.max_concurrent_stops;
         let Some(kept) = self.shards.get_mut(&shard) else { return };
         let open: Vec<_> = kept.open.iter().cloned().collect();
         for id in &open {
@@ -111,7 +111,7 @@
         auth: &dyn Authority,
         out: &mut Vec<JobEffect>,
     ) {
-        let seldom = now + self.limits.ask_running;
+        let seldom = now + self.limits.running_check_interval;
         let again = now + self.limits.resend;
         let shard = super::job_shard_of_task(&of.task);
         if self.held(now, shard, auth).is_none() {
@@ -157,7 +157,7 @@
             reservation: active.reservation,
             class: record.spec.class.clone(),
             service: record.service,
-            lent: active.attempt.lent,
+            over_quota: active.attempt.over_quota,
             resources: active.attempt.resources,
             checkpoint: record.tasks.get(index as usize)?.checkpoint.clone(),
             command: record.spec.command.clone(),
--- a/crates/tasks/src/learn/interference.rs
+++ b/crates/tasks/src/learn/interference.rs
@@ -32,13 +32,13 @@
 
 /// Learned weights by pair of classes.
 #[derive(Clone, Debug, Default)]
-pub struct InterferenceTable {
+pub struct InterferenceModel {
     /// For each class that suffers, what each class causes.
     rows: BTreeMap<ClassName, BTreeMap<ClassName, Weight>>,
     now: Time,
 }
 
-impl InterferenceTable {
+impl InterferenceModel {
     /// Takes in the running tasks of one VM.
     pub fn take(&mut self, now: Time, running: &[RunningTask]) {
         self.now = now;
@@ -87,16 +87,16 @@
     }
 
     /// How much one task of `by` is expected to slow one of `of` down; 1.0 doubles its time.
-    pub fn pair(&self, of: &ClassName, by: &ClassName) -> f64 {
+    pub fn pair_slowdown(&self, of: &ClassName, by: &ClassName) -> f64 {
         let Some(weight) = self.rows.get(of).and_then(|row| row.get(by)) else { return 0.0 };
         let samples = faded(weight, self.now);
         weight.value * samples / (samples + HALF_TRUSTED)
     }
 }
 
-impl InterferenceTable {
+impl InterferenceModel {
     /// Whether tasks of `by` are known, not only believed, to leave tasks of `of` alone.
-    pub fn is_quiet(&self, of: &ClassName, by: &ClassName) -> bool {
+    pub fn is_harmless(&self, of: &ClassName, by: &ClassName) -> bool {
         let weight = self.rows.get(of).and_then(|row| row.get(by));
         weight.is_some_and(|weight| weight.value < QUIET && faded(weight, self.now) >= HALF_TRUSTED)
     }
--- a/crates/tasks/src/learn/mod.rs
+++ b/crates/tasks/src/learn/mod.rs
@@ -7,7 +7,7 @@
 mod interference;
 mod sizes;
 
-pub use {interference::InterferenceTable, sizes::SizeTable};
+pub use {interference::InterferenceModel, sizes::SizeTable};
 
 use {
     egretlb_types::{ClassName, Resources, Time, worker::WorkerReport},
@@ -16,16 +16,20 @@
 
 /// All that a node has learned.
 #[derive(Debug)]
-pub struct Learned {
+pub struct ClassStatistics {
     on: bool,
     sizes: SizeTable,
-    interference: InterferenceTable,
+    interference: InterferenceModel,
 }
 
-impl Learned {
+impl ClassStatistics {
     /// Nothing learned yet. With `on` false nothing ever is, as a baseline to measure against.
     pub fn new(on: bool) -> Self {
-        Learned { on, sizes: SizeTable::default(), interference: InterferenceTable::default() }
+        ClassStatistics {
+            on,
+            sizes: SizeTable::default(),
+            interference: InterferenceModel::default(),
+        }
     }
 
     /// Takes in one report of a VM. `class_of` tells the class of an ended task, if still known.
@@ -39,12 +43,12 @@
             return;
         }
         for running in &report.running {
-            self.sizes.note_use(&running.class, &running.used);
+            self.sizes.record_usage(&running.class, &running.used);
         }
         for ended in &report.ended {
             if let Some(class) = class_of(&ended.of) {
                 let ran = Duration::from_millis(ended.ran_ms);
-                self.sizes.note_end(&class, &ended.peak, ran, ended.end);
+                self.sizes.record_end(&class, &ended.peak, ran, ended.end);
             }
         }
         self.interference.take(now, &report.running);
@@ -61,13 +65,13 @@
     }
 
     /// How much a task of `by` is expected to slow a task of `of` down: 1.0 doubles its time.
-    pub fn pair(&self, of: &ClassName, by: &ClassName) -> f64 {
-        self.interference.pair(of, by)
+    pub fn pair_slowdown(&self, of: &ClassName, by: &ClassName) -> f64 {
+        self.interference.pair_slowdown(of, by)
     }
 
     /// Whether tasks of `by` are known to leave tasks of `of` alone.
-    pub fn is_quiet(&self, of: &ClassName, by: &ClassName) -> bool {
-        self.interference.is_quiet(of, by)
+    pub fn is_harmless(&self, of: &ClassName, by: &ClassName) -> bool {
+        self.interference.is_harmless(of, by)
     }
 
     /// The slowdown expected from putting one more task among `neighbours`, summed over all who
@@ -85,8 +89,8 @@
         }
         let weight = |service: bool| if service { 1.0 } else { BATCH_SHARE };
         let both_ways = |(other, other_service): (&ClassName, bool)| {
-            self.pair(other, class) * weight(other_service)
-                + self.pair(class, other) * weight(service)
+            self.pair_slowdown(other, class) * weight(other_service)
+                + self.pair_slowdown(class, other) * weight(service)
         };
         neighbours.map(both_ways).sum()
     }
--- a/crates/tasks/src/learn/sizes.rs
+++ b/crates/tasks/src/learn/sizes.rs
@@ -66,13 +66,13 @@
 
 impl SizeTable {
     /// A running task's use was measured.
-    pub fn note_use(&mut self, class: &ClassName, used: &Resources) {
+    pub fn record_usage(&mut self, class: &ClassName, used: &Resources) {
         let size = self.entry(class);
         size.peak = size.peak.max(used);
     }
 
     /// A task ended.
-    pub fn note_end(&mut self, class: &ClassName, peak: &Resources, ran: Duration, end: TaskEnd) {
+    pub fn record_end(&mut self, class: &ClassName, peak: &Resources, ran: Duration, end: TaskEnd) {
         let size = self.entry(class);
         size.peak = scale(&size.peak, KEEP_PERMILLE).max(peak);
         if end != TaskEnd::Done {
--- a/crates/tasks/src/lib.rs
+++ b/crates/tasks/src/lib.rs
@@ -1,6 +1,6 @@
 //! Jobs and tasks: leases, placement, eviction, quotas and recovery, as two reducers.
 //!
-//! [`JobBook`] knows where each task may run and journals it; [`RackBook`] knows what each VM
+//! [`JobTable`] knows where each task may run and journals it; [`RackTable`] knows what each VM
 //! holds and journals nothing, since a successor learns it from the VMs' reports. They meet only
 //! through the messages of [`msg`], which may be lost, doubled, delayed and reordered.
 //!
@@ -15,14 +15,14 @@
 
 pub use crate::{
     jobs::{
-        CallId, JobAlarm, JobBook, JobBookBuilder, JobCounts, JobEffect, JobEntry, JobEvent,
-        JobRefusal, JobReply, JobSnapshot, JobSpec, JobStatus, TaskRecord, TaskResult,
+        CallId, JobAlarm, JobCounts, JobEffect, JobEntry, JobEvent, JobRefusal, JobReply,
+        JobSnapshot, JobSpec, JobStatus, JobTable, JobTableBuilder, TaskRecord, TaskResult,
         job_shard_of_task, service_job,
     },
-    learn::{InterferenceTable, Learned, SizeTable},
+    learn::{ClassStatistics, InterferenceModel, SizeTable},
     limits::{Limits, Protections},
     racks::{
-        Backend, CallError, Guard, RackAlarm, RackBook, RackBookBuilder, RackEffect, RackEvent,
+        Backend, CallError, Guard, RackAlarm, RackEffect, RackEvent, RackTable, RackTableBuilder,
         VmSummary, WorkerAnswer, WorkerCall,
     },
 };
--- a/crates/tasks/src/limits.rs
+++ b/crates/tasks/src/limits.rs
@@ -10,16 +10,16 @@
     pub lease: Duration,
     /// How often the leases of a VM are renewed: a third of the lease, so that two lost renewals
     /// cost nothing.
-    pub renew_every: Duration,
+    pub renew_interval: Duration,
     /// How long after its sending a call may still reach a worker. The runtime gives a call up
     /// earlier; this bounds what may sit in buffers. Assumed of the platform.
-    pub call_life: Duration,
+    pub max_call_delay: Duration,
     /// What clocks of different rates may differ by over the waits here.
     pub clock_margin: Duration,
     /// How long an owner out of authority goes on renewing leases, so that a log outage doesn't
     /// end all that runs. A successor of an owner that didn't release its shard waits as long
     /// before it declares an unreachable VM's attempts lost.
-    pub dark_renewal: Duration,
+    pub renewal_without_authority: Duration,
     /// How long room is kept for a task that was placed: a journal append and two messages.
     pub reservation: Duration,
     /// How long a placement may stay unanswered before another node is asked.
@@ -28,23 +28,23 @@
     pub resend: Duration,
     /// How often the owner of a job asks about an attempt that is known to run. Needed only where
     /// a VM and its rack's owner are lost together, so that nobody is left who knew of the attempt.
-    pub ask_running: Duration,
+    pub running_check_interval: Duration,
     /// The wait before a task that found no room asks again.
     pub place_backoff: Duration,
     /// The same for urgent tasks and services.
     pub urgent_backoff: Duration,
     /// The shortest time between two reports of a VM.
-    pub poll_min: Duration,
+    pub min_poll_interval: Duration,
     /// The longest time between two reports of a VM.
-    pub poll_max: Duration,
+    pub max_poll_interval: Duration,
     /// How long a call waits for the journal before the caller is told to ask again.
-    pub ack_within: Duration,
+    pub ack_timeout: Duration,
     /// The most tasks of a job: bounds memory and the size of a snapshot.
-    pub job_tasks_max: u32,
+    pub max_job_tasks: u32,
     /// The most jobs that a shard keeps; a full shard refuses with when to come back.
-    pub shard_jobs_max: usize,
+    pub max_shard_jobs: usize,
     /// How long an ended job's status is kept.
-    pub keep_ended: Duration,
+    pub ended_retention: Duration,
     /// Failures on so many distinct healthy VMs make the task itself at fault.
     pub parked_after_vms: usize,
     /// Failures of any kind after which a task is parked.
@@ -54,22 +54,22 @@
     pub never_fits_after: Duration,
     /// Stops of a cancellation wave in progress at once, for each shard. Keeps a wave of
     /// thousands from taking the place of renewals and starts.
-    pub cancel_at_once: usize,
+    pub max_concurrent_stops: usize,
     /// Wants sent in one round of placement, for each shard.
-    pub place_at_once: usize,
+    pub max_pending_placements: usize,
     /// Consecutive failures of distinct tasks that put a VM into quarantine.
     pub quarantine_after: u32,
     /// How often a VM in quarantine gets a task as a probe.
-    pub probe_every: Duration,
+    pub probe_interval: Duration,
     /// How long a service's replica is shut off from new requests before it is stopped.
     pub drain: Duration,
     /// The least time that a task runs before it may be evicted: an eviction costs about as much
     /// as is lost since its start.
-    pub min_run: Duration,
+    pub min_run_time: Duration,
     /// How long a throttle is given to show before the task is evicted.
-    pub throttle_trial: Duration,
+    pub throttle_effect_time: Duration,
     /// How long a service must meet its target before a throttle is lifted.
-    pub calm: Duration,
+    pub throttle_release_after: Duration,
     /// Evictions for a target's sake allowed a minute, for each 100 batch tasks running at a node.
     pub evictions_per_minute: u32,
 }
@@ -78,33 +78,33 @@
     fn default() -> Self {
         Limits {
             lease: Duration::from_secs(60),
-            renew_every: Duration::from_secs(20),
-            call_life: Duration::from_secs(2),
+            renew_interval: Duration::from_secs(20),
+            max_call_delay: Duration::from_secs(2),
             clock_margin: Duration::from_secs(1),
-            dark_renewal: Duration::from_secs(3_600),
+            renewal_without_authority: Duration::from_secs(3_600),
             reservation: Duration::from_secs(8),
             place_timeout: Duration::from_secs(2),
             resend: Duration::from_secs(2),
-            ask_running: Duration::from_secs(120),
+            running_check_interval: Duration::from_secs(120),
             place_backoff: Duration::from_secs(2),
             urgent_backoff: Duration::from_millis(300),
-            poll_min: Duration::from_secs(1),
-            poll_max: Duration::from_secs(15),
-            ack_within: Duration::from_secs(5),
-            job_tasks_max: 10_000,
-            shard_jobs_max: 4_000,
-            keep_ended: Duration::from_secs(24 * 3_600),
+            min_poll_interval: Duration::from_secs(1),
+            max_poll_interval: Duration::from_secs(15),
+            ack_timeout: Duration::from_secs(5),
+            max_job_tasks: 10_000,
+            max_shard_jobs: 4_000,
+            ended_retention: Duration::from_secs(24 * 3_600),
             parked_after_vms: 3,
             parked_after_fails: 8,
             never_fits_after: Duration::from_secs(30),
-            cancel_at_once: 32,
-            place_at_once: 64,
+            max_concurrent_stops: 32,
+            max_pending_placements: 64,
             quarantine_after: 5,
-            probe_every: Duration::from_secs(60),
+            probe_interval: Duration::from_secs(60),
             drain: Duration::from_secs(10),
-            min_run: Duration::from_secs(60),
-            throttle_trial: Duration::from_secs(20),
-            calm: Duration::from_secs(60),
+            min_run_time: Duration::from_secs(60),
+            throttle_effect_time: Duration::from_secs(20),
+            throttle_release_after: Duration::from_secs(60),
             evictions_per_minute: 2,
         }
     }
@@ -129,7 +129,7 @@
     /// An end is acknowledged, and a submission answered, only once it is journalled.
     pub journal_before_ack: bool,
     /// A start whose answer was lost is asked about before the task is started elsewhere.
-    pub resolve_doubt: bool,
+    pub resolve_unconfirmed: bool,
     /// Unsafe steps need authority.
     pub authority: bool,
 }
@@ -144,7 +144,7 @@
             report_before_grant: true,
             fence_outcomes: true,
             journal_before_ack: true,
-            resolve_doubt: true,
+            resolve_unconfirmed: true,
             authority: true,
         }
     }
--- a/crates/tasks/src/msg.rs
+++ b/crates/tasks/src/msg.rs
@@ -21,11 +21,11 @@
     /// Find room for tasks.
     Place(Place),
     /// A service class misses its target, or meets it again.
-    Pressure {
+    TargetStatus {
         /// The service class.
         class: ClassName,
         /// Whether it misses its target.
-        missing: bool,
+        missed: bool,
     },
 }
 
@@ -37,12 +37,12 @@
     /// Ties the answer to the question.
     pub round: Ticket,
     /// The tasks, most urgent first.
-    pub wants: Vec<Want>,
+    pub requests: Vec<TaskRequest>,
 }
 
 /// One task that needs room.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct TaskRequest {
     /// The task.
     pub task: TaskId,
     /// The attempt that the room is for.
@@ -58,7 +58,7 @@
     /// Whether it is a service's replica.
     pub service: bool,
     /// Whether its team is over its quota, so that it may be evicted for others' sake.
-    pub lent: bool,
+    pub over_quota: bool,
     /// Whether lent room may be taken back by eviction for it.
     pub reclaim: bool,
     /// VMs where it failed before.
@@ -107,7 +107,7 @@
     /// For how many of those lent room is being taken back.
     pub reclaiming: u32,
     /// The node's room.
-    pub room: NodeRoom,
+    pub capacity: NodeCapacity,
     /// What the teams of the wants hold at this node.
     pub usage: Vec<TeamUsage>,
 }
@@ -123,7 +123,7 @@
 
 /// What the VMs of a node's racks can hold.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct NodeRoom {
+pub struct NodeCapacity {
     /// How many VMs take new work.
     pub vms: u32,
     /// The room left, summed over the VMs.
@@ -133,17 +133,17 @@
     pub largest: SmallVec<[Resources; 2]>,
 }
 
-impl NodeRoom {
+impl NodeCapacity {
     /// Whether `want` fits none of the node's VMs, even empty ones.
     ///
     /// A node that knows no VM yet has just taken racks over and says nothing. Taken for a no, it
     /// isn't asked again until its room is told anew, and nothing starts on its racks for 20 s.
-    pub fn never_holds(&self, want: &Resources) -> bool {
-        !self.largest.is_empty() && !self.could_hold(want)
+    pub fn never_fits(&self, want: &Resources) -> bool {
+        !self.largest.is_empty() && !self.could_fit(want)
     }
 
     /// Whether `want` would fit an empty VM.
-    pub fn could_hold(&self, want: &Resources) -> bool {
+    pub fn could_fit(&self, want: &Resources) -> bool {
         self.largest.iter().any(|size| want.fits(size))
     }
 
@@ -192,7 +192,7 @@
     /// Whether it is a service's replica.
     pub service: bool,
     /// Whether its room is lent.
-    pub lent: bool,
+    pub over_quota: bool,
     /// What it may use.
     pub resources: Resources,
     /// The checkpoint to resume from.
@@ -227,14 +227,14 @@
         of: TaskFence,
     },
     /// The answer to the start was lost; it is being asked about.
-    InDoubt {
+    UnconfirmedStart {
         /// The attempt.
         of: TaskFence,
     },
     /// The attempt is over. Sent until acknowledged.
     Ended(Ended),
     /// The replica's VM is leaving: start another, this one will be stopped after a while.
-    Leaving {
+    VmDraining {
         /// The attempt.
         of: TaskFence,
     },
@@ -252,7 +252,7 @@
     /// How it ended.
     pub how: AttemptEnd,
     /// Whether the VM fails what others can run, so that a failure says nothing of the task.
-    pub suspect: bool,
+    pub vm_quarantined: bool,
     /// How long it ran, if known.
     pub ran: Duration,
 }
--- a/crates/tasks/src/racks/answers.rs
+++ b/crates/tasks/src/racks/answers.rs
@@ -1,7 +1,7 @@
 //! What workers answer, and what is known when they don't.
 
 use {
-    super::{About, Call, CallError, RackBook, RackEffect, WorkerAnswer, to_job, vm::Phase},
+    super::{About, Call, CallError, RackEffect, RackTable, WorkerAnswer, to_job, vm::Phase},
     crate::msg::{AttemptEnd, JobMsg},
     egretlb_types::{
         Authority, Ticket, Time, VmId,
@@ -10,7 +10,7 @@
     std::time::Duration,
 };
 
-impl RackBook {
+impl RackTable {
     pub(super) fn on_answer(
         &mut self,
         now: Time,
@@ -66,11 +66,11 @@
     /// A call got no answer. Grants and renewals on the VM end until it reports again.
     fn on_no_answer(&mut self, now: Time, call: Call, e: CallError, out: &mut Vec<RackEffect>) {
         let id = call.vm;
-        let resolve = self.protections.resolve_doubt;
-        let poll_min = self.limits.poll_min;
+        let resolve = self.protections.resolve_unconfirmed;
+        let min_poll_interval = self.limits.min_poll_interval;
         let Some(vm) = self.vms.get_mut(&id) else { return };
-        vm.suspect = true;
-        vm.poll_at = now + poll_min;
+        vm.unresponsive = true;
+        vm.poll_at = now + min_poll_interval;
         if let About::Start(of) = call.about {
             let Some(on) = vm.attempts.get_mut(&of) else { return };
             let never_left = e == CallError::NotSent && !on.doubt;
@@ -80,7 +80,7 @@
                 vm.close(now, &of, AttemptEnd::NeverRan, Duration::ZERO);
                 self.tell_ends(now, &id, out);
             } else {
-                out.push(to_job(&of.task, JobMsg::InDoubt { of: of.clone() }));
+                out.push(to_job(&of.task, JobMsg::UnconfirmedStart { of: of.clone() }));
             }
         }
         self.reindex(&id);
@@ -108,7 +108,7 @@
                 if on.service {
                     self.backends_changed.insert(vm.shard);
                 }
-                vm.poll_at = vm.poll_at.min(now + self.limits.poll_min);
+                vm.poll_at = vm.poll_at.min(now + self.limits.min_poll_interval);
                 let msg = JobMsg::Started { vm: id.clone(), rack: vm.shard, of: of.clone() };
                 out.push(to_job(&of.task, msg));
             }
--- a/crates/tasks/src/racks/api.rs
+++ b/crates/tasks/src/racks/api.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`RackBook`](super::RackBook) and comes out of it.
+//! What goes into a [`RackTable`](super::RackBook) and comes out of it.
 
 use {
     crate::msg::{JobMsg, NodeMsg, RackMsg},
@@ -227,7 +227,7 @@
     /// Its room was lent and its owner needs it.
     Reclaim,
     /// Its VM is leaving.
-    Leaving,
+    Draining,
     /// Its VM uses more than it holds.
     Overused,
 }
@@ -237,7 +237,7 @@
         f.write_str(match self {
             EvictReason::Service => "service",
             EvictReason::Reclaim => "reclaim",
-            EvictReason::Leaving => "leaving",
+            EvictReason::Draining => "leaving",
             EvictReason::Overused => "overused",
         })
     }
--- a/crates/tasks/src/racks/pressure.rs
+++ b/crates/tasks/src/racks/eviction.rs
@@ -8,10 +8,10 @@
 
 use {
     super::{
-        About, EvictReason, Guard, RackAlarm, RackBook, RackEffect, WorkerCall, to_job,
+        About, EvictReason, Guard, RackAlarm, RackEffect, RackTable, WorkerCall, to_job,
         vm::{OnVm, Phase, Vm},
     },
-    crate::msg::{JobMsg, Want},
+    crate::msg::{JobMsg, TaskRequest},
     egretlb_types::{
         Authority, ClassName, Resources, Time, VmId,
         worker::{TaskFence, ThrottleTask},
@@ -71,7 +71,7 @@
     }
 }
 
-impl RackBook {
+impl RackTable {
     /// One look at pressed services and throttled tasks.
     pub(super) fn relieve(&mut self, now: Time, auth: &dyn Authority, out: &mut Vec<RackEffect>) {
         if now < self.pressure.next {
@@ -107,14 +107,14 @@
     }
 
     fn relieve_vm(&mut self, now: Time, id: &VmId, out: &mut Vec<RackEffect>) {
-        let (min_run, trial) = (self.limits.min_run, self.limits.throttle_trial);
+        let (min_run_time, trial) = (self.limits.min_run_time, self.limits.throttle_effect_time);
         for of in self.by_noise(id) {
             let Some(on) = self.vms.get(id).and_then(|vm| vm.attempts.get(&of)) else { continue };
             match on.throttled {
                 None => return self.throttle(now, id, &of, THROTTLE_PERMILLE, out),
                 // Its effect isn't measured yet; a second step now might be one too many.
                 Some(since) if now.since(since) < trial => return,
-                Some(_) if now.since(on.since) >= min_run && self.pressure.take() => {
+                Some(_) if now.since(on.since) >= min_run_time && self.pressure.take() => {
                     return self.evict(now, id, &of, EvictReason::Service, out);
                 }
                 // It may not be evicted now and stays throttled; the next one is tried.
@@ -130,7 +130,8 @@
         let services: Vec<&ClassName> =
             vm.attempts.values().filter(|on| on.service).map(|on| &on.class).collect();
         let noise = |on: &OnVm| {
-            let learned: f64 = services.iter().map(|s| self.learned.pair(s, &on.class)).sum();
+            let learned: f64 =
+                services.iter().map(|s| self.learned.pair_slowdown(s, &on.class)).sum();
             learned + f64::from(on.used.cpu.0) / f64::from(vm.record.capacity.cpu.0.max(1))
         };
         let batch = vm.attempts.iter().filter(|(_, on)| !on.service && on.phase == Phase::Running);
@@ -162,12 +163,12 @@
     /// Lifts throttles where the VM's services have met their targets for a while. Lifting at the
     /// first good sign would set the task going and coming with every measurement.
     fn lift_throttles(&mut self, now: Time, auth: &dyn Authority, out: &mut Vec<RackEffect>) {
-        let calm = self.limits.calm;
+        let throttle_release_after = self.limits.throttle_release_after;
         let mut lift = Vec::new();
         for (id, vm) in &self.vms {
             let held = vm.attempts.values().filter(|on| on.service);
             let missed = held.filter_map(|on| self.pressure.missed.get(&on.class)).max();
-            let is_calm = missed.is_none_or(|missed| now.since(*missed) >= calm);
+            let is_calm = missed.is_none_or(|missed| now.since(*missed) >= throttle_release_after);
             if !is_calm || !self.holds(now, vm.shard, auth) {
                 continue;
             }
@@ -206,7 +207,7 @@
     pub(super) fn reclaim(
         &mut self,
         now: Time,
-        want: &Want,
+        want: &TaskRequest,
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) -> bool {
@@ -217,7 +218,9 @@
             if !open || !self.holds(now, vm.shard, auth) {
                 continue;
             }
-            let Some(victims) = victims(vm, &resources, now, self.limits.min_run) else { continue };
+            let Some(victims) = victims(vm, &resources, now, self.limits.min_run_time) else {
+                continue;
+            };
             if best.as_ref().is_none_or(|(_, least)| victims.len() < least.len()) {
                 best = Some((id.clone(), victims));
             }
@@ -252,35 +255,35 @@
             }
             if on.service {
                 on.phase = Phase::Draining { until: now + drain };
-                out.push(to_job(&of.task, JobMsg::Leaving { of: of.clone() }));
+                out.push(to_job(&of.task, JobMsg::VmDraining { of: of.clone() }));
             } else {
                 evicted.push(of.clone());
             }
         }
         self.reindex(id);
         for of in &evicted {
-            self.evict(now, id, of, EvictReason::Leaving, out);
+            self.evict(now, id, of, EvictReason::Draining, out);
         }
     }
 }
 
 /// The fewest lent batch tasks of a VM that make room, largest first; none if there is room, and
 /// `None` if all of them wouldn't do.
-fn victims(vm: &Vm, want: &Resources, now: Time, min_run: Duration) -> Option<Vec<TaskFence>> {
+fn victims(vm: &Vm, want: &Resources, now: Time, min_run_time: Duration) -> Option<Vec<TaskFence>> {
     // Room that is being freed already is waited for rather than freed twice, unless it is
     // promised to another task.
     let stopping = vm.attempts.values().filter(|on| on.phase == Phase::Stopping);
     let freed = stopping.fold(Resources::default(), |sum, on| sum.plus(&on.resources));
     let mut room = vm.room().plus(&freed).minus(&vm.promised);
-    let mut lent: Vec<(&TaskFence, &OnVm)> = vm
+    let mut over_quota: Vec<(&TaskFence, &OnVm)> = vm
         .attempts
         .iter()
-        .filter(|(_, on)| on.lent && !on.service && on.phase == Phase::Running)
-        .filter(|(_, on)| now.since(on.since) >= min_run)
+        .filter(|(_, on)| on.over_quota && !on.service && on.phase == Phase::Running)
+        .filter(|(_, on)| now.since(on.since) >= min_run_time)
         .collect();
-    lent.sort_by_key(|(_, on)| std::cmp::Reverse((on.resources.cpu, on.resources.memory)));
+    over_quota.sort_by_key(|(_, on)| std::cmp::Reverse((on.resources.cpu, on.resources.memory)));
     let mut victims = Vec::new();
-    for (of, on) in lent {
+    for (of, on) in over_quota {
         if want.fits(&room) {
             break;
         }
--- a/crates/tasks/src/racks/lease.rs
+++ b/crates/tasks/src/racks/lease.rs
@@ -6,7 +6,7 @@
 
 use {
     super::{
-        About, Guard, RackAlarm, RackBook, RackEffect, WorkerCall, to_job,
+        About, Guard, RackAlarm, RackEffect, RackTable, WorkerCall, to_job,
         vm::{Phase, Vm},
     },
     crate::msg::{AttemptEnd, Ended, JobMsg},
@@ -21,10 +21,10 @@
 /// a second.
 const TELL_DOUBLINGS: u32 = 3;
 
-impl RackBook {
+impl RackTable {
     /// The latest end of a lease that a call made now may grant.
     pub(super) fn bound_of_call(&self, now: Time) -> Time {
-        now + self.limits.call_life + self.limits.lease + self.limits.clock_margin
+        now + self.limits.max_call_delay + self.limits.lease + self.limits.clock_margin
     }
 
     /// The latest end of a lease granted by an earlier owner of the shard.
@@ -36,12 +36,12 @@
     pub(super) fn inherited_bound(&self, shard: ShardId) -> Time {
         let Some(kept) = self.shards.get(&shard) else { return Time::from_micros(u64::MAX) };
         let bound = self.bound_of_call(kept.owned_at);
-        if kept.released { bound } else { bound + self.limits.dark_renewal }
+        if kept.released { bound } else { bound + self.limits.renewal_without_authority }
     }
 
     /// Until when leases may be renewed: while authority is held, and for a while after.
     fn renew_until(&self, shard: ShardId) -> Option<Time> {
-        self.shards.get(&shard).map(|kept| kept.held_at + self.limits.dark_renewal)
+        self.shards.get(&shard).map(|kept| kept.held_at + self.limits.renewal_without_authority)
     }
 
     /// Renews all leases of a VM in one call.
@@ -51,7 +51,7 @@
         let Some(until) = self.renew_until(vm.shard) else { return };
         // A VM that doesn't answer isn't renewed: each renewal may arrive, and would prolong the
         // time until its attempts are known to be lost.
-        let may = !vm.suspect && !vm.lost && !vm.renewing && now < until;
+        let may = !vm.unresponsive && !vm.lost && !vm.renewing && now < until;
         if !may || now < vm.renew_at {
             return;
         }
@@ -61,10 +61,10 @@
         }
         let lease_ms = u32::try_from(self.limits.lease.as_millis()).unwrap_or(u32::MAX);
         let call = WorkerCall::Renew(RenewLeases { tasks, lease_ms });
-        let renew_every = self.limits.renew_every;
+        let renew_interval = self.limits.renew_interval;
         if let Some(vm) = self.vms.get_mut(id) {
             vm.renewing = true;
-            vm.renew_at = now + renew_every;
+            vm.renew_at = now + renew_interval;
             vm.extend_bound(bound);
         }
         self.call(now, id, About::Renew, call, Guard::Before(until), out);
@@ -72,7 +72,7 @@
 
     /// Asks a VM for a report when one is due.
     pub(super) fn poll(&mut self, now: Time, id: &VmId, out: &mut Vec<RackEffect>) {
-        let poll_min = self.limits.poll_min;
+        let min_poll_interval = self.limits.min_poll_interval;
         let Some(vm) = self.vms.get_mut(id) else { return };
         // The first report that can be fresh is asked for as soon as it can be.
         let fresh_due =
@@ -81,7 +81,7 @@
             return;
         }
         vm.polling = true;
-        vm.poll_at = now + poll_min;
+        vm.poll_at = now + min_poll_interval;
         self.call(now, id, About::Report, WorkerCall::Report, Guard::None, out);
     }
 
@@ -90,7 +90,7 @@
         let wait = self.protections.wait_for_lease;
         let Some(vm) = self.vms.get_mut(id) else { return };
         let lapsed = now >= vm.lease_bound || !wait;
-        if !vm.suspect || vm.lost || !lapsed {
+        if !vm.unresponsive || vm.lost || !lapsed {
             return;
         }
         vm.lost = true;
@@ -121,7 +121,7 @@
                 rack,
                 of: of.clone(),
                 how: closed.how.clone(),
-                suspect: closed.suspect,
+                vm_quarantined: closed.vm_quarantined,
                 ran: closed.ran,
             };
             out.push(to_job(&of.task, JobMsg::Ended(ended)));
--- a/crates/tasks/src/racks/mod.rs
+++ b/crates/tasks/src/racks/mod.rs
@@ -7,10 +7,10 @@
 
 mod answers;
 mod api;
+mod eviction;
 mod index;
 mod lease;
 mod place;
-mod pressure;
 mod report;
 mod start;
 mod vm;
@@ -23,16 +23,16 @@
 use {
     crate::{
         jobs::job_shard_of_task,
-        learn::Learned,
+        learn::ClassStatistics,
         limits::{Limits, Protections},
-        msg::{JobMsg, NodeMsg, NodeRoom, RackMsg, ReservationId},
+        msg::{JobMsg, NodeCapacity, NodeMsg, RackMsg, ReservationId},
     },
     egretlb_types::{
         Authority, ClassName, ConfigDocument, Epoch, Resources, ShardId, TaskId, TeamName, Ticket,
         Time, VmId, VmRecord, shard_of_rack, worker::TaskFence,
     },
+    eviction::Pressure,
     index::RoomIndex,
-    pressure::Pressure,
     rand::{SeedableRng, rngs::SmallRng},
     smallvec::SmallVec,
     std::{
@@ -71,16 +71,16 @@
     Report,
 }
 
-/// Builds a [`RackBook`].
+/// Builds a [`RackTable`].
 #[derive(Debug, Default)]
-pub struct RackBookBuilder {
+pub struct RackTableBuilder {
     limits: Limits,
     protections: Protections,
     seed: u64,
     learning: bool,
 }
 
-impl RackBookBuilder {
+impl RackTableBuilder {
     /// Other limits than the default ones.
     pub fn limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
@@ -106,12 +106,12 @@
     }
 
     /// The book, without any shards.
-    pub fn build(self) -> RackBook {
-        RackBook {
+    pub fn build(self) -> RackTable {
+        RackTable {
             limits: self.limits,
             protections: self.protections,
             rng: SmallRng::seed_from_u64(self.seed),
-            learned: Learned::new(self.learning),
+            learned: ClassStatistics::new(self.learning),
             document: Arc::default(),
             shards: BTreeMap::new(),
             list: Arc::default(),
@@ -125,7 +125,7 @@
             backends_changed: BTreeSet::new(),
             pressure: Pressure::default(),
             usage: BTreeMap::new(),
-            room: NodeRoom::default(),
+            room: NodeCapacity::default(),
             sum_up_at: Time::ZERO,
             quarantined: BTreeSet::new(),
         }
@@ -134,11 +134,11 @@
 
 /// The book of what VMs hold: room, leases, attempts, health.
 #[derive(Debug)]
-pub struct RackBook {
+pub struct RackTable {
     limits: Limits,
     protections: Protections,
     rng: SmallRng,
-    learned: Learned,
+    learned: ClassStatistics,
     document: Arc<ConfigDocument>,
     shards: BTreeMap<ShardId, RackShard>,
     list: Arc<Vec<VmRecord>>,
@@ -156,7 +156,7 @@
     /// What each team's batch work holds, as last summed up.
     usage: BTreeMap<TeamName, Resources>,
     /// The room of all VMs, as last summed up.
-    room: NodeRoom,
+    room: NodeCapacity,
     sum_up_at: Time,
     quarantined: BTreeSet<VmId>,
 }
@@ -164,10 +164,10 @@
 /// How often room and use are summed up over all VMs.
 const SUM_UP_EVERY: Duration = Duration::from_millis(500);
 
-impl RackBook {
+impl RackTable {
     /// A builder with learning on.
-    pub fn builder() -> RackBookBuilder {
-        RackBookBuilder { learning: true, ..RackBookBuilder::default() }
+    pub fn builder() -> RackTableBuilder {
+        RackTableBuilder { learning: true, ..RackTableBuilder::default() }
     }
 
     /// Takes in one event and puts what is to be done into `out`.
@@ -191,8 +191,8 @@
             RackEvent::NodeMessage { from: _, msg: NodeMsg::Place(place) } => {
                 self.place(now, place, auth, out);
             }
-            RackEvent::NodeMessage { from: _, msg: NodeMsg::Pressure { class, missing } } => {
-                self.pressure.note(now, class, missing);
+            RackEvent::NodeMessage { from: _, msg: NodeMsg::TargetStatus { class, missed } } => {
+                self.pressure.note(now, class, missed);
             }
             RackEvent::RackMessage { shard, msg } => match msg {
                 RackMsg::Start(start) => self.on_start(now, shard, start, auth, out),
@@ -299,7 +299,7 @@
         }
         let mut vm = Vm::new(record.clone(), shard, slot, now);
         let owned_at = self.shards[&shard].owned_at;
-        vm.fresh_from = owned_at + self.limits.call_life;
+        vm.fresh_from = owned_at + self.limits.max_call_delay;
         vm.lease_bound = self.inherited_bound(shard);
         self.vms.insert(record.vm.clone(), vm);
     }
@@ -349,8 +349,8 @@
     }
 
     /// What the node's VMs can hold.
-    fn count_room(&self) -> NodeRoom {
-        let mut room = NodeRoom::default();
+    fn count_room(&self) -> NodeCapacity {
+        let mut room = NodeCapacity::default();
         for vm in self.vms.values() {
             room.add_size(&vm.record.capacity);
             if vm.may_grant(self.protections.report_before_grant) {
--- a/crates/tasks/src/racks/place.rs
+++ b/crates/tasks/src/racks/place.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        RackBook, RackEffect,
+        RackEffect, RackTable,
         vm::{Reserved, Vm},
     },
-    crate::msg::{Grant, JobMsg, Place, Placed, ReservationId, TeamUsage, Want},
+    crate::msg::{Grant, JobMsg, Place, Placed, ReservationId, TaskRequest, TeamUsage},
     egretlb_types::{Authority, ClassName, Resources, TeamName, Time, VmId},
     std::collections::BTreeMap,
 };
@@ -28,7 +28,7 @@
 /// services, and work that disturbs would find room only beside them.
 const QUIET_BONUS: f64 = 0.8;
 
-impl RackBook {
+impl RackTable {
     pub(super) fn place(
         &mut self,
         now: Time,
@@ -41,10 +41,10 @@
             granted: Vec::new(),
             refused: Vec::new(),
             reclaiming: 0,
-            room: Default::default(),
+            capacity: Default::default(),
             usage: Vec::new(),
         };
-        for want in &place.wants {
+        for want in &place.requests {
             match self.place_one(now, want, auth) {
                 Some(grant) => placed.granted.push(grant),
                 None => {
@@ -55,13 +55,13 @@
                 }
             }
         }
-        placed.room = self.room.clone();
-        placed.usage = self.usage_of(place.wants.iter().filter_map(|want| want.team.as_ref()));
+        placed.capacity = self.room.clone();
+        placed.usage = self.usage_of(place.requests.iter().filter_map(|want| want.team.as_ref()));
         let msg = JobMsg::Placed(placed);
         out.push(RackEffect::SendToJob { shard: place.shard, msg });
     }
 
-    fn place_one(&mut self, now: Time, want: &Want, auth: &dyn Authority) -> Option<Grant> {
+    fn place_one(&mut self, now: Time, want: &TaskRequest, auth: &dyn Authority) -> Option<Grant> {
         if let Some(grant) = self.granted_before(now, want) {
             return Some(grant);
         }
@@ -69,7 +69,7 @@
         let id = self.choose(now, want, &resources, auth)?;
         let vm = self.vms.get_mut(&id)?;
         if vm.health.quarantined {
-            vm.health.probe_at = now + self.limits.probe_every;
+            vm.health.probe_at = now + self.limits.probe_interval;
         }
         let epoch = self.shards.get(&vm.shard)?.epoch;
         self.next_ticket = self.next_ticket.next();
@@ -89,7 +89,7 @@
     }
 
     /// The same room again for a question that was doubled or whose answer was lost.
-    fn granted_before(&self, now: Time, want: &Want) -> Option<Grant> {
+    fn granted_before(&self, now: Time, want: &TaskRequest) -> Option<Grant> {
         let (id, reservation) = self.placed.get(&want.task)?;
         let reserved = self.vms.get(id)?.reservations.get(reservation)?;
         let same = reserved.attempt == want.attempt && now < reserved.until;
@@ -111,7 +111,7 @@
     }
 
     /// What to commit for a task: what was learned of its class, where that may stand in.
-    pub(super) fn size_of(&self, want: &Want) -> Resources {
+    pub(super) fn size_of(&self, want: &TaskRequest) -> Resources {
         if want.learned_size {
             self.learned.size(&want.class, &want.resources)
         } else {
@@ -124,7 +124,7 @@
     fn choose(
         &mut self,
         now: Time,
-        want: &Want,
+        want: &TaskRequest,
         resources: &Resources,
         auth: &dyn Authority,
     ) -> Option<VmId> {
@@ -151,7 +151,7 @@
         &self,
         now: Time,
         vm: &Vm,
-        want: &Want,
+        want: &TaskRequest,
         resources: &Resources,
         auth: &dyn Authority,
     ) -> bool {
@@ -167,7 +167,7 @@
     fn probe(
         &self,
         now: Time,
-        want: &Want,
+        want: &TaskRequest,
         resources: &Resources,
         auth: &dyn Authority,
     ) -> Option<VmId> {
@@ -184,7 +184,7 @@
 
     /// What placing the task on the VM would cost: expected slowdown on both sides, room left in
     /// shapes that are hard to use, lost spread. It only ranks; whether it fits is checked before.
-    fn cost(&self, vm: &Vm, want: &Want, resources: &Resources) -> f64 {
+    fn cost(&self, vm: &Vm, want: &TaskRequest, resources: &Resources) -> f64 {
         let left = vm.room().minus(resources);
         let part = |left: u32, of: u32| f64::from(left) / f64::from(of.max(1));
         let capacity = &vm.record.capacity;
@@ -203,7 +203,7 @@
         }
         let mut services = vm.attempts.values().filter(|on| on.service).peekable();
         let beside_services = !want.service && services.peek().is_some();
-        if beside_services && services.all(|on| self.learned.is_quiet(&on.class, &want.class)) {
+        if beside_services && services.all(|on| self.learned.is_harmless(&on.class, &want.class)) {
             cost -= QUIET_BONUS;
         }
         let neighbours = vm.attempts.values().map(|on| (&on.class, on.service));
@@ -224,7 +224,7 @@
     }
 }
 
-impl RackBook {
+impl RackTable {
     /// Sums up the room and what each class holds. Done now and then rather than for each
     /// question, so that a question's cost doesn't grow with the VMs.
     pub(super) fn sum_up(&mut self) {
--- a/crates/tasks/src/racks/report.rs
+++ b/crates/tasks/src/racks/report.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        RackAlarm, RackBook, RackEffect, to_job,
+        RackAlarm, RackEffect, RackTable, to_job,
         vm::{OnVm, Phase, Vm},
     },
     crate::{limits::Limits, msg::JobMsg},
@@ -13,7 +13,7 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-impl RackBook {
+impl RackTable {
     pub(super) fn on_report(
         &mut self,
         now: Time,
@@ -28,7 +28,7 @@
         if vm.report_sent.is_some_and(|taken| sent < taken) {
             return;
         }
-        if vm.suspect {
+        if vm.unresponsive {
             // In reach again: the leases are renewed at once, they may be about to lapse.
             vm.renew_at = now;
         }
@@ -36,7 +36,7 @@
             out.push(RackEffect::Alarm(RackAlarm::VmBack { vm: id.clone() }));
         }
         vm.report_sent = Some(sent);
-        vm.suspect = false;
+        vm.unresponsive = false;
         vm.lost = false;
         vm.says_leaving = report.leaving;
         self.learn(now, id, &report);
@@ -76,7 +76,7 @@
             // Everything it is given fails here: it would swallow a queue faster than any healthy
             // VM, since failing is quick.
             health.quarantined = true;
-            health.probe_at = now + self.limits.probe_every;
+            health.probe_at = now + self.limits.probe_interval;
             let alarm = RackAlarm::Quarantined { vm: id.clone(), fails: health.fails };
             out.push(RackEffect::Alarm(alarm));
         }
@@ -185,27 +185,27 @@
     limits: &Limits,
     run_time: impl Fn(&egretlb_types::ClassName) -> Option<Duration>,
 ) -> Duration {
-    let mut wait = limits.poll_max;
+    let mut wait = limits.max_poll_interval;
     for on in vm.attempts.values() {
         let ran = now.since(on.since);
         let expected = match run_time(&on.class) {
-            _ if on.service => limits.poll_max,
+            _ if on.service => limits.max_poll_interval,
             // What already runs longer than usual is asked about after a part of that excess.
             Some(usual) => usual.saturating_sub(ran).max(ran.saturating_sub(usual) / 4),
             None => ran / 4,
         };
         let watched = on.throttled.is_some() || on.slowdown_permille > 1_500;
-        let expected = if watched { expected.min(limits.poll_max / 3) } else { expected };
+        let expected = if watched { expected.min(limits.max_poll_interval / 3) } else { expected };
         wait = wait.min(expected);
     }
-    wait.max(limits.poll_min)
+    wait.max(limits.min_poll_interval)
 }
 
 fn adopted(now: Time, running: &RunningTask) -> OnVm {
     OnVm {
         class: running.class.clone(),
         service: running.service,
-        lent: false,
+        over_quota: false,
         resources: running.resources,
         phase: Phase::Running,
         start: None,
--- a/crates/tasks/src/racks/start.rs
+++ b/crates/tasks/src/racks/start.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        About, Guard, RackBook, RackEffect, WorkerCall, to_job,
+        About, Guard, RackEffect, RackTable, WorkerCall, to_job,
         vm::{OnVm, Phase},
     },
     crate::msg::{AttemptEnd, Ended, JobMsg, Start, Stop},
@@ -13,7 +13,7 @@
     std::time::Duration,
 };
 
-impl RackBook {
+impl RackTable {
     /// Starts an attempt in the room reserved for it, or finds out what became of it.
     ///
     /// Only the reservation made for this very attempt lets it start. A start that comes late or
@@ -31,7 +31,7 @@
         // An adopted attempt's room isn't known to be lent until its job's owner says so.
         let known = self.vms.get_mut(&start.vm).and_then(|vm| vm.attempts.get_mut(&start.of));
         if let Some(on) = known {
-            on.lent = start.lent;
+            on.over_quota = start.over_quota;
         }
         if !self.holds(now, shard, auth)
             || !self.answer_known(now, shard, &start.vm, &start.of, out)
@@ -134,7 +134,7 @@
             return false;
         }
         // Until a report says what runs here, nothing can be said, and nothing may be stopped.
-        vm.is_fresh() && !vm.suspect
+        vm.is_fresh() && !vm.unresponsive
     }
 
     /// A VM that isn't on the list, or not yet: its attempts are lost once no lease granted by an
@@ -155,7 +155,7 @@
             rack: shard,
             of: of.clone(),
             how: AttemptEnd::Lost,
-            suspect: false,
+            vm_quarantined: false,
             ran: Duration::ZERO,
         };
         out.push(to_job(&of.task, JobMsg::Ended(ended)));
@@ -199,7 +199,7 @@
         let mut on = asked_about(now, &start.class, start.service, true);
         on.phase = Phase::Starting;
         on.resources = resources;
-        on.lent = start.lent;
+        on.over_quota = start.over_quota;
         on.start = Some(Box::new(task));
         let Some(vm) = self.vms.get_mut(&start.vm) else { return };
         vm.attempts.insert(start.of, on);
@@ -231,10 +231,10 @@
         out: &mut Vec<RackEffect>,
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let (shard, suspect) = (vm.shard, vm.suspect);
+        let (shard, unresponsive) = (vm.shard, vm.unresponsive);
         // An unreachable VM is only polled: each start on its way would prolong the time after
         // which its attempts are known to be lost.
-        if suspect {
+        if unresponsive {
             return;
         }
         let mut due = Vec::new();
@@ -293,7 +293,7 @@
     OnVm {
         class: class.clone(),
         service,
-        lent: false,
+        over_quota: false,
         resources: Resources::default(),
         phase: Phase::Stopping,
         start: None,
--- a/crates/tasks/src/racks/vm.rs
+++ b/crates/tasks/src/racks/vm.rs
@@ -31,7 +31,7 @@
 pub(super) struct OnVm {
     pub(super) class: ClassName,
     pub(super) service: bool,
-    pub(super) lent: bool,
+    pub(super) over_quota: bool,
     pub(super) resources: Resources,
     pub(super) phase: Phase,
     /// Kept until the start is answered, to ask again.
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Closed {
     pub(super) how: AttemptEnd,
-    pub(super) suspect: bool,
+    pub(super) vm_quarantined: bool,
     pub(super) ran: Duration,
     pub(super) at: Time,
     pub(super) acked: bool,
@@ -111,7 +111,7 @@
     /// No lease granted on this VM lasts longer.
     pub(super) lease_bound: Time,
     /// A call got no answer: nothing is granted or renewed until it answers.
-    pub(super) suspect: bool,
+    pub(super) unresponsive: bool,
     pub(super) lost: bool,
     pub(super) polling: bool,
     pub(super) poll_at: Time,
@@ -141,7 +141,7 @@
             reservations: BTreeMap::new(),
             closed: BTreeMap::new(),
             lease_bound: now,
-            suspect: false,
+            unresponsive: false,
             lost: false,
             polling: false,
             poll_at: now,
@@ -165,7 +165,7 @@
     /// Whether new work may be granted, quarantine aside.
     pub(super) fn may_grant(&self, need_report: bool) -> bool {
         let known = self.is_fresh() || !need_report;
-        known && !self.suspect && !self.lost && !self.is_leaving()
+        known && !self.unresponsive && !self.lost && !self.is_leaving()
     }
 
     /// The room for new work: what neither commitments nor measurements take.
@@ -226,8 +226,9 @@
             self.recount();
             return false;
         }
-        let suspect = self.note_health(of, &how);
-        let closed = Closed { how, suspect, ran, at: now, acked: false, send_at: now, sends: 0 };
+        let vm_quarantined = self.note_health(of, &how);
+        let closed =
+            Closed { how, vm_quarantined, ran, at: now, acked: false, send_at: now, sends: 0 };
         self.closed.insert(of.clone(), closed);
         self.recount();
         true
--- a/crates/tasks/tests/learning.rs
+++ b/crates/tasks/tests/learning.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    egretlb_tasks::{InterferenceTable, SizeTable},
+    egretlb_tasks::{InterferenceModel, SizeTable},
     egretlb_types::{
         ClassName, Fence, Resources, TaskId, Time,
         worker::{RunningTask, TaskEnd, TaskFence},
@@ -37,7 +37,7 @@
     let mut sizes = SizeTable::default();
     let declared = resources(1.0, 1.0, 1);
     assert_eq!(sizes.size(&class("titles"), &declared), declared);
-    sizes.note_use(&class("titles"), &resources(4.0, 0.5, 0));
+    sizes.record_usage(&class("titles"), &resources(4.0, 0.5, 0));
     assert_eq!(sizes.size(&class("titles"), &declared), resources(4.0, 1.0, 1));
 }
 
@@ -51,7 +51,7 @@
         let size = sizes.size(&class("titles"), &declared);
         assert_eq!(size == declared, ended < 20, "after {ended}");
         let ran = Duration::from_secs(60);
-        sizes.note_end(&class("titles"), &resources(4.0, 0.1, 0), ran, TaskEnd::Done);
+        sizes.record_end(&class("titles"), &resources(4.0, 0.1, 0), ran, TaskEnd::Done);
     }
     assert_eq!(sizes.size(&class("titles"), &declared), resources(4.8, 2.0, 2));
     assert_eq!(sizes.run_time(&class("titles")), Some(Duration::from_secs(60)));
@@ -66,8 +66,8 @@
     let declared = resources(1.0, 1.0, 0);
     for _ in 0..200 {
         let given = sizes.size(&class("titles"), &declared);
-        sizes.note_use(&class("titles"), &given);
-        sizes.note_end(&class("titles"), &given, Duration::from_secs(1), TaskEnd::Done);
+        sizes.record_usage(&class("titles"), &given);
+        sizes.record_end(&class("titles"), &given, Duration::from_secs(1), TaskEnd::Done);
     }
     assert_eq!(sizes.size(&class("titles"), &declared), declared);
 }
@@ -76,7 +76,7 @@
 // reports don't say which; moving the wrong one would cost evictions and help nobody.
 #[test]
 fn blame_settles_on_the_cause() {
-    let mut table = InterferenceTable::default();
+    let mut table = InterferenceModel::default();
     let mut now = Time::from_secs(1);
     for round in 0..200_u32 {
         now = now + Duration::from_secs(5);
@@ -86,23 +86,23 @@
         all.extend((0..quiet).map(|i| running(20 + i, "gazette", 1_000)));
         table.take(now, &all);
     }
-    let titles = table.pair(&class("checks"), &class("titles"));
-    let gazette = table.pair(&class("checks"), &class("gazette"));
+    let titles = table.pair_slowdown(&class("checks"), &class("titles"));
+    let gazette = table.pair_slowdown(&class("checks"), &class("gazette"));
     assert!((0.15..0.25).contains(&titles), "{titles}");
     assert!(gazette < 0.03, "{gazette}");
-    assert!(table.is_quiet(&class("checks"), &class("gazette")));
+    assert!(table.is_harmless(&class("checks"), &class("gazette")));
     // An hour later, without any report of the pair, little of it is still believed.
     table.take(now + Duration::from_secs(3 * 3_600), &[]);
-    let faded = table.pair(&class("checks"), &class("titles"));
+    let faded = table.pair_slowdown(&class("checks"), &class("titles"));
     assert!(faded < titles / 10.0, "{faded}");
 }
 
 // One report is no knowledge: a single slow moment would keep two classes apart for long.
 #[test]
 fn few_samples_count_little() {
-    let mut table = InterferenceTable::default();
+    let mut table = InterferenceModel::default();
     let all = [running(0, "checks", 3_000), running(1, "titles", 1_000)];
     table.take(Time::from_secs(1), &all);
-    assert!(table.pair(&class("checks"), &class("titles")) < 0.05);
-    assert!(!table.is_quiet(&class("checks"), &class("titles")));
+    assert!(table.pair_slowdown(&class("checks"), &class("titles")) < 0.05);
+    assert!(!table.is_harmless(&class("checks"), &class("titles")));
 }
--- a/crates/tasks/tests/node_room.rs
+++ b/crates/tasks/tests/node_room.rs
@@ -2,8 +2,8 @@
 
 use {
     egretlb_tasks::{
-        CallId, JobBook, JobEffect, JobEvent, JobSpec,
-        msg::{JobMsg, NodeMsg, NodeRoom, Place, Placed},
+        CallId, JobEffect, JobEvent, JobSpec, JobTable,
+        msg::{JobMsg, NodeCapacity, NodeMsg, Place, Placed},
     },
     egretlb_types::{
         Authority, ClassKind, ClassSpec, ConfigDocument, Epoch, Megabytes, MilliCores, NodeId,
@@ -53,8 +53,8 @@
 }
 
 /// The room of a node that hears of its first VM a second after it took its racks over.
-fn room(now: Time) -> NodeRoom {
-    let mut room = NodeRoom::default();
+fn room(now: Time) -> NodeCapacity {
+    let mut room = NodeCapacity::default();
     if now >= Time::from_secs(1) {
         room.vms = 1;
         room.add_size(&task_size());
@@ -70,9 +70,9 @@
 fn asks_again_soon() {
     let job = "recall-1".parse().expect("a valid name");
     let shard = shard_of_job(&job);
-    let mut book = JobBook::builder().build();
+    let mut book = JobTable::builder().build();
     let mut out = Vec::new();
-    let mut step = |book: &mut JobBook, now, event| {
+    let mut step = |book: &mut JobTable, now, event| {
         book.step(now, event, &Always, &mut out);
         std::mem::take(&mut out)
     };
@@ -98,15 +98,15 @@
             }
         }
         for place in places(&effects) {
-            if !place.wants.is_empty() {
+            if !place.requests.is_empty() {
                 asked_at.push(now);
             }
             let placed = Placed {
                 round: place.round,
                 granted: Vec::new(),
-                refused: place.wants.iter().map(|want| want.task.clone()).collect(),
+                refused: place.requests.iter().map(|want| want.task.clone()).collect(),
                 reclaiming: 0,
-                room: room(now),
+                capacity: room(now),
                 usage: Vec::new(),
             };
             step(&mut book, now, JobEvent::Message { from: NODE, msg: JobMsg::Placed(placed) });
--- a/crates/tasks/tests/pressure.rs
+++ b/crates/tasks/tests/pressure.rs
@@ -32,7 +32,7 @@
             ("checks".parse().unwrap(), checks),
             ("night".parse().unwrap(), night),
         ]),
-        limits: Limits { poll_max: SECOND * 3, ..Limits::default() },
+        limits: Limits { max_poll_interval: SECOND * 3, ..Limits::default() },
         protections: Protections::default(),
         cells: Vec::new(),
         learning: true,
--- a/crates/tasks/tests/protections.rs
+++ b/crates/tasks/tests/protections.rs
@@ -19,7 +19,7 @@
     report_before_grant: true,
     fence_outcomes: true,
     journal_before_ack: true,
-    resolve_doubt: true,
+    resolve_unconfirmed: true,
     authority: true,
 };
 
@@ -64,7 +64,7 @@
 // A start's answer is lost and the start is taken for one that never happened.
 #[test]
 fn doubt_is_resolved() {
-    let off = Protections { resolve_doubt: false, ..ON };
+    let off = Protections { resolve_unconfirmed: false, ..ON };
     shows(off, &at(Step::StartAnswer, Fault::Lose), "runs on");
 }
 
--- a/crates/tasks/tests/support/faults.rs
+++ b/crates/tasks/tests/support/faults.rs
@@ -126,9 +126,9 @@
         JobMsg::Placed(placed) => {
             (Step::Placed, placed.granted.first().map(|grant| grant.task.clone()))
         }
-        JobMsg::Started { of, .. } | JobMsg::InDoubt { of } | JobMsg::Leaving { of } => {
-            (Step::StartedMessage, Some(of.task.clone()))
-        }
+        JobMsg::Started { of, .. }
+        | JobMsg::UnconfirmedStart { of }
+        | JobMsg::VmDraining { of } => (Step::StartedMessage, Some(of.task.clone())),
         JobMsg::Ended(ended) => (Step::EndedMessage, Some(ended.of.task.clone())),
     }
 }
@@ -136,7 +136,7 @@
 /// The step that a question for room is.
 pub fn step_of_node(msg: &NodeMsg) -> Option<Step> {
     match msg {
-        NodeMsg::Place(place) if !place.wants.is_empty() => Some(Step::Place),
+        NodeMsg::Place(place) if !place.requests.is_empty() => Some(Step::Place),
         _ => None,
     }
 }
--- a/crates/tasks/tests/support/world/mod.rs
+++ b/crates/tasks/tests/support/world/mod.rs
@@ -13,8 +13,8 @@
         worker::{Behaviour, FakeWorker},
     },
     egretlb_tasks::{
-        CallError, CallId, Guard, JobBook, JobEffect, JobEntry, JobEvent, JobReply, JobSnapshot,
-        JobSpec, JobStatus, Limits, Protections, RackAlarm, RackBook, RackEffect, RackEvent,
+        CallError, CallId, Guard, JobEffect, JobEntry, JobEvent, JobReply, JobSnapshot, JobSpec,
+        JobStatus, JobTable, Limits, Protections, RackAlarm, RackEffect, RackEvent, RackTable,
         WorkerAnswer, WorkerCall, job_shard_of_task,
         msg::{JobMsg, NodeMsg, RackMsg},
     },
@@ -55,13 +55,13 @@
     pub fn quick_limits() -> Limits {
         Limits {
             lease: Duration::from_secs(6),
-            renew_every: Duration::from_secs(2),
-            call_life: Duration::from_secs(1),
+            renew_interval: Duration::from_secs(2),
+            max_call_delay: Duration::from_secs(1),
             clock_margin: Duration::from_millis(300),
-            dark_renewal: Duration::from_secs(10),
-            poll_max: Duration::from_secs(2),
-            ask_running: Duration::from_secs(5),
-            probe_every: Duration::from_secs(5),
+            renewal_without_authority: Duration::from_secs(10),
+            max_poll_interval: Duration::from_secs(2),
+            running_check_interval: Duration::from_secs(5),
+            probe_interval: Duration::from_secs(5),
             ..Limits::default()
         }
     }
@@ -72,8 +72,8 @@
     alive: bool,
     paused_until: Time,
     cut_until: Time,
-    jobs: JobBook,
-    racks: RackBook,
+    jobs: JobTable,
+    racks: RackTable,
     /// What this node believes it owns.
     view: BTreeMap<ShardId, Epoch>,
     held_until: Time,
@@ -414,12 +414,12 @@
 
 fn new_node(i: usize, options: &WorldOptions) -> Node {
     let seed = options.seed.wrapping_mul(31).wrapping_add(i as u64);
-    let jobs = JobBook::builder()
+    let jobs = JobTable::builder()
         .limits(options.limits.clone())
         .protections(options.protections)
         .seed(seed)
         .build();
-    let racks = RackBook::builder()
+    let racks = RackTable::builder()
         .limits(options.limits.clone())
         .protections(options.protections)
         .learning(options.learning)
--- a/crates/tasks/tests/thin_path.rs
+++ b/crates/tasks/tests/thin_path.rs
@@ -17,7 +17,7 @@
         vms: vms(6, 2, resources(4.0, 8.0, 0)),
         document: document(classes),
         classes: behaviour,
-        limits: Limits { call_life: Duration::from_secs(1), ..Limits::default() },
+        limits: Limits { max_call_delay: Duration::from_secs(1), ..Limits::default() },
         protections: Protections::default(),
         cells: Vec::new(),
         learning: true,
--- a/crates/tasks/tests/urgent_quota.rs
+++ b/crates/tasks/tests/urgent_quota.rs
@@ -33,7 +33,7 @@
             ("bulk".parse().unwrap(), slow),
             ("recall".parse().unwrap(), Behaviour::default()),
         ]),
-        limits: Limits { min_run: SECOND * 5, ..WorldOptions::quick_limits() },
+        limits: Limits { min_run_time: SECOND * 5, ..WorldOptions::quick_limits() },
         protections: Protections::default(),
         cells: Vec::new(),
         learning,
