--- a/crates/tasks/src/jobs/calls.rs
+++ b/crates/tasks/src/jobs/calls.rs
@@ -12,13 +12,13 @@
 };
 
 /// When to come back to an owner that can't act now: a succession takes a few seconds.
-const COME_BACK: Duration = Duration::from_secs(3);
+const NOT_OWNER_RETRY: Duration = Duration::from_secs(3);
 
 /// When to come back to a full shard.
-const FULL_BACK: Duration = Duration::from_secs(60);
+const FULL_SHARD_RETRY: Duration = Duration::from_secs(60);
 
 pub(super) fn ask_again(call: CallId) -> JobEffect {
-    let after = RetryAfter::from_wait(COME_BACK);
+    let after = RetryAfter::from_wait(NOT_OWNER_RETRY);
     JobEffect::Reply { call, reply: JobReply::AskAgain { after } }
 }
 
@@ -54,10 +54,11 @@
         if is_service_job(&spec.job) {
             return Err(JobRefusal::ReservedName);
         }
-        let after = RetryAfter::from_wait(COME_BACK);
-        let kept = self.shards.get(&shard).filter(|_| self.held(now, shard, auth).is_some());
-        let Some(kept) = kept else { return Err(JobRefusal::NotOwner { after }) };
-        if let Some(job) = kept.jobs.get(&spec.job) {
+        let after = RetryAfter::from_wait(NOT_OWNER_RETRY);
+        let state =
+            self.shards.get(&shard).filter(|_| self.authorized_epoch(now, shard, auth).is_some());
+        let Some(state) = state else { return Err(JobRefusal::NotOwner { after }) };
+        if let Some(job) = state.jobs.get(&spec.job) {
             let same = job.record.spec == *spec;
             return if same { Ok(None) } else { Err(JobRefusal::OtherSpec) };
         }
@@ -65,11 +66,11 @@
         if !(1..=max).contains(&spec.tasks) {
             return Err(JobRefusal::BadCount { max });
         }
-        if kept.jobs.len() >= self.limits.max_shard_jobs {
-            return Err(JobRefusal::Full { after: RetryAfter::from_wait(FULL_BACK) });
+        if state.jobs.len() >= self.limits.max_shard_jobs {
+            return Err(JobRefusal::Full { after: RetryAfter::from_wait(FULL_SHARD_RETRY) });
         }
         let record = self.record_of(spec, after)?;
-        if self.fits_nowhere(now, &record.resources) {
+        if self.fits_no_known_vm(now, &record.resources) {
             return Err(JobRefusal::NeverFits);
         }
         Ok(Some(record))
@@ -105,11 +106,11 @@
     ) {
         let id = record.spec.job.clone();
         let entry = JobEntry::Submitted { record: Box::new(record.clone()) };
-        let mut whole = record;
-        whole.grow(whole.spec.tasks);
-        let Some(kept) = self.shards.get_mut(&shard) else { return };
-        kept.jobs.insert(id.clone(), Job::new(now, whole));
-        kept.open.insert(id.clone());
+        let mut with_tasks = record;
+        with_tasks.grow(with_tasks.spec.tasks);
+        let Some(state) = self.shards.get_mut(&shard) else { return };
+        state.jobs.insert(id.clone(), Job::new(now, with_tasks));
+        state.open.insert(id.clone());
         let ticket = self.journal(shard, entry, out);
         self.answer_when_journaled(now, call, shard, ticket, JobReply::Accepted { job: id }, out);
     }
@@ -141,7 +142,9 @@
         id: &JobId,
         out: &mut Vec<JobEffect>,
     ) {
-        let Some(job) = self.shards.get(&shard).and_then(|kept| kept.jobs.get(id)) else { return };
+        let Some(job) = self.shards.get(&shard).and_then(|state| state.jobs.get(id)) else {
+            return;
+        };
         let reply = JobReply::Accepted { job: id.clone() };
         if job.durable {
             out.push(JobEffect::Reply { call, reply });
@@ -164,13 +167,13 @@
         out: &mut Vec<JobEffect>,
     ) {
         let shard = shard_of_job(&id);
-        if self.held(now, shard, auth).is_none() {
-            let after = RetryAfter::from_wait(COME_BACK);
+        if self.authorized_epoch(now, shard, auth).is_none() {
+            let after = RetryAfter::from_wait(NOT_OWNER_RETRY);
             out.push(refuse(call, JobRefusal::NotOwner { after }));
             return;
         }
-        let Some(kept) = self.shards.get_mut(&shard) else { return };
-        let Some(job) = kept.jobs.get_mut(&id).filter(|job| !job.record.service) else {
+        let Some(state) = self.shards.get_mut(&shard) else { return };
+        let Some(job) = state.jobs.get_mut(&id).filter(|job| !job.record.service) else {
             out.push(refuse(call, JobRefusal::NoSuchJob));
             return;
         };
@@ -178,9 +181,9 @@
         for active in job.active.values_mut() {
             active.stop = true;
         }
-        kept.open.insert(id.clone());
+        state.open.insert(id.clone());
         let ticket = self.journal(shard, JobEntry::Cancelled { job: id.clone() }, out);
-        if let Some(job) = self.shards.get_mut(&shard).and_then(|kept| kept.jobs.get_mut(&id)) {
+        if let Some(job) = self.shards.get_mut(&shard).and_then(|state| state.jobs.get_mut(&id)) {
             job.refill(now);
         }
         self.answer_when_journaled(now, call, shard, ticket, JobReply::Cancelled { job: id }, out);
@@ -189,10 +192,10 @@
     pub(super) fn status(&mut self, now: Time, call: CallId, id: JobId, out: &mut Vec<JobEffect>) {
         let task = egretlb_types::TaskId { job: id, index: 0 };
         let shard = super::job_shard_of_task(&task);
-        let owned = self.shards.get(&shard).filter(|kept| kept.epoch.is_some());
-        let reply = match owned.map(|kept| kept.jobs.get(&task.job)) {
+        let owned = self.shards.get(&shard).filter(|state| state.epoch.is_some());
+        let reply = match owned.map(|state| state.jobs.get(&task.job)) {
             None => {
-                let after = RetryAfter::from_wait(COME_BACK);
+                let after = RetryAfter::from_wait(NOT_OWNER_RETRY);
                 JobReply::Refused(JobRefusal::NotOwner { after })
             }
             Some(None) => JobReply::Refused(JobRefusal::NoSuchJob),
@@ -203,7 +206,7 @@
 
     /// Answers calls that the journal keeps waiting: with the log down they would wait for as long
     /// as it takes, and their callers with them.
-    pub(super) fn give_up_calls(&mut self, now: Time, out: &mut Vec<JobEffect>) {
+    pub(super) fn expire_calls(&mut self, now: Time, out: &mut Vec<JobEffect>) {
         let within = self.limits.ack_timeout;
         self.pending.retain(|_, pending| match pending {
             Pending::Call { call, since, .. } if now.since(*since) >= within => {
--- a/crates/tasks/src/jobs/ends.rs
+++ b/crates/tasks/src/jobs/ends.rs
@@ -4,7 +4,7 @@
     super::{
         JobAlarm, JobEffect, JobEntry, JobTable, Pending,
         job::{Job, Waiting},
-        record::{TaskLife, TaskResult},
+        record::{TaskResult, TaskState},
     },
     crate::msg::{AttemptEnd, Ended, RackMsg},
     egretlb_types::{Authority, JobId, Resources, ShardId, Time, worker::TaskEnd},
@@ -12,13 +12,13 @@
 };
 
 /// How long a task waits after a failure before it is tried again; doubled with each failure.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const BASE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The most doublings of the wait.
-const RETRY_DOUBLINGS: u32 = 6;
+const MAX_RETRY_DOUBLINGS: u32 = 6;
 
 /// How often jobs that ended long ago are looked for.
-const FORGET_EVERY: Duration = Duration::from_secs(10);
+const FORGET_INTERVAL: Duration = Duration::from_secs(10);
 
 impl JobTable {
     pub(super) fn on_ended(
@@ -29,7 +29,7 @@
         out: &mut Vec<JobEffect>,
     ) {
         let shard = super::job_shard_of_task(&ended.of.task);
-        if self.held(now, shard, auth).is_none() {
+        if self.authorized_epoch(now, shard, auth).is_none() {
             return;
         }
         let index = ended.of.task.index;
@@ -42,13 +42,13 @@
         if current.is_none() || (current != Some(ended.of.fence) && fenced) {
             // Told before. While its entry is on its way to the journal, the acknowledgement
             // waits for it; the end is told again until then.
-            if !job.settling.contains(&index) {
+            if !job.unjournaled_ends.contains(&index) {
                 out.push(ack(&ended));
             }
             return;
         }
         job.active.remove(&index);
-        job.settling.insert(index);
+        job.unjournaled_ends.insert(index);
         self.journal_end(now, shard, ended, current.unwrap_or_default(), out);
     }
 
@@ -65,32 +65,33 @@
         let blamed = (failed && !ended.vm_quarantined).then(|| ended.vm.clone());
         let entry = JobEntry::Ended { task: task.clone(), fence, how: ended.how.clone(), blamed };
         let ticket = self.journal(shard, entry, out);
-        self.after_end(now, &ended, out);
+        self.requeue_or_alarm(now, &ended, out);
         if self.protections.journal_before_ack {
             self.pending.insert(ticket, Pending::End { shard, ended: Box::new(ended) });
         } else {
             out.push(ack(&ended));
             if let Some(job) = self.job_mut(&task) {
-                job.settling.remove(&task.index);
+                job.unjournaled_ends.remove(&task.index);
             }
         }
     }
 
     /// Queues the task again where it isn't over, and tells operators what they should know.
-    fn after_end(&mut self, now: Time, ended: &Ended, out: &mut Vec<JobEffect>) {
+    fn requeue_or_alarm(&mut self, now: Time, ended: &Ended, out: &mut Vec<JobEffect>) {
         let task = &ended.of.task;
         let Some(job) = self.job_mut(task) else { return };
         let class = job.record.spec.class.clone();
         let Some(record) = job.record.tasks.get(task.index as usize) else { return };
-        match record.life {
-            TaskLife::Queued => {
+        match record.state {
+            TaskState::Queued => {
                 let failed = ended.how == AttemptEnd::Failed;
-                let doublings = u32::from(record.fails).min(RETRY_DOUBLINGS);
-                let wait = if failed { RETRY_AFTER * 2_u32.pow(doublings) } else { Duration::ZERO };
+                let doublings = u32::from(record.fails).min(MAX_RETRY_DOUBLINGS);
+                let wait =
+                    if failed { BASE_RETRY_DELAY * 2_u32.pow(doublings) } else { Duration::ZERO };
                 let waiting = Waiting { since: now, not_before: now + wait, round: None };
                 job.waiting.insert(task.index, waiting);
             }
-            TaskLife::Over(TaskResult::Parked) => {
+            TaskState::Over(TaskResult::Parked) => {
                 let vms = record.failed_on.to_vec();
                 out.push(JobEffect::Alarm(JobAlarm::TaskParked { task: task.clone(), vms }));
             }
@@ -118,19 +119,19 @@
     ) {
         // Acknowledged without authority, an end could be forgotten by the rack's owner while a
         // successor has already read the journal without it.
-        if self.held(now, shard, auth).is_some() {
+        if self.authorized_epoch(now, shard, auth).is_some() {
             out.push(ack(&ended));
         }
         let index = ended.of.task.index;
         if let Some(job) = self.job_mut(&ended.of.task) {
-            job.settling.remove(&index);
+            job.unjournaled_ends.remove(&index);
         }
     }
 
     /// Closes jobs that are over, and gives up what can never fit.
     pub(super) fn close_jobs(&mut self, now: Time, shard: ShardId, out: &mut Vec<JobEffect>) {
-        let Some(kept) = self.shards.get(&shard) else { return };
-        let open: Vec<JobId> = kept.open.iter().cloned().collect();
+        let Some(state) = self.shards.get(&shard) else { return };
+        let open: Vec<JobId> = state.open.iter().cloned().collect();
         for id in open {
             self.close_job(now, shard, &id, out);
         }
@@ -143,51 +144,51 @@
         auth: &dyn Authority,
         out: &mut Vec<JobEffect>,
     ) {
-        if now < self.forget_at {
+        if now < self.next_forget_at {
             return;
         }
-        self.forget_at = now + FORGET_EVERY;
+        self.next_forget_at = now + FORGET_INTERVAL;
         let keep = self.limits.ended_retention;
         let is_old = |job: &Job| job.over_since.is_some_and(|since| now.since(since) >= keep);
         let mut old: Vec<(ShardId, JobId)> = Vec::new();
-        for (shard, kept) in &self.shards {
-            if self.held(now, *shard, auth).is_some() {
-                let jobs = kept.jobs.iter().filter(|(_, job)| is_old(job));
+        for (shard, state) in &self.shards {
+            if self.authorized_epoch(now, *shard, auth).is_some() {
+                let jobs = state.jobs.iter().filter(|(_, job)| is_old(job));
                 old.extend(jobs.map(|(id, _)| (*shard, id.clone())));
             }
         }
         for (shard, id) in old {
             self.journal(shard, JobEntry::Forgot { job: id.clone() }, out);
-            if let Some(kept) = self.shards.get_mut(&shard) {
-                kept.jobs.remove(&id);
+            if let Some(state) = self.shards.get_mut(&shard) {
+                state.jobs.remove(&id);
             }
         }
     }
 
     fn close_job(&mut self, now: Time, shard: ShardId, id: &JobId, out: &mut Vec<JobEffect>) {
-        let never_after = self.limits.never_fits_after;
-        let Some(kept) = self.shards.get_mut(&shard) else { return };
-        let Some(job) = kept.jobs.get_mut(id) else { return };
-        let idle = job.active.is_empty() && job.settling.is_empty();
+        let never_fits_after = self.limits.never_fits_after;
+        let Some(state) = self.shards.get_mut(&shard) else { return };
+        let Some(job) = state.jobs.get_mut(id) else { return };
+        let idle = job.active.is_empty() && job.unjournaled_ends.is_empty();
         if idle && job.record.is_over() {
             job.over_since = Some(now);
-            kept.open.remove(id);
+            state.open.remove(id);
             return;
         }
-        let never = job.never_since.is_some_and(|since| now.since(since) >= never_after);
+        let never = job.never_fits_since.is_some_and(|since| now.since(since) >= never_fits_after);
         if !never || job.record.service {
             return;
         }
-        job.never_since = None;
+        job.never_fits_since = None;
         self.journal(shard, JobEntry::NeverFits { job: id.clone() }, out);
         out.push(JobEffect::Alarm(JobAlarm::JobNeverFits { job: id.clone() }));
-        if let Some(job) = self.shards.get_mut(&shard).and_then(|kept| kept.jobs.get_mut(id)) {
+        if let Some(job) = self.shards.get_mut(&shard).and_then(|state| state.jobs.get_mut(id)) {
             job.refill(now);
         }
     }
 
     pub(super) fn mark_durable(&mut self, shard: ShardId, id: &JobId) {
-        if let Some(job) = self.shards.get_mut(&shard).and_then(|kept| kept.jobs.get_mut(id)) {
+        if let Some(job) = self.shards.get_mut(&shard).and_then(|state| state.jobs.get_mut(id)) {
             job.durable = true;
         }
     }
--- a/crates/tasks/src/jobs/job.rs
+++ b/crates/tasks/src/jobs/job.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         api::{JobCounts, JobStatus},
-        record::{AttemptRecord, JobRecord, TaskLife, TaskResult},
+        record::{AttemptRecord, JobRecord, TaskResult, TaskState},
     },
     crate::msg::ReservationId,
     egretlb_types::{DataCentre, NodeId, Ticket, Time},
@@ -28,9 +28,9 @@
     pub(super) reservation: Option<ReservationId>,
     pub(super) journaled: bool,
     pub(super) running: bool,
-    pub(super) doubt: bool,
+    pub(super) unconfirmed: bool,
     pub(super) stop: bool,
-    pub(super) leaving: bool,
+    pub(super) draining: bool,
     pub(super) since: Time,
     pub(super) send_at: Time,
 }
@@ -45,15 +45,15 @@
     pub(super) waiting: BTreeMap<u32, Waiting>,
     pub(super) active: BTreeMap<u32, Active>,
     /// Tasks whose end isn't acknowledged by the journal yet.
-    pub(super) settling: BTreeSet<u32>,
+    pub(super) unjournaled_ends: BTreeSet<u32>,
     /// Nodes that had no room for its tasks in this sweep.
-    pub(super) full: SmallVec<[NodeId; 4]>,
+    pub(super) refused_by: SmallVec<[NodeId; 4]>,
     /// Sweeps over all nodes without room for anything.
     pub(super) sweeps: u32,
     /// When the next sweep begins.
     pub(super) not_before: Time,
     /// Since when every node says that its tasks can never fit.
-    pub(super) never_since: Option<Time>,
+    pub(super) never_fits_since: Option<Time>,
     /// When lent room was last asked back for it.
     pub(super) reclaimed_at: Option<Time>,
     /// The question with which it was.
@@ -73,11 +73,11 @@
             durable: false,
             waiting: BTreeMap::new(),
             active: BTreeMap::new(),
-            settling: BTreeSet::new(),
-            full: SmallVec::new(),
+            unjournaled_ends: BTreeSet::new(),
+            refused_by: SmallVec::new(),
             sweeps: 0,
             not_before: now,
-            never_since: None,
+            never_fits_since: None,
             reclaimed_at: None,
             reclaim_round: None,
             spread: false,
@@ -93,7 +93,7 @@
         let mut job = Job::new(now, record);
         job.durable = true;
         for (index, task) in job.record.tasks.iter().enumerate() {
-            if let TaskLife::Attempt(attempt) = &task.life {
+            if let TaskState::Attempt(attempt) = &task.state {
                 let mut active = Active::new(now, attempt.clone(), None);
                 active.journaled = true;
                 active.stop = job.record.cancelled;
@@ -107,7 +107,7 @@
     pub(super) fn refill(&mut self, now: Time) {
         for (index, task) in self.record.tasks.iter().enumerate() {
             let index = index as u32;
-            if task.life == TaskLife::Queued {
+            if task.state == TaskState::Queued {
                 let waiting = Waiting { since: now, not_before: now, round: None };
                 self.waiting.entry(index).or_insert(waiting);
             } else {
@@ -119,7 +119,7 @@
     /// Where its attempts run.
     pub(super) fn data_centres(&self) -> SmallVec<[DataCentre; 4]> {
         let mut found = SmallVec::new();
-        for active in self.active.values().filter(|active| !active.stop && !active.leaving) {
+        for active in self.active.values().filter(|active| !active.stop && !active.draining) {
             if !found.contains(&active.attempt.data_centre) {
                 found.push(active.attempt.data_centre.clone());
             }
@@ -137,24 +137,24 @@
         for (index, task) in self.record.tasks.iter().enumerate() {
             let index = index as u32;
             // An end that isn't in the journal yet may be unknown to a successor: it isn't told.
-            if self.settling.contains(&index) {
+            if self.unjournaled_ends.contains(&index) {
                 counts.running += 1;
                 continue;
             }
-            match &task.life {
-                TaskLife::Queued => counts.queued += 1,
-                TaskLife::Attempt(_) => self.count_active(index, &mut counts),
-                TaskLife::Over(TaskResult::Done) => counts.done += 1,
-                TaskLife::Over(TaskResult::Parked) => counts.parked += 1,
-                TaskLife::Over(TaskResult::NeverFits) => counts.never_fits += 1,
-                TaskLife::Over(TaskResult::Cancelled) => counts.cancelled += 1,
+            match &task.state {
+                TaskState::Queued => counts.queued += 1,
+                TaskState::Attempt(_) => self.count_active(index, &mut counts),
+                TaskState::Over(TaskResult::Done) => counts.done += 1,
+                TaskState::Over(TaskResult::Parked) => counts.parked += 1,
+                TaskState::Over(TaskResult::NeverFits) => counts.never_fits += 1,
+                TaskState::Over(TaskResult::Cancelled) => counts.cancelled += 1,
             }
         }
         let waits = self.waiting.values().map(|waiting| now.since(waiting.since).as_secs());
         JobStatus {
             spec: self.record.spec.clone(),
             cancelled: self.record.cancelled,
-            over: self.record.is_over() && self.settling.is_empty(),
+            over: self.record.is_over() && self.unjournaled_ends.is_empty(),
             counts,
             attempts: self.record.tasks.iter().map(|task| u64::from(task.attempts.0)).sum(),
             waiting_secs: waits.max().unwrap_or(0),
@@ -165,7 +165,7 @@
         match self.active.get(&index) {
             Some(active) if active.stop => counts.stopping += 1,
             Some(active) if active.running => counts.running += 1,
-            Some(active) if active.doubt => counts.in_doubt += 1,
+            Some(active) if active.unconfirmed => counts.in_doubt += 1,
             _ => counts.starting += 1,
         }
     }
@@ -182,9 +182,9 @@
             reservation,
             journaled: false,
             running: false,
-            doubt: false,
+            unconfirmed: false,
             stop: false,
-            leaving: false,
+            draining: false,
             since: now,
             send_at: now,
         }
--- a/crates/tasks/src/jobs/mod.rs
+++ b/crates/tasks/src/jobs/mod.rs
@@ -32,11 +32,11 @@
         Ticket, Time, shard_of_class, worker::TaskFence,
     },
     job::Job,
-    queue::{NodeInfo, Sizes},
+    queue::{KnownVmSizes, NodeInfo},
     rand::{SeedableRng, rngs::SmallRng},
     record::{JobRecord, ParkRule, fold},
     rounds::Round,
-    services::Service,
+    services::ServiceState,
     std::{
         collections::{BTreeMap, BTreeSet, HashMap},
         sync::Arc,
@@ -102,15 +102,15 @@
             rng: SmallRng::seed_from_u64(self.seed),
             document: None,
             classes: HashMap::new(),
-            plan_services_at: Time::ZERO,
+            next_service_plan_at: Time::ZERO,
             nodes: BTreeMap::new(),
             shards: BTreeMap::new(),
             pending: HashMap::new(),
             next_ticket: Ticket(0),
             services: BTreeMap::new(),
             run_times: SizeTable::default(),
-            forget_at: Time::ZERO,
-            sizes: Sizes::default(),
+            next_forget_at: Time::ZERO,
+            sizes: KnownVmSizes::default(),
         }
     }
 }
@@ -125,16 +125,16 @@
     /// Where each class stands in the document: with thousands of classes a search through all
     /// of them for each waiting job would cost more than placing it.
     classes: HashMap<ClassName, usize>,
-    plan_services_at: Time,
+    next_service_plan_at: Time,
     nodes: BTreeMap<NodeId, NodeInfo>,
     shards: BTreeMap<ShardId, Shard>,
     pending: HashMap<Ticket, Pending>,
     next_ticket: Ticket,
-    services: BTreeMap<ClassName, Service>,
+    services: BTreeMap<ClassName, ServiceState>,
     /// Run times learned from ends, by class.
     run_times: SizeTable,
-    forget_at: Time,
-    sizes: Sizes,
+    next_forget_at: Time,
+    sizes: KnownVmSizes,
 }
 
 impl JobTable {
@@ -168,22 +168,22 @@
 
     /// Folds an entry of a predecessor's journal into a shard that isn't owned yet.
     pub fn replay(&mut self, shard: ShardId, entry: &JobEntry) {
-        let park = self.park_rule();
-        fold(&mut self.shards.entry(shard).or_default().replayed, entry, park);
+        let park_rule = self.park_rule();
+        fold(&mut self.shards.entry(shard).or_default().replayed, entry, park_rule);
     }
 
     /// Takes over a shard's snapshot; entries that follow it are replayed on top.
     pub fn restore(&mut self, shard: ShardId, snapshot: JobSnapshot) {
-        let kept = self.shards.entry(shard).or_default();
+        let state = self.shards.entry(shard).or_default();
         let jobs = snapshot.jobs.into_iter();
-        kept.replayed = jobs.map(|record| (record.spec.job.clone(), record)).collect();
+        state.replayed = jobs.map(|record| (record.spec.job.clone(), record)).collect();
     }
 
     /// Everything that lasts of a shard, owned or replayed.
     pub fn snapshot(&self, shard: ShardId) -> JobSnapshot {
-        let Some(kept) = self.shards.get(&shard) else { return JobSnapshot::default() };
-        let owned = kept.jobs.values().map(|job| job.record.clone());
-        JobSnapshot { jobs: owned.chain(kept.replayed.values().cloned()).collect() }
+        let Some(state) = self.shards.get(&shard) else { return JobSnapshot::default() };
+        let owned = state.jobs.values().map(|job| job.record.clone());
+        JobSnapshot { jobs: owned.chain(state.replayed.values().cloned()).collect() }
     }
 
     fn take_config(&mut self, document: Arc<ConfigDocument>) {
@@ -202,12 +202,12 @@
     }
 
     fn own(&mut self, now: Time, shard: ShardId, epoch: Epoch) {
-        let kept = self.shards.entry(shard).or_default();
-        kept.epoch = Some(epoch);
-        for (id, record) in std::mem::take(&mut kept.replayed) {
+        let state = self.shards.entry(shard).or_default();
+        state.epoch = Some(epoch);
+        for (id, record) in std::mem::take(&mut state.replayed) {
             let job = Job::adopt(now, record);
-            kept.open.insert(id.clone());
-            kept.jobs.insert(id, job);
+            state.open.insert(id.clone());
+            state.jobs.insert(id, job);
         }
     }
 
@@ -227,7 +227,7 @@
     }
 
     /// The epoch of a shard for which unsafe steps are allowed now.
-    fn held(&self, now: Time, shard: ShardId, auth: &dyn Authority) -> Option<Epoch> {
+    fn authorized_epoch(&self, now: Time, shard: ShardId, auth: &dyn Authority) -> Option<Epoch> {
         let epoch = self.shards.get(&shard)?.epoch?;
         let held = !self.protections.authority || auth.epoch_if_held(now, shard) == Some(epoch);
         held.then_some(epoch)
@@ -235,28 +235,28 @@
 
     /// Applies an entry and journals it.
     fn journal(&mut self, shard: ShardId, entry: JobEntry, out: &mut Vec<JobEffect>) -> Ticket {
-        let park = self.park_rule();
+        let park_rule = self.park_rule();
         self.next_ticket = self.next_ticket.next();
-        if let Some(kept) = self.shards.get_mut(&shard)
-            && let Some(job) = kept.jobs.get_mut(entry.job())
+        if let Some(state) = self.shards.get_mut(&shard)
+            && let Some(job) = state.jobs.get_mut(entry.job())
         {
-            record::fold_record(&mut job.record, &entry, park);
+            record::fold_record(&mut job.record, &entry, park_rule);
         }
         out.push(JobEffect::Journal { shard, entry, ticket: self.next_ticket });
         self.next_ticket
     }
 
     fn tick(&mut self, now: Time, auth: &dyn Authority, out: &mut Vec<JobEffect>) {
-        self.give_up_calls(now, out);
-        self.ask_rooms(now, out);
+        self.expire_calls(now, out);
+        self.query_capacity(now, out);
         self.plan_services(now, auth, out);
         self.forget_old_jobs(now, auth, out);
         // Most of a node's shards have nothing to do at most times.
-        let busy = |kept: &Shard| !kept.open.is_empty() || !kept.rounds.is_empty();
-        let busy = self.shards.iter().filter(|(_, kept)| busy(kept));
+        let busy = |state: &Shard| !state.open.is_empty() || !state.rounds.is_empty();
+        let busy = self.shards.iter().filter(|(_, state)| busy(state));
         let shards: Vec<ShardId> = busy.map(|(shard, _)| *shard).collect();
         for shard in shards {
-            if self.held(now, shard, auth).is_some() {
+            if self.authorized_epoch(now, shard, auth).is_some() {
                 self.expire_rounds(now, shard);
                 self.resend(now, shard, out);
                 self.plan(now, shard, out);
@@ -275,7 +275,7 @@
         match self.pending.remove(&ticket) {
             Some(Pending::Call { call, shard, reply, .. }) => {
                 // Only an append acknowledged under authority is certain to be read by a successor.
-                let held = self.held(now, shard, auth).is_some();
+                let held = self.authorized_epoch(now, shard, auth).is_some();
                 if let JobReply::Accepted { job } = &reply {
                     self.mark_durable(shard, job);
                 }
@@ -304,13 +304,13 @@
             JobMsg::Started { vm, rack, of } => self.on_started(now, vm, rack, of, auth, out),
             JobMsg::UnconfirmedStart { of } => {
                 if let Some(active) = self.active_mut(&of) {
-                    active.doubt = true;
+                    active.unconfirmed = true;
                 }
             }
             JobMsg::Ended(ended) => self.on_ended(now, ended, auth, out),
             JobMsg::VmDraining { of } => {
                 if let Some(active) = self.active_mut(&of) {
-                    active.leaving = true;
+                    active.draining = true;
                 }
             }
         }
--- a/crates/tasks/src/jobs/queue.rs
+++ b/crates/tasks/src/jobs/queue.rs
@@ -14,34 +14,34 @@
 
 /// Tasks of one job asked of one node in one round: enough to use a round trip, few enough that a
 /// large job spreads over the nodes.
-const CHUNK: usize = 8;
+const MAX_TASKS_PER_REQUEST: usize = 8;
 
 /// How often the room of a node that isn't asked otherwise is asked for.
-const ROOM_EVERY: Duration = Duration::from_secs(20);
+const CAPACITY_QUERY_INTERVAL: Duration = Duration::from_secs(20);
 
 /// How often lent room is taken back for one job: a checkpoint and a stop take some seconds, and
 /// asking sooner would evict a second time for the same task.
-const RECLAIM_EVERY: Duration = Duration::from_secs(10);
+const RECLAIM_INTERVAL: Duration = Duration::from_secs(10);
 
 /// How long a size of VM is remembered: many times a succession.
-const SIZE_LIFE: Duration = Duration::from_secs(600);
+const VM_SIZE_RETENTION: Duration = Duration::from_secs(600);
 
 /// Before so much of a job's time has passed, in hundredths, it isn't at risk for lagging: it
 /// hasn't had its turn yet.
-const SETTLE_PERCENT: u32 = 25;
+const AT_RISK_AFTER_PERCENT: u32 = 25;
 
 /// What is known of a node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NodeInfo {
-    pub(super) room: Option<NodeCapacity>,
+    pub(super) capacity: Option<NodeCapacity>,
     pub(super) usage: BTreeMap<TeamName, Resources>,
-    pub(super) asked: Option<Time>,
+    pub(super) last_request: Option<Time>,
 }
 
 impl NodeInfo {
     /// Whether the node told of any VM. One that didn't has no racks, or has just taken some over.
-    pub(super) fn knows_vms(&self) -> bool {
-        self.room.as_ref().is_some_and(|room| !room.largest.is_empty())
+    pub(super) fn has_vms(&self) -> bool {
+        self.capacity.as_ref().is_some_and(|capacity| !capacity.largest.is_empty())
     }
 }
 
@@ -50,19 +50,19 @@
 /// While a rack is being taken over nobody tells of its VMs. A size that is remembered for longer
 /// than that keeps a task from being told that it can never fit, which is final.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Sizes {
-    seen: Vec<(Resources, Time)>,
+pub(super) struct KnownVmSizes {
+    sizes: Vec<(Resources, Time)>,
     /// Since when something is known.
     since: Option<Time>,
 }
 
-impl Sizes {
-    pub(super) fn note(&mut self, now: Time, room: &NodeCapacity) {
-        self.since = self.since.or((!room.largest.is_empty()).then_some(now));
-        self.seen.retain(|(_, at)| now.since(*at) < SIZE_LIFE);
-        for size in &room.largest {
-            self.seen.retain(|(seen, _)| seen != size);
-            self.seen.push((*size, now));
+impl KnownVmSizes {
+    pub(super) fn record(&mut self, now: Time, capacity: &NodeCapacity) {
+        self.since = self.since.or((!capacity.largest.is_empty()).then_some(now));
+        self.sizes.retain(|(_, at)| now.since(*at) < VM_SIZE_RETENTION);
+        for size in &capacity.largest {
+            self.sizes.retain(|(known, _)| known != size);
+            self.sizes.push((*size, now));
         }
     }
 }
@@ -73,8 +73,8 @@
     Service,
     Urgent,
     AtRisk,
-    InQuota,
-    Lent,
+    WithinQuota,
+    OverQuota,
 }
 
 impl JobTable {
@@ -86,16 +86,18 @@
     }
 
     /// Asks nodes for their room, so that a task that fits nowhere is refused at submission.
-    pub(super) fn ask_rooms(&mut self, now: Time, out: &mut Vec<super::JobEffect>) {
-        let Some(shard) = self.shards.iter().find(|(_, kept)| kept.epoch.is_some()) else { return };
+    pub(super) fn query_capacity(&mut self, now: Time, out: &mut Vec<super::JobEffect>) {
+        let Some(shard) = self.shards.iter().find(|(_, state)| state.epoch.is_some()) else {
+            return;
+        };
         let shard = *shard.0;
         let resend = self.limits.resend;
         for (id, node) in &mut self.nodes {
-            let every = if node.knows_vms() { ROOM_EVERY } else { resend };
-            if node.asked.is_some_and(|asked| now.since(asked) < every) {
+            let every = if node.has_vms() { CAPACITY_QUERY_INTERVAL } else { resend };
+            if node.last_request.is_some_and(|last_request| now.since(last_request) < every) {
                 continue;
             }
-            node.asked = Some(now);
+            node.last_request = Some(now);
             let msg = NodeMsg::Place(Place { shard, round: Ticket(0), requests: Vec::new() });
             out.push(super::JobEffect::SendToNode { node: *id, msg });
         }
@@ -103,12 +105,12 @@
 
     /// Sends the next tasks of a shard to nodes that may have room.
     pub(super) fn plan(&mut self, now: Time, shard: ShardId, out: &mut Vec<super::JobEffect>) {
-        let Some(kept) = self.shards.get(&shard) else { return };
-        let in_rounds: usize = kept.rounds.values().map(|round| round.tasks.len()).sum();
+        let Some(state) = self.shards.get(&shard) else { return };
+        let in_rounds: usize = state.rounds.values().map(|round| round.tasks.len()).sum();
         let mut budget = self.limits.max_pending_placements.saturating_sub(in_rounds);
         let mut order: Vec<(Rank, Reverse<u64>, JobId)> = Vec::new();
-        for id in &kept.open {
-            let Some(job) = kept.jobs.get(id) else { continue };
+        for id in &state.open {
+            let Some(job) = state.jobs.get(id) else { continue };
             if !job.waiting.is_empty() && now >= job.not_before {
                 order.push((self.rank_of(now, job), Reverse(self.lag(now, job)), id.clone()));
             }
@@ -122,7 +124,7 @@
             budget -= self.plan_job(now, shard, &id, rank, budget, &mut batches);
         }
         for (node, requests) in batches {
-            self.ask_node(now, shard, node, requests, out);
+            self.request_placement(now, shard, node, requests, out);
         }
     }
 
@@ -136,7 +138,7 @@
         budget: usize,
         batches: &mut BTreeMap<NodeId, Vec<TaskRequest>>,
     ) -> usize {
-        let Some(job) = self.shards.get(&shard).and_then(|kept| kept.jobs.get(id)) else {
+        let Some(job) = self.shards.get(&shard).and_then(|state| state.jobs.get(id)) else {
             return 0;
         };
         let missing = if job.record.service { self.missing_replicas(job) } else { usize::MAX };
@@ -144,22 +146,22 @@
         let tasks: Vec<u32> = free.map(|(index, _)| *index).take(budget.min(missing)).collect();
         let may_reclaim = rank <= Rank::AtRisk
             && job.sweeps > 0
-            && job.reclaimed_at.is_none_or(|at| now.since(at) >= RECLAIM_EVERY);
+            && job.reclaimed_at.is_none_or(|at| now.since(at) >= RECLAIM_INTERVAL);
         let mut planned = 0;
-        for chunk in tasks.chunks(CHUNK) {
+        for chunk in tasks.chunks(MAX_TASKS_PER_REQUEST) {
             let Some(node) = self.choose_node(shard, id) else {
                 self.end_sweep(now, shard, id, rank);
                 break;
             };
             let reclaim = may_reclaim && planned == 0;
-            let Some(job) = self.shards.get_mut(&shard).and_then(|kept| kept.jobs.get_mut(id))
+            let Some(job) = self.shards.get_mut(&shard).and_then(|state| state.jobs.get_mut(id))
             else {
                 break;
             };
             if reclaim {
                 job.reclaimed_at = Some(now);
             }
-            let requests = chunk.iter().map(|index| want(job, *index, rank, reclaim));
+            let requests = chunk.iter().map(|index| task_request(job, *index, rank, reclaim));
             batches.entry(node).or_default().extend(requests);
             planned += chunk.len();
         }
@@ -167,13 +169,13 @@
     }
 
     /// Whether no VM known lately could hold it, even empty, and enough time has passed to know.
-    pub(super) fn fits_nowhere(&self, now: Time, resources: &Resources) -> bool {
+    pub(super) fn fits_no_known_vm(&self, now: Time, resources: &Resources) -> bool {
         let known = |since: Time| now.since(since) >= self.limits.never_fits_after;
         self.sizes.since.is_some_and(known)
-            && self.sizes.seen.iter().all(|(size, _)| !resources.fits(size))
+            && self.sizes.sizes.iter().all(|(size, _)| !resources.fits(size))
     }
 
-    fn ask_node(
+    fn request_placement(
         &mut self,
         now: Time,
         shard: ShardId,
@@ -183,9 +185,9 @@
     ) {
         self.next_ticket = self.next_ticket.next();
         let round = self.next_ticket;
-        let tasks: Vec<TaskId> = requests.iter().map(|want| want.task.clone()).collect();
-        for want in requests.iter().filter(|want| want.reclaim) {
-            if let Some(job) = self.job_mut(&want.task) {
+        let tasks: Vec<TaskId> = requests.iter().map(|request| request.task.clone()).collect();
+        for request in requests.iter().filter(|request| request.reclaim) {
+            if let Some(job) = self.job_mut(&request.task) {
                 job.reclaim_round = Some(round);
             }
         }
@@ -196,11 +198,11 @@
                 waiting.round = Some(round);
             }
         }
-        if let Some(kept) = self.shards.get_mut(&shard) {
-            kept.rounds.insert(round, Round { node, sent: now, tasks });
+        if let Some(state) = self.shards.get_mut(&shard) {
+            state.rounds.insert(round, Round { node, sent: now, tasks });
         }
         if let Some(info) = self.nodes.get_mut(&node) {
-            info.asked = Some(now);
+            info.last_request = Some(now);
         }
         let msg = NodeMsg::Place(Place { shard, round, requests });
         out.push(super::JobEffect::SendToNode { node, msg });
@@ -212,8 +214,8 @@
         let job = self.shards.get(&shard)?.jobs.get(id)?;
         let resources = &job.record.resources;
         let may = |(node, info): &(&NodeId, &NodeInfo)| {
-            !job.full.contains(node)
-                && info.room.as_ref().is_none_or(|room| room.could_fit(resources))
+            !job.refused_by.contains(node)
+                && info.capacity.as_ref().is_none_or(|capacity| capacity.could_fit(resources))
         };
         let nodes: Vec<(&NodeId, &NodeInfo)> = self.nodes.iter().filter(may).collect();
         if nodes.is_empty() {
@@ -221,7 +223,9 @@
         }
         let first = nodes[self.rng.random_range(0..nodes.len())];
         let second = nodes[self.rng.random_range(0..nodes.len())];
-        let free = |info: &NodeInfo| info.room.as_ref().map_or(u32::MAX, |room| room.free.cpu.0);
+        let free = |info: &NodeInfo| {
+            info.capacity.as_ref().map_or(u32::MAX, |capacity| capacity.free.cpu.0)
+        };
         Some(if free(second.1) > free(first.1) { *second.0 } else { *first.0 })
     }
 
@@ -232,13 +236,15 @@
             Rank::Service | Rank::Urgent => self.limits.urgent_backoff,
             _ => self.limits.place_backoff,
         };
-        let Some(job) = self.shards.get(&shard).and_then(|kept| kept.jobs.get(id)) else { return };
-        let never = self.fits_nowhere(now, &job.record.resources);
-        let Some(job) = self.shards.get_mut(&shard).and_then(|kept| kept.jobs.get_mut(id)) else {
+        let Some(job) = self.shards.get(&shard).and_then(|state| state.jobs.get(id)) else {
+            return;
+        };
+        let never = self.fits_no_known_vm(now, &job.record.resources);
+        let Some(job) = self.shards.get_mut(&shard).and_then(|state| state.jobs.get_mut(id)) else {
             return;
         };
-        job.never_since = if never { job.never_since.or(Some(now)) } else { None };
-        job.full.clear();
+        job.never_fits_since = if never { job.never_fits_since.or(Some(now)) } else { None };
+        job.refused_by.clear();
         job.sweeps = job.sweeps.saturating_add(1);
         job.not_before = now + backoff;
     }
@@ -248,12 +254,12 @@
             return Rank::Service;
         }
         if !self.within_quota(job) {
-            return Rank::Lent;
+            return Rank::OverQuota;
         }
         match self.batch_target(job) {
             Some(target) if target.urgent => Rank::Urgent,
             Some(target) if self.is_at_risk(now, job, &target) => Rank::AtRisk,
-            _ => Rank::InQuota,
+            _ => Rank::WithinQuota,
         }
     }
 
@@ -283,10 +289,10 @@
     /// one that runs now.
     fn lag(&self, now: Time, job: &Job) -> u64 {
         let Some(target) = self.batch_target(job) else { return 0 };
-        self.needed(now, job, &target) / (job.active.len() as u64).max(1)
+        self.required_parallelism_permille(now, job, &target) / (job.active.len() as u64).max(1)
     }
 
-    fn needed(&self, now: Time, job: &Job, target: &BatchTarget) -> u64 {
+    fn required_parallelism_permille(&self, now: Time, job: &Job, target: &BatchTarget) -> u64 {
         let run_time = self.run_time(job);
         let left = target.time.saturating_sub(now.since(job.submitted)).max(run_time);
         let work = run_time.as_millis() as u64 * u64::from(job.remaining());
@@ -300,10 +306,11 @@
 
     fn is_at_risk(&self, now: Time, job: &Job, target: &BatchTarget) -> bool {
         let passed = now.since(job.submitted);
-        let settled = passed * 100 >= target.time * SETTLE_PERCENT;
+        let settled = passed * 100 >= target.time * AT_RISK_AFTER_PERCENT;
         let late = target.time.saturating_sub(passed) < self.run_time(job) * 2;
-        let lags = self.needed(now, job, target) > job.active.len() as u64 * 1_000;
-        late || (settled && lags)
+        let behind =
+            self.required_parallelism_permille(now, job, target) > job.active.len() as u64 * 1_000;
+        late || (settled && behind)
     }
 }
 
@@ -313,7 +320,7 @@
     urgent: bool,
 }
 
-fn want(job: &Job, index: u32, rank: Rank, reclaim: bool) -> TaskRequest {
+fn task_request(job: &Job, index: u32, rank: Rank, reclaim: bool) -> TaskRequest {
     let record = &job.record;
     let task = &record.tasks[index as usize];
     let spread = if job.spread { job.data_centres() } else { Default::default() };
@@ -326,7 +333,7 @@
         // A task that failed may have been held to too little.
         learned_size: record.learned_size && task.fails == 0,
         service: record.service,
-        over_quota: rank == Rank::Lent,
+        over_quota: rank == Rank::OverQuota,
         reclaim,
         avoid: task.failed_on.clone(),
         avoid_data_centres: spread,
--- a/crates/tasks/src/jobs/record.rs
+++ b/crates/tasks/src/jobs/record.rs
@@ -68,7 +68,7 @@
 
 /// Where a task stands, as far as it lasts.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub enum TaskLife {
+pub enum TaskState {
     /// It waits for room.
     #[default]
     Queued,
@@ -107,7 +107,7 @@
     /// The distinct healthy VMs where it failed.
     pub failed_on: SmallVec<[VmId; 2]>,
     /// Where it stands.
-    pub life: TaskLife,
+    pub state: TaskState,
 }
 
 /// What lasts of one job.
@@ -207,13 +207,13 @@
 
     /// Whether every task is over.
     pub(crate) fn is_over(&self) -> bool {
-        !self.service && self.tasks.iter().all(|task| matches!(task.life, TaskLife::Over(_)))
+        !self.service && self.tasks.iter().all(|task| matches!(task.state, TaskState::Over(_)))
     }
 
-    fn over_if_queued(&mut self, result: TaskResult) {
+    fn end_queued(&mut self, result: TaskResult) {
         for task in &mut self.tasks {
-            if task.life == TaskLife::Queued {
-                task.life = TaskLife::Over(result);
+            if task.state == TaskState::Queued {
+                task.state = TaskState::Over(result);
             }
         }
     }
@@ -224,24 +224,24 @@
         fence: Fence,
         how: &AttemptEnd,
         blamed: &Option<VmId>,
-        p: ParkRule,
+        park_rule: ParkRule,
     ) {
         let (cancelled, service) = (self.cancelled, self.service);
         let Some(task) = self.tasks.get_mut(index as usize) else { return };
-        let current = matches!(&task.life, TaskLife::Attempt(attempt) if attempt.fence == fence);
+        let current = matches!(&task.state, TaskState::Attempt(attempt) if attempt.fence == fence);
         // An entry for another attempt comes from a message that was late or doubled. Folding it
         // would queue a task that runs, and it would then run in two places.
         if !current {
             return;
         }
         task.record_end(how, blamed);
-        task.life = match how {
-            AttemptEnd::Done if !service => TaskLife::Over(TaskResult::Done),
-            _ if cancelled => TaskLife::Over(TaskResult::Cancelled),
-            AttemptEnd::Failed if !service && task.is_at_fault(p) => {
-                TaskLife::Over(TaskResult::Parked)
+        task.state = match how {
+            AttemptEnd::Done if !service => TaskState::Over(TaskResult::Done),
+            _ if cancelled => TaskState::Over(TaskResult::Cancelled),
+            AttemptEnd::Failed if !service && task.should_park(park_rule) => {
+                TaskState::Over(TaskResult::Parked)
             }
-            _ => TaskLife::Queued,
+            _ => TaskState::Queued,
         };
     }
 }
@@ -264,13 +264,13 @@
         }
     }
 
-    fn is_at_fault(&self, p: ParkRule) -> bool {
-        self.failed_on.len() >= p.vms || self.fails >= p.fails
+    fn should_park(&self, park_rule: ParkRule) -> bool {
+        self.failed_on.len() >= park_rule.vms || self.fails >= park_rule.fails
     }
 }
 
 /// Folds one entry into the jobs of a shard.
-pub(crate) fn fold(jobs: &mut BTreeMap<JobId, JobRecord>, entry: &JobEntry, park: ParkRule) {
+pub(crate) fn fold(jobs: &mut BTreeMap<JobId, JobRecord>, entry: &JobEntry, park_rule: ParkRule) {
     match entry {
         JobEntry::Submitted { record } => {
             let mut record = (**record).clone();
@@ -282,31 +282,31 @@
         }
         _ => {
             if let Some(record) = jobs.get_mut(entry.job()) {
-                fold_record(record, entry, park);
+                fold_record(record, entry, park_rule);
             }
         }
     }
 }
 
 /// Folds an entry into the record of its job.
-pub(crate) fn fold_record(record: &mut JobRecord, entry: &JobEntry, park: ParkRule) {
+pub(crate) fn fold_record(record: &mut JobRecord, entry: &JobEntry, park_rule: ParkRule) {
     match entry {
         JobEntry::Submitted { .. } | JobEntry::Forgot { .. } => {}
         JobEntry::Grown { tasks, .. } => record.grow(*tasks),
         JobEntry::Starting { task, attempt } => {
             if let Some(task) = record.tasks.get_mut(task.index as usize) {
                 task.attempts = attempt.fence.attempt;
-                task.life = TaskLife::Attempt(attempt.clone());
+                task.state = TaskState::Attempt(attempt.clone());
             }
         }
         JobEntry::Ended { task, fence, how, blamed } => {
-            record.end(task.index, *fence, how, blamed, park);
+            record.end(task.index, *fence, how, blamed, park_rule);
         }
         JobEntry::Cancelled { .. } => {
             record.cancelled = true;
-            record.over_if_queued(TaskResult::Cancelled);
+            record.end_queued(TaskResult::Cancelled);
         }
-        JobEntry::NeverFits { .. } => record.over_if_queued(TaskResult::NeverFits),
+        JobEntry::NeverFits { .. } => record.end_queued(TaskResult::NeverFits),
     }
 }
 
--- a/crates/tasks/src/jobs/rounds.rs
+++ b/crates/tasks/src/jobs/rounds.rs
@@ -23,12 +23,12 @@
         auth: &dyn Authority,
         out: &mut Vec<JobEffect>,
     ) {
-        self.note_node(now, from, &placed);
-        let has_round = |kept: &super::Shard| kept.rounds.contains_key(&placed.round);
-        let Some(shard) = self.shards.iter().find(|(_, kept)| has_round(kept)) else { return };
+        self.record_node(now, from, &placed);
+        let has_round = |state: &super::Shard| state.rounds.contains_key(&placed.round);
+        let Some(shard) = self.shards.iter().find(|(_, state)| has_round(state)) else { return };
         let shard = *shard.0;
         // Without authority nothing is started; the round expires and the room lapses.
-        if self.held(now, shard, auth).is_none() {
+        if self.authorized_epoch(now, shard, auth).is_none() {
             return;
         }
         if placed.reclaiming == 0 {
@@ -40,11 +40,11 @@
         }
     }
 
-    fn note_node(&mut self, now: Time, from: NodeId, placed: &Placed) {
+    fn record_node(&mut self, now: Time, from: NodeId, placed: &Placed) {
         let Some(node) = self.nodes.get_mut(&from) else { return };
-        self.sizes.note(now, &placed.capacity);
-        let NodeInfo { room, usage, .. } = node;
-        *room = Some(placed.capacity.clone());
+        self.sizes.record(now, &placed.capacity);
+        let NodeInfo { capacity, usage, .. } = node;
+        *capacity = Some(placed.capacity.clone());
         for of_team in &placed.usage {
             usage.insert(of_team.team.clone(), of_team.held);
         }
@@ -52,10 +52,10 @@
 
     /// The node has no lent room to give back: the next one may be asked for it at once.
     fn allow_reclaim(&mut self, shard: ShardId, round: Ticket) {
-        let Some(kept) = self.shards.get_mut(&shard) else { return };
-        let Some(asked) = kept.rounds.get(&round) else { return };
-        for task in asked.tasks.clone() {
-            if let Some(job) = kept.jobs.get_mut(&task.job)
+        let Some(state) = self.shards.get_mut(&shard) else { return };
+        let Some(pending) = state.rounds.get(&round) else { return };
+        for task in pending.tasks.clone() {
+            if let Some(job) = state.jobs.get_mut(&task.job)
                 && job.reclaim_round == Some(round)
             {
                 job.reclaimed_at = None;
@@ -66,17 +66,17 @@
     /// Takes a round's tasks out of it. The node isn't asked again in this sweep for jobs of
     /// which it refused a task.
     fn end_round(&mut self, shard: ShardId, round: Ticket, refused: &[TaskId]) {
-        let Some(kept) = self.shards.get_mut(&shard) else { return };
-        let Some(Round { node, tasks, .. }) = kept.rounds.remove(&round) else { return };
+        let Some(state) = self.shards.get_mut(&shard) else { return };
+        let Some(Round { node, tasks, .. }) = state.rounds.remove(&round) else { return };
         for task in &tasks {
-            let Some(job) = kept.jobs.get_mut(&task.job) else { continue };
+            let Some(job) = state.jobs.get_mut(&task.job) else { continue };
             if let Some(waiting) = job.waiting.get_mut(&task.index)
                 && waiting.round == Some(round)
             {
                 waiting.round = None;
             }
-            if refused.contains(task) && !job.full.contains(&node) {
-                job.full.push(node);
+            if refused.contains(task) && !job.refused_by.contains(&node) {
+                job.refused_by.push(node);
             }
         }
     }
@@ -85,8 +85,8 @@
     /// that a task is never granted room twice in one attempt.
     pub(super) fn expire_rounds(&mut self, now: Time, shard: ShardId) {
         let timeout = self.limits.place_timeout;
-        let Some(kept) = self.shards.get(&shard) else { return };
-        let late = kept.rounds.iter().filter(|(_, round)| now.since(round.sent) >= timeout);
+        let Some(state) = self.shards.get(&shard) else { return };
+        let late = state.rounds.iter().filter(|(_, round)| now.since(round.sent) >= timeout);
         let late: Vec<(Ticket, Vec<TaskId>)> =
             late.map(|(ticket, round)| (*ticket, round.tasks.clone())).collect();
         for (round, tasks) in late {
@@ -95,8 +95,8 @@
     }
 
     /// Whether the grant is for the attempt that the task would begin next.
-    pub(super) fn is_wanted(&self, shard: ShardId, grant: &Grant) -> bool {
-        let Some(job) = self.shards.get(&shard).and_then(|kept| kept.jobs.get(&grant.task.job))
+    pub(super) fn is_current_grant(&self, shard: ShardId, grant: &Grant) -> bool {
+        let Some(job) = self.shards.get(&shard).and_then(|state| state.jobs.get(&grant.task.job))
         else {
             return false;
         };
--- a/crates/tasks/src/jobs/services.rs
+++ b/crates/tasks/src/jobs/services.rs
@@ -19,98 +19,100 @@
 };
 
 /// How often replicas are counted.
-const PLAN_EVERY: Duration = Duration::from_secs(1);
+const PLAN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long an entry's measurement counts.
-const LOAD_LIFE: Duration = Duration::from_secs(15);
+const LOAD_MAX_AGE: Duration = Duration::from_secs(15);
 
 /// How long after a growth the next one waits: until the new replicas' effect is measured.
-const GROW_EVERY: Duration = Duration::from_secs(10);
+const MIN_GROWTH_INTERVAL: Duration = Duration::from_secs(10);
 
 /// How long a service must have needed fewer replicas before it gets one fewer.
 const SHRINK_AFTER: Duration = Duration::from_secs(300);
 
 /// Requests that one replica works on at once, assumed before its backend server's slots are
 /// known here: the smallest of today's sizes.
-const SLOTS: u64 = 8;
+const ASSUMED_SLOTS: u64 = 8;
 
 /// The share of its slots that a replica is planned to have in use, in thousandths. Above it,
 /// waiting times grow steeply; the rest absorbs bursts until a new replica runs.
-const FULL_PERMILLE: u64 = 600;
+const TARGET_UTILIZATION_PERMILLE: u64 = 600;
 
 /// Below this share, in thousandths, one replica fewer is enough. Far below the other, so that
 /// the number doesn't swing.
-const IDLE_PERMILLE: u64 = 300;
+const IDLE_UTILIZATION_PERMILLE: u64 = 300;
 
 /// The most replicas of one class.
-const REPLICAS_MAX: u32 = 512;
+const MAX_REPLICAS: u32 = 512;
 
 /// One service class whose shard is owned.
 #[derive(Debug, Default)]
-pub(super) struct Service {
+pub(super) struct ServiceState {
     loads: BTreeMap<NodeId, (Time, ClassLoad)>,
-    pub(super) wanted: u32,
+    pub(super) target_replicas: u32,
     grown_at: Option<Time>,
     idle_since: Option<Time>,
-    missing: bool,
-    short_since: Option<Time>,
+    target_missed: bool,
+    below_target_since: Option<Time>,
 }
 
 /// What a service's entries measured, summed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Measured {
-    answered: u64,
-    bad: u64,
+struct LoadSum {
+    within_target: u64,
+    outside_target: u64,
     open_permille: u64,
 }
 
-impl Service {
-    fn measured(&mut self, now: Time) -> Measured {
-        self.loads.retain(|_, (at, _)| now.since(*at) < LOAD_LIFE);
-        let mut sum = Measured::default();
+impl ServiceState {
+    fn sum_loads(&mut self, now: Time) -> LoadSum {
+        self.loads.retain(|_, (at, _)| now.since(*at) < LOAD_MAX_AGE);
+        let mut sum = LoadSum::default();
         for (_, load) in self.loads.values() {
-            sum.answered += u64::from(load.within_target);
-            sum.bad += u64::from(load.late) + u64::from(load.refused);
+            sum.within_target += u64::from(load.within_target);
+            sum.outside_target += u64::from(load.late) + u64::from(load.refused);
             sum.open_permille += u64::from(load.open_permille);
         }
         sum
     }
 
     /// Decides how many replicas are wanted.
-    fn decide(&mut self, now: Time, permille: u64, least: u32, running: u32) {
-        let sum = self.measured(now);
-        let total = sum.answered + sum.bad;
-        self.missing = total > 0 && sum.bad * 1_000 > total * 1_000_u64.saturating_sub(permille);
+    fn decide(&mut self, now: Time, permille: u64, min_replicas: u32, running: u32) {
+        let sum = self.sum_loads(now);
+        let total = sum.within_target + sum.outside_target;
+        self.target_missed =
+            total > 0 && sum.outside_target * 1_000 > total * 1_000_u64.saturating_sub(permille);
         // Open requests are in thousandths, and so is the share.
-        let per_replica = SLOTS * FULL_PERMILLE;
+        let per_replica = ASSUMED_SLOTS * TARGET_UTILIZATION_PERMILLE;
         let for_load = u32::try_from(sum.open_permille.div_ceil(per_replica)).unwrap_or(u32::MAX);
-        let mut target = for_load.max(least);
-        if self.missing {
+        let mut target = for_load.max(min_replicas);
+        if self.target_missed {
             // Replicas that are hardly used and still late are disturbed by their neighbours.
             // More of them would only spread to more neighbours; those are dealt with instead.
-            let useful = sum.open_permille / (SLOTS * IDLE_PERMILLE);
+            let useful = sum.open_permille / (ASSUMED_SLOTS * IDLE_UTILIZATION_PERMILLE);
             let more = running + (running / 4).max(1);
             target = target.max(more.min(u32::try_from(useful).unwrap_or(u32::MAX)));
         }
-        target = target.min(REPLICAS_MAX);
-        let may_grow = self.grown_at.is_none_or(|at| now.since(at) >= GROW_EVERY);
-        if target > self.wanted && may_grow {
-            self.wanted = target;
+        target = target.min(MAX_REPLICAS);
+        let may_grow = self.grown_at.is_none_or(|at| now.since(at) >= MIN_GROWTH_INTERVAL);
+        if target > self.target_replicas && may_grow {
+            self.target_replicas = target;
             self.grown_at = Some(now);
         }
-        self.shrink(now, &sum, least);
+        self.shrink(now, &sum, min_replicas);
     }
 
-    fn shrink(&mut self, now: Time, sum: &Measured, least: u32) {
-        let room = u64::from(self.wanted) * SLOTS * IDLE_PERMILLE;
-        let idle = !self.missing && !self.loads.is_empty() && sum.open_permille < room;
-        if !idle || self.wanted <= least {
+    fn shrink(&mut self, now: Time, sum: &LoadSum, min_replicas: u32) {
+        let idle_below =
+            u64::from(self.target_replicas) * ASSUMED_SLOTS * IDLE_UTILIZATION_PERMILLE;
+        let idle = !self.target_missed && !self.loads.is_empty() && sum.open_permille < idle_below;
+        if !idle || self.target_replicas <= min_replicas {
             self.idle_since = None;
             return;
         }
         let since = *self.idle_since.get_or_insert(now);
         if now.since(since) >= SHRINK_AFTER {
-            self.wanted -= 1;
+            self.target_replicas -= 1;
             self.idle_since = Some(now);
         }
     }
@@ -130,15 +132,15 @@
         out: &mut Vec<JobEffect>,
     ) {
         let Some(document) = self.document.clone() else { return };
-        if now < self.plan_services_at {
+        if now < self.next_service_plan_at {
             return;
         }
-        self.plan_services_at = now + PLAN_EVERY;
+        self.next_service_plan_at = now + PLAN_INTERVAL;
         self.retire_services(now);
         for class in &document.classes {
             let shard = shard_of_class(&class.name);
             let is_service = matches!(class.kind, ClassKind::Latency { .. });
-            if is_service && self.held(now, shard, auth).is_some() {
+            if is_service && self.authorized_epoch(now, shard, auth).is_some() {
                 self.plan_service(now, shard, class, out);
             }
         }
@@ -149,9 +151,9 @@
     fn retire_services(&mut self, now: Time) {
         let classes = &self.classes;
         self.services.retain(|class, _| classes.contains_key(class));
-        for kept in self.shards.values_mut() {
-            for id in &kept.open {
-                let Some(job) = kept.jobs.get_mut(id) else { continue };
+        for state in self.shards.values_mut() {
+            for id in &state.open {
+                let Some(job) = state.jobs.get_mut(id) else { continue };
                 if !job.record.service || classes.contains_key(&job.record.spec.class) {
                     continue;
                 }
@@ -173,27 +175,28 @@
         let ClassKind::Latency { permille, replica, spread, .. } = class.kind else { return };
         let Some(id) = service_job(&class.name) else {
             if !self.services.contains_key(&class.name) {
-                self.services.insert(class.name.clone(), Service::default());
+                self.services.insert(class.name.clone(), ServiceState::default());
                 let class = class.name.clone();
                 out.push(JobEffect::Alarm(JobAlarm::ServiceNameTooLong { class }));
             }
             return;
         };
         self.services.entry(class.name.clone()).or_default();
-        self.make_service_job(now, shard, &id, class, replica, out);
+        self.create_service_job(now, shard, &id, class, replica, out);
         let running = self.replicas(shard, &id);
-        let least = if spread { 2 } else { 1 };
+        let min_replicas = if spread { 2 } else { 1 };
         let Some(service) = self.services.get_mut(&class.name) else { return };
         // A new owner starts from what runs: the load that asked for it will be told again.
-        service.wanted = service.wanted.max(if service.grown_at.is_none() { running } else { 0 });
-        service.decide(now, u64::from(permille), least, running);
-        let (wanted, missing) = (service.wanted, service.missing);
-        self.resize(now, shard, &id, wanted, spread, out);
-        self.tell_pressure(&class.name, missing, out);
-        self.note_short(now, &class.name, running, out);
+        service.target_replicas =
+            service.target_replicas.max(if service.grown_at.is_none() { running } else { 0 });
+        service.decide(now, u64::from(permille), min_replicas, running);
+        let (target_replicas, target_missed) = (service.target_replicas, service.target_missed);
+        self.resize(now, shard, &id, target_replicas, spread, out);
+        self.report_missed_target(&class.name, target_missed, out);
+        self.alarm_if_short(now, &class.name, running, out);
     }
 
-    fn make_service_job(
+    fn create_service_job(
         &mut self,
         now: Time,
         shard: ShardId,
@@ -202,8 +205,8 @@
         replica: Resources,
         out: &mut Vec<JobEffect>,
     ) {
-        let Some(kept) = self.shards.get_mut(&shard) else { return };
-        if kept.jobs.contains_key(id) {
+        let Some(state) = self.shards.get_mut(&shard) else { return };
+        if state.jobs.contains_key(id) {
             return;
         }
         let spec = JobSpec {
@@ -223,16 +226,16 @@
             cancelled: false,
             tasks: Vec::new(),
         };
-        kept.jobs.insert(id.clone(), Job::new(now, record.clone()));
-        kept.open.insert(id.clone());
+        state.jobs.insert(id.clone(), Job::new(now, record.clone()));
+        state.open.insert(id.clone());
         self.journal(shard, JobEntry::Submitted { record: Box::new(record) }, out);
     }
 
     /// Replicas that run or start and aren't going away.
     fn replicas(&self, shard: ShardId, id: &JobId) -> u32 {
-        let job = self.shards.get(&shard).and_then(|kept| kept.jobs.get(id));
-        let stays = |active: &&super::job::Active| !active.stop && !active.leaving;
-        job.map_or(0, |job| job.active.values().filter(stays).count() as u32)
+        let job = self.shards.get(&shard).and_then(|state| state.jobs.get(id));
+        let not_ending = |active: &&super::job::Active| !active.stop && !active.draining;
+        job.map_or(0, |job| job.active.values().filter(not_ending).count() as u32)
     }
 
     fn resize(
@@ -240,27 +243,28 @@
         now: Time,
         shard: ShardId,
         id: &JobId,
-        wanted: u32,
+        target_replicas: u32,
         spread: bool,
         out: &mut Vec<JobEffect>,
     ) {
         let has = self.replicas(shard, id);
-        let Some(job) = self.shards.get_mut(&shard).and_then(|kept| kept.jobs.get_mut(id)) else {
+        let Some(job) = self.shards.get_mut(&shard).and_then(|state| state.jobs.get_mut(id)) else {
             return;
         };
         job.spread = spread;
-        let surplus = has.saturating_sub(wanted) as usize;
-        let stays = job.active.values_mut().filter(|a| !a.stop && !a.leaving);
-        for active in stays.rev().take(surplus) {
+        let surplus = has.saturating_sub(target_replicas) as usize;
+        let not_ending = job.active.values_mut().filter(|active| !active.stop && !active.draining);
+        for active in not_ending.rev().take(surplus) {
             active.stop = true;
             active.send_at = now;
         }
         let free = job.waiting.len() as u32;
-        let missing = wanted.saturating_sub(has);
+        let missing = target_replicas.saturating_sub(has);
         if free < missing {
             let tasks = job.record.tasks.len() as u32 + missing - free;
             self.journal(shard, JobEntry::Grown { job: id.clone(), tasks }, out);
-            if let Some(job) = self.shards.get_mut(&shard).and_then(|kept| kept.jobs.get_mut(id)) {
+            if let Some(job) = self.shards.get_mut(&shard).and_then(|state| state.jobs.get_mut(id))
+            {
                 job.refill(now);
             }
         }
@@ -269,13 +273,15 @@
     /// How many more replicas may be asked for now.
     pub(super) fn missing_replicas(&self, job: &Job) -> usize {
         let class = &job.record.spec.class;
-        let wanted = self.services.get(class).map_or(0, |service| service.wanted) as usize;
-        let stays = job.active.values().filter(|a| !a.stop && !a.leaving).count();
-        let asked = job.waiting.values().filter(|waiting| waiting.round.is_some()).count();
-        wanted.saturating_sub(stays + asked)
+        let target_replicas =
+            self.services.get(class).map_or(0, |service| service.target_replicas) as usize;
+        let not_ending =
+            job.active.values().filter(|active| !active.stop && !active.draining).count();
+        let in_round = job.waiting.values().filter(|waiting| waiting.round.is_some()).count();
+        target_replicas.saturating_sub(not_ending + in_round)
     }
 
-    fn tell_pressure(&mut self, class: &ClassName, missed: bool, out: &mut Vec<JobEffect>) {
+    fn report_missed_target(&mut self, class: &ClassName, missed: bool, out: &mut Vec<JobEffect>) {
         let Some(service) = self.services.get_mut(class) else { return };
         if !missed {
             return;
@@ -287,16 +293,16 @@
         }
     }
 
-    fn note_short(&mut self, now: Time, class: &ClassName, has: u32, out: &mut Vec<JobEffect>) {
+    fn alarm_if_short(&mut self, now: Time, class: &ClassName, has: u32, out: &mut Vec<JobEffect>) {
         let Some(service) = self.services.get_mut(class) else { return };
-        if has >= service.wanted {
-            service.short_since = None;
+        if has >= service.target_replicas {
+            service.below_target_since = None;
             return;
         }
-        let since = *service.short_since.get_or_insert(now);
-        if now.since(since) >= GROW_EVERY * 3 {
-            service.short_since = Some(now);
-            let needs = service.wanted;
+        let since = *service.below_target_since.get_or_insert(now);
+        if now.since(since) >= MIN_GROWTH_INTERVAL * 3 {
+            service.below_target_since = Some(now);
+            let needs = service.target_replicas;
             let alarm = JobAlarm::ServiceShort { class: class.clone(), has, needs };
             out.push(JobEffect::Alarm(alarm));
         }
--- a/crates/tasks/src/jobs/starts.rs
+++ b/crates/tasks/src/jobs/starts.rs
@@ -21,11 +21,11 @@
         auth: &dyn Authority,
         out: &mut Vec<JobEffect>,
     ) {
-        if !self.is_wanted(shard, &grant) {
+        if !self.is_current_grant(shard, &grant) {
             return;
         }
-        let Some(epoch) = self.held(now, shard, auth) else { return };
-        let over_quota = self.is_lent(now, &grant.task);
+        let Some(epoch) = self.authorized_epoch(now, shard, auth) else { return };
+        let over_quota = self.is_over_quota(now, &grant.task);
         let attempt = AttemptRecord {
             fence: Fence { epoch, attempt: grant.attempt },
             vm: grant.vm,
@@ -38,7 +38,7 @@
         if let Some(job) = self.job_mut(&grant.task) {
             job.waiting.remove(&grant.task.index);
             job.sweeps = 0;
-            job.never_since = None;
+            job.never_fits_since = None;
             let active = Active::new(now, attempt.clone(), Some(grant.reservation));
             job.active.insert(grant.task.index, active);
         }
@@ -65,25 +65,25 @@
         }
         // Without authority the attempt isn't asked for now. Once authority is back it is, by
         // `resend`: its entry then precedes whatever a successor could have read.
-        if self.held(now, shard, auth).is_none() {
+        if self.authorized_epoch(now, shard, auth).is_none() {
             return;
         }
         let resend = self.limits.resend;
         let Some(job) = self.job_mut(&of.task) else { return };
-        if let Some(msg) = ask(job, of.task.index, now + resend) {
+        if let Some(msg) = start_or_stop_message(job, of.task.index, now + resend) {
             out.push(msg);
         }
     }
 
     /// Asks again for what has had no answer: starts, stops, and now and then running attempts.
     pub(super) fn resend(&mut self, now: Time, shard: ShardId, out: &mut Vec<JobEffect>) {
-        let again = now + self.limits.resend;
-        let seldom = now + self.limits.running_check_interval;
+        let resend_at = now + self.limits.resend;
+        let running_check_at = now + self.limits.running_check_interval;
         let mut stops = self.limits.max_concurrent_stops;
-        let Some(kept) = self.shards.get_mut(&shard) else { return };
-        let open: Vec<_> = kept.open.iter().cloned().collect();
+        let Some(state) = self.shards.get_mut(&shard) else { return };
+        let open: Vec<_> = state.open.iter().cloned().collect();
         for id in &open {
-            let Some(job) = kept.jobs.get_mut(id) else { continue };
+            let Some(job) = state.jobs.get_mut(id) else { continue };
             let waits = |active: &&Active| active.stop && active.send_at > now;
             stops = stops.saturating_sub(job.active.values().filter(waits).count());
             let due = job.active.iter().filter(|(_, a)| a.journaled && now >= a.send_at);
@@ -94,8 +94,8 @@
                     continue;
                 }
                 stops -= usize::from(stop);
-                let next = if running && !stop { seldom } else { again };
-                out.extend(ask(job, index, next));
+                let next = if running && !stop { running_check_at } else { resend_at };
+                out.extend(start_or_stop_message(job, index, next));
             }
         }
     }
@@ -111,10 +111,10 @@
         auth: &dyn Authority,
         out: &mut Vec<JobEffect>,
     ) {
-        let seldom = now + self.limits.running_check_interval;
-        let again = now + self.limits.resend;
+        let running_check_at = now + self.limits.running_check_interval;
+        let resend_at = now + self.limits.resend;
         let shard = super::job_shard_of_task(&of.task);
-        if self.held(now, shard, auth).is_none() {
+        if self.authorized_epoch(now, shard, auth).is_none() {
             return;
         }
         if let Some(active) = self.active_mut(&of) {
@@ -122,10 +122,11 @@
                 active.since = now;
             }
             active.running = true;
-            active.doubt = false;
+            active.unconfirmed = false;
             // Asking without the reservation from now on can't start it again.
             active.reservation = None;
-            active.send_at = if active.stop { again.min(active.send_at) } else { seldom };
+            active.send_at =
+                if active.stop { resend_at.min(active.send_at) } else { running_check_at };
             return;
         }
         let msg = RackMsg::Stop(Stop { vm, of, checkpoint: false });
@@ -133,15 +134,15 @@
     }
 
     /// Whether the task's room is lent: its team was over its quota when it found room.
-    fn is_lent(&self, now: Time, task: &TaskId) -> bool {
+    fn is_over_quota(&self, now: Time, task: &TaskId) -> bool {
         let shard = super::job_shard_of_task(task);
-        let job = self.shards.get(&shard).and_then(|kept| kept.jobs.get(&task.job));
-        job.is_some_and(|job| self.rank_of(now, job) == super::queue::Rank::Lent)
+        let job = self.shards.get(&shard).and_then(|state| state.jobs.get(&task.job));
+        job.is_some_and(|job| self.rank_of(now, job) == super::queue::Rank::OverQuota)
     }
 }
 
 /// The message that asks for an attempt's start or stop, or for its fate.
-fn ask(job: &mut Job, index: u32, next: Time) -> Option<JobEffect> {
+fn start_or_stop_message(job: &mut Job, index: u32, next: Time) -> Option<JobEffect> {
     let record = &job.record;
     let active = job.active.get_mut(&index)?;
     active.send_at = next;
--- a/crates/tasks/src/learn/interference.rs
+++ b/crates/tasks/src/learn/interference.rs
@@ -12,16 +12,16 @@
 };
 
 /// How much of the unexplained part one report corrects.
-const RATE: f64 = 0.1;
+const LEARNING_RATE: f64 = 0.1;
 
 /// Samples at which a weight counts half.
-const HALF_TRUSTED: f64 = 8.0;
+const HALF_TRUST_SAMPLES: f64 = 8.0;
 
 /// How long until an unrefreshed weight counts half as many samples.
 const HALF_LIFE: Duration = Duration::from_secs(900);
 
 /// Below this weight a class counts as harmless: some thirty of its tasks would double the time.
-const QUIET: f64 = 0.03;
+const HARMLESS_BELOW: f64 = 0.03;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Weight {
@@ -40,7 +40,7 @@
 
 impl InterferenceModel {
     /// Takes in the running tasks of one VM.
-    pub fn take(&mut self, now: Time, running: &[RunningTask]) {
+    pub fn observe(&mut self, now: Time, running: &[RunningTask]) {
         self.now = now;
         let mut counts: BTreeMap<&ClassName, f64> = BTreeMap::new();
         for task in running {
@@ -80,8 +80,8 @@
                 row.insert((*class).clone(), Weight::default());
             }
             let weight = row.get_mut(*class).expect("inserted above");
-            weight.value = (weight.value + RATE * error * n / norm).max(0.0);
-            weight.samples = faded(weight, now) + 1.0;
+            weight.value = (weight.value + LEARNING_RATE * error * n / norm).max(0.0);
+            weight.samples = decayed_samples(weight, now) + 1.0;
             weight.at = now;
         }
     }
@@ -89,8 +89,8 @@
     /// How much one task of `by` is expected to slow one of `of` down; 1.0 doubles its time.
     pub fn pair_slowdown(&self, of: &ClassName, by: &ClassName) -> f64 {
         let Some(weight) = self.rows.get(of).and_then(|row| row.get(by)) else { return 0.0 };
-        let samples = faded(weight, self.now);
-        weight.value * samples / (samples + HALF_TRUSTED)
+        let samples = decayed_samples(weight, self.now);
+        weight.value * samples / (samples + HALF_TRUST_SAMPLES)
     }
 }
 
@@ -98,11 +98,13 @@
     /// Whether tasks of `by` are known, not only believed, to leave tasks of `of` alone.
     pub fn is_harmless(&self, of: &ClassName, by: &ClassName) -> bool {
         let weight = self.rows.get(of).and_then(|row| row.get(by));
-        weight.is_some_and(|weight| weight.value < QUIET && faded(weight, self.now) >= HALF_TRUSTED)
+        weight.is_some_and(|weight| {
+            weight.value < HARMLESS_BELOW && decayed_samples(weight, self.now) >= HALF_TRUST_SAMPLES
+        })
     }
 }
 
-fn faded(weight: &Weight, now: Time) -> f64 {
+fn decayed_samples(weight: &Weight, now: Time) -> f64 {
     let age = now.since(weight.at).as_secs_f64() / HALF_LIFE.as_secs_f64();
     weight.samples * 0.5_f64.powf(age)
 }
--- a/crates/tasks/src/learn/mod.rs
+++ b/crates/tasks/src/learn/mod.rs
@@ -17,29 +17,29 @@
 /// All that a node has learned.
 #[derive(Debug)]
 pub struct ClassStatistics {
-    on: bool,
+    enabled: bool,
     sizes: SizeTable,
     interference: InterferenceModel,
 }
 
 impl ClassStatistics {
-    /// Nothing learned yet. With `on` false nothing ever is, as a baseline to measure against.
-    pub fn new(on: bool) -> Self {
+    /// Nothing learned yet. With `enabled` false nothing ever is, as a baseline to measure against.
+    pub fn new(enabled: bool) -> Self {
         ClassStatistics {
-            on,
+            enabled,
             sizes: SizeTable::default(),
             interference: InterferenceModel::default(),
         }
     }
 
     /// Takes in one report of a VM. `class_of` tells the class of an ended task, if still known.
-    pub fn take(
+    pub fn observe(
         &mut self,
         now: Time,
         report: &WorkerReport,
         mut class_of: impl FnMut(&egretlb_types::worker::TaskFence) -> Option<ClassName>,
     ) {
-        if !self.on {
+        if !self.enabled {
             return;
         }
         for running in &report.running {
@@ -51,12 +51,12 @@
                 self.sizes.record_end(&class, &ended.peak, ran, ended.end);
             }
         }
-        self.interference.take(now, &report.running);
+        self.interference.observe(now, &report.running);
     }
 
     /// What to commit for a task of the class that is declared to take `declared`.
-    pub fn size(&self, class: &ClassName, declared: &Resources) -> Resources {
-        self.sizes.size(class, declared)
+    pub fn committed_size(&self, class: &ClassName, declared: &Resources) -> Resources {
+        self.sizes.committed_size(class, declared)
     }
 
     /// How long a task of the class runs, once enough of them have ended.
@@ -84,7 +84,7 @@
     ) -> f64 {
         /// A batch task that runs longer costs throughput, a service's slowness costs callers.
         const BATCH_SHARE: f64 = 0.25;
-        if !self.on {
+        if !self.enabled {
             return 0.0;
         }
         let weight = |service: bool| if service { 1.0 } else { BATCH_SHARE };
--- a/crates/tasks/src/learn/sizes.rs
+++ b/crates/tasks/src/learn/sizes.rs
@@ -13,10 +13,10 @@
 };
 
 /// Ended tasks of a class before its commitment may shrink below the declaration.
-const SHRINK_AFTER: u32 = 20;
+const SHRINK_MIN_SAMPLES: u32 = 20;
 
 /// Ended tasks of a class before its learned run time is used.
-const RUN_TIME_AFTER: u32 = 3;
+const RUN_TIME_MIN_SAMPLES: u32 = 3;
 
 /// What is committed for a learned peak below the declaration, in thousandths of it: measurements
 /// miss short peaks.
@@ -27,10 +27,10 @@
 
 /// How much of a remembered peak is kept with every ended task, in thousandths. A class that has
 /// become smaller is believed after some hundred tasks.
-const KEEP_PERMILLE: u64 = 990;
+const PEAK_DECAY_PERMILLE: u64 = 990;
 
 /// The weight of a new run time against the remembered one, in thousandths.
-const RUN_TIME_WEIGHT: u64 = 100;
+const RUN_TIME_WEIGHT_PERMILLE: u64 = 100;
 
 #[derive(Clone, Debug, Default)]
 struct ClassSize {
@@ -56,7 +56,7 @@
 }
 
 /// The smaller of the two in each part.
-fn least(a: &Resources, b: &Resources) -> Resources {
+fn min_each(a: &Resources, b: &Resources) -> Resources {
     Resources {
         cpu: a.cpu.min(b.cpu),
         memory: a.memory.min(b.memory),
@@ -74,14 +74,14 @@
     /// A task ended.
     pub fn record_end(&mut self, class: &ClassName, peak: &Resources, ran: Duration, end: TaskEnd) {
         let size = self.entry(class);
-        size.peak = scale(&size.peak, KEEP_PERMILLE).max(peak);
+        size.peak = scale(&size.peak, PEAK_DECAY_PERMILLE).max(peak);
         if end != TaskEnd::Done {
             // How long a failure took says nothing of how long the work takes.
             return;
         }
         size.run_time = match size.ended {
             0 => ran,
-            _ => blend(size.run_time, ran),
+            _ => moving_average(size.run_time, ran),
         };
         size.ended = size.ended.saturating_add(1);
     }
@@ -94,13 +94,13 @@
     }
 
     /// What to commit for a task of the class.
-    pub fn size(&self, class: &ClassName, declared: &Resources) -> Resources {
+    pub fn committed_size(&self, class: &ClassName, declared: &Resources) -> Resources {
         let Some(size) = self.classes.get(class) else { return *declared };
-        let mut committed = if size.ended >= SHRINK_AFTER {
+        let mut committed = if size.ended >= SHRINK_MIN_SAMPLES {
             // The margin lifts no higher than the declaration. A task that uses all it is given
             // would otherwise be given a fifth more each time, without end: its use then says what
             // it was given and not what it needs.
-            let with_margin = least(&scale(&size.peak, MARGIN_PERMILLE), declared);
+            let with_margin = min_each(&scale(&size.peak, MARGIN_PERMILLE), declared);
             size.peak.max(&with_margin).max(&scale(declared, FLOOR_PERMILLE))
         } else {
             declared.max(&size.peak)
@@ -111,12 +111,15 @@
 
     /// The usual run time of the class.
     pub fn run_time(&self, class: &ClassName) -> Option<Duration> {
-        self.classes.get(class).filter(|size| size.ended >= RUN_TIME_AFTER).map(|s| s.run_time)
+        self.classes
+            .get(class)
+            .filter(|size| size.ended >= RUN_TIME_MIN_SAMPLES)
+            .map(|s| s.run_time)
     }
 }
 
-fn blend(old: Duration, new: Duration) -> Duration {
+fn moving_average(old: Duration, new: Duration) -> Duration {
     let (old, new) = (old.as_millis() as u64, new.as_millis() as u64);
-    let sum = old * (1_000 - RUN_TIME_WEIGHT) + new * RUN_TIME_WEIGHT;
+    let sum = old * (1_000 - RUN_TIME_WEIGHT_PERMILLE) + new * RUN_TIME_WEIGHT_PERMILLE;
     Duration::from_millis(sum / 1_000)
 }
--- a/crates/tasks/src/racks/answers.rs
+++ b/crates/tasks/src/racks/answers.rs
@@ -1,7 +1,7 @@
 //! What workers answer, and what is known when they don't.
 
 use {
-    super::{About, Call, CallError, RackEffect, RackTable, WorkerAnswer, to_job, vm::Phase},
+    super::{Call, CallError, CallKind, RackEffect, RackTable, WorkerAnswer, to_job, vm::Phase},
     crate::msg::{AttemptEnd, JobMsg},
     egretlb_types::{
         Authority, Ticket, Time, VmId,
@@ -21,12 +21,12 @@
     ) {
         let Some(call) = self.calls.remove(&ticket) else { return };
         let Some(vm) = self.vms.get_mut(&call.vm) else { return };
-        match call.about {
-            About::Report => vm.polling = false,
-            About::Renew => vm.renewing = false,
-            About::Start(ref of) | About::Stop(ref of) | About::Throttle(ref of) => {
-                if let Some(on) = vm.attempts.get_mut(of) {
-                    on.calling = false;
+        match call.kind {
+            CallKind::Report => vm.polling = false,
+            CallKind::Renew => vm.renewing = false,
+            CallKind::Start(ref of) | CallKind::Stop(ref of) | CallKind::Throttle(ref of) => {
+                if let Some(attempt) = vm.attempts.get_mut(of) {
+                    attempt.call_in_flight = false;
                 }
             }
         }
@@ -44,16 +44,16 @@
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) {
-        let Call { vm: id, sent, about } = call;
-        match (about, answer) {
-            (About::Report, WorkerAnswer::Report(report)) => {
+        let Call { vm: id, sent, kind } = call;
+        match (kind, answer) {
+            (CallKind::Report, WorkerAnswer::Report(report)) => {
                 self.on_report(now, &id, sent, report, auth, out);
             }
-            (About::Renew, WorkerAnswer::Renew(answer)) => self.on_renewed(now, &id, answer),
-            (About::Start(of), WorkerAnswer::Start(answer)) => {
+            (CallKind::Renew, WorkerAnswer::Renew(answer)) => self.on_renewed(now, &id, answer),
+            (CallKind::Start(of), WorkerAnswer::Start(answer)) => {
                 self.on_started(now, &id, &of, answer, out);
             }
-            (About::Stop(of), WorkerAnswer::Stop(answer)) => {
+            (CallKind::Stop(of), WorkerAnswer::Stop(answer)) => {
                 self.on_stopped(now, &id, &of, answer, out);
             }
             // A throttle's answer changes nothing that a report won't tell; an answer of another
@@ -71,14 +71,14 @@
         let Some(vm) = self.vms.get_mut(&id) else { return };
         vm.unresponsive = true;
         vm.poll_at = now + min_poll_interval;
-        if let About::Start(of) = call.about {
-            let Some(on) = vm.attempts.get_mut(&of) else { return };
-            let never_left = e == CallError::NotSent && !on.doubt;
-            on.doubt |= e == CallError::Unknown;
+        if let CallKind::Start(of) = call.kind {
+            let Some(attempt) = vm.attempts.get_mut(&of) else { return };
+            let never_left = e == CallError::NotSent && !attempt.unconfirmed;
+            attempt.unconfirmed |= e == CallError::Unknown;
             if never_left || !resolve {
                 // Certain: the worker never sees it, and nobody else starts on this VM.
                 vm.close(now, &of, AttemptEnd::NeverRan, Duration::ZERO);
-                self.tell_ends(now, &id, out);
+                self.report_ends(now, &id, out);
             } else {
                 out.push(to_job(&of.task, JobMsg::UnconfirmedStart { of: of.clone() }));
             }
@@ -95,17 +95,17 @@
         out: &mut Vec<RackEffect>,
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let Some(on) = vm.attempts.get_mut(of) else { return };
+        let Some(attempt) = vm.attempts.get_mut(of) else { return };
         match answer {
             StartAnswer::Started => {
-                on.ran = true;
-                on.start = None;
-                on.doubt = false;
-                on.since = now;
-                if on.phase == Phase::Starting {
-                    on.phase = Phase::Running;
+                attempt.ran = true;
+                attempt.start = None;
+                attempt.unconfirmed = false;
+                attempt.since = now;
+                if attempt.phase == Phase::Starting {
+                    attempt.phase = Phase::Running;
                 }
-                if on.service {
+                if attempt.service {
                     self.backends_changed.insert(vm.shard);
                 }
                 vm.poll_at = vm.poll_at.min(now + self.limits.min_poll_interval);
@@ -113,18 +113,18 @@
                 out.push(to_job(&of.task, msg));
             }
             StartAnswer::AlreadyEnded => {
-                on.phase = Phase::Stopping;
-                on.call_at = now;
+                attempt.phase = Phase::Stopping;
+                attempt.next_call_at = now;
             }
-            StartAnswer::StaleFence | StartAnswer::Refused if on.doubt => {
+            StartAnswer::StaleFence | StartAnswer::Refused if attempt.unconfirmed => {
                 // An earlier call of this start may have been taken up; the VM has to say.
-                on.phase = Phase::Stopping;
-                on.call_at = now;
+                attempt.phase = Phase::Stopping;
+                attempt.next_call_at = now;
             }
             StartAnswer::StaleFence | StartAnswer::Refused => {
                 vm.close(now, of, AttemptEnd::NeverRan, Duration::ZERO);
                 vm.poll_at = now;
-                self.tell_ends(now, id, out);
+                self.report_ends(now, id, out);
             }
         }
     }
@@ -138,14 +138,14 @@
         out: &mut Vec<RackEffect>,
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let Some(on) = vm.attempts.get(of) else { return };
-        let ran = now.since(on.since);
-        let service = on.service;
+        let Some(attempt) = vm.attempts.get(of) else { return };
+        let ran = now.since(attempt.since);
+        let service = attempt.service;
         let how = match answer {
             StopAnswer::Stopped { checkpoint } => AttemptEnd::Stopped { checkpoint },
             StopAnswer::Ended { end } => end.into(),
             // It ran, and the worker knows nothing of it: the worker itself was restarted.
-            StopAnswer::NeverRan if on.ran => AttemptEnd::Lost,
+            StopAnswer::NeverRan if attempt.ran => AttemptEnd::Lost,
             StopAnswer::NeverRan => AttemptEnd::NeverRan,
             StopAnswer::Throttled => return,
         };
@@ -153,7 +153,7 @@
             self.backends_changed.insert(vm.shard);
         }
         vm.close(now, of, how, ran);
-        self.tell_ends(now, id, out);
+        self.report_ends(now, id, out);
     }
 
     /// Tasks that the worker doesn't run any more: the next report says how they ended.
--- a/crates/tasks/src/racks/index.rs
+++ b/crates/tasks/src/racks/index.rs
@@ -32,67 +32,69 @@
     (log * 4 + quarter) as u8
 }
 
-fn cell(room: &Resources) -> Cell {
+fn cell(free: &Resources) -> Cell {
     Cell {
-        accelerators: room.accelerators.0.min(ACCELERATORS_MAX) as u8,
-        cpu: step(room.cpu.0),
-        memory: step(room.memory.0),
+        accelerators: free.accelerators.0.min(ACCELERATORS_MAX) as u8,
+        cpu: step(free.cpu.0),
+        memory: step(free.memory.0),
     }
 }
 
 impl Cell {
-    /// Whether a VM of this cell may have room for something of the cell `want`.
-    fn may_hold(&self, want: &Cell) -> bool {
-        self.accelerators >= want.accelerators && self.cpu >= want.cpu && self.memory >= want.memory
+    /// Whether a VM of this cell may have room for something of the cell `demand`.
+    fn may_fit(&self, demand: &Cell) -> bool {
+        self.accelerators >= demand.accelerators
+            && self.cpu >= demand.cpu
+            && self.memory >= demand.memory
     }
 }
 
 /// VMs by room. VMs are named by small numbers that their owner chooses.
 #[derive(Debug, Default)]
-pub(super) struct RoomIndex {
+pub(super) struct CapacityIndex {
     cells: BTreeMap<Cell, Vec<u32>>,
-    places: Vec<Option<(Cell, usize)>>,
+    positions: Vec<Option<(Cell, usize)>>,
 }
 
-impl RoomIndex {
+impl CapacityIndex {
     /// Puts the VM where its room belongs, or takes it out if it may get nothing.
-    pub(super) fn set(&mut self, slot: u32, room: Option<&Resources>) {
+    pub(super) fn set(&mut self, slot: u32, free: Option<&Resources>) {
         let index = slot as usize;
-        if self.places.len() <= index {
-            self.places.resize(index + 1, None);
+        if self.positions.len() <= index {
+            self.positions.resize(index + 1, None);
         }
-        let to = room.map(cell);
-        if self.places[index].map(|(from, _)| from) == to {
+        let to = free.map(cell);
+        if self.positions[index].map(|(from, _)| from) == to {
             return;
         }
         self.take_out(index);
         if let Some(to) = to {
             let slots = self.cells.entry(to).or_default();
             slots.push(slot);
-            self.places[index] = Some((to, slots.len() - 1));
+            self.positions[index] = Some((to, slots.len() - 1));
         }
     }
 
     fn take_out(&mut self, index: usize) {
-        let Some((from, at)) = self.places[index].take() else { return };
+        let Some((from, at)) = self.positions[index].take() else { return };
         let Some(slots) = self.cells.get_mut(&from) else { return };
         slots.swap_remove(at);
         if let Some(moved) = slots.get(at) {
-            self.places[*moved as usize] = Some((from, at));
+            self.positions[*moved as usize] = Some((from, at));
         }
         if slots.is_empty() {
             self.cells.remove(&from);
         }
     }
 
-    /// Up to `limit` VMs that may have room for `want`, drawn at random from each cell, fuller
+    /// Up to `limit` VMs that may have room for `demand`, drawn at random from each cell, fuller
     /// cells first. The caller checks each.
-    pub(super) fn sample(&self, want: &Resources, limit: usize, rng: &mut SmallRng) -> Vec<u32> {
-        let want = cell(want);
+    pub(super) fn sample(&self, demand: &Resources, limit: usize, rng: &mut SmallRng) -> Vec<u32> {
+        let demand = cell(demand);
         let fitting: Vec<&Vec<u32>> = self
             .cells
-            .range(Cell { accelerators: want.accelerators, cpu: 0, memory: 0 }..)
-            .filter(|(cell, _)| cell.may_hold(&want))
+            .range(Cell { accelerators: demand.accelerators, cpu: 0, memory: 0 }..)
+            .filter(|(cell, _)| cell.may_fit(&demand))
             .map(|(_, slots)| slots)
             .collect();
         let total: usize = fitting.iter().map(|slots| slots.len()).sum();
--- a/crates/tasks/src/racks/lease.rs
+++ b/crates/tasks/src/racks/lease.rs
@@ -6,7 +6,7 @@
 
 use {
     super::{
-        About, Guard, RackAlarm, RackEffect, RackTable, WorkerCall, to_job,
+        CallKind, Guard, RackAlarm, RackEffect, RackTable, WorkerCall, to_job,
         vm::{Phase, Vm},
     },
     crate::msg::{AttemptEnd, Ended, JobMsg},
@@ -19,11 +19,11 @@
 /// The most doublings of the wait before an end is told again. In a log outage no job's owner can
 /// acknowledge ends; all that end in an hour, told every two seconds, would be hundreds of messages
 /// a second.
-const TELL_DOUBLINGS: u32 = 3;
+const MAX_RESEND_DOUBLINGS: u32 = 3;
 
 impl RackTable {
     /// The latest end of a lease that a call made now may grant.
-    pub(super) fn bound_of_call(&self, now: Time) -> Time {
+    pub(super) fn lease_bound_of_call(&self, now: Time) -> Time {
         now + self.limits.max_call_delay + self.limits.lease + self.limits.clock_margin
     }
 
@@ -34,25 +34,27 @@
     /// unreachable VM's attempts are in doubt for that while: that is the price. It is paid only
     /// where a VM gets lost soon after its rack's owner.
     pub(super) fn inherited_bound(&self, shard: ShardId) -> Time {
-        let Some(kept) = self.shards.get(&shard) else { return Time::from_micros(u64::MAX) };
-        let bound = self.bound_of_call(kept.owned_at);
-        if kept.released { bound } else { bound + self.limits.renewal_without_authority }
+        let Some(state) = self.shards.get(&shard) else { return Time::from_micros(u64::MAX) };
+        let bound = self.lease_bound_of_call(state.owned_at);
+        if state.released { bound } else { bound + self.limits.renewal_without_authority }
     }
 
     /// Until when leases may be renewed: while authority is held, and for a while after.
     fn renew_until(&self, shard: ShardId) -> Option<Time> {
-        self.shards.get(&shard).map(|kept| kept.held_at + self.limits.renewal_without_authority)
+        self.shards
+            .get(&shard)
+            .map(|state| state.authority_seen_at + self.limits.renewal_without_authority)
     }
 
     /// Renews all leases of a VM in one call.
     pub(super) fn renew(&mut self, now: Time, id: &VmId, out: &mut Vec<RackEffect>) {
-        let bound = self.bound_of_call(now);
+        let bound = self.lease_bound_of_call(now);
         let Some(vm) = self.vms.get(id) else { return };
         let Some(until) = self.renew_until(vm.shard) else { return };
         // A VM that doesn't answer isn't renewed: each renewal may arrive, and would prolong the
         // time until its attempts are known to be lost.
-        let may = !vm.unresponsive && !vm.lost && !vm.renewing && now < until;
-        if !may || now < vm.renew_at {
+        let can_renew = !vm.unresponsive && !vm.lost && !vm.renewing && now < until;
+        if !can_renew || now < vm.renew_at {
             return;
         }
         let tasks: Vec<TaskFence> = renewable(vm).cloned().collect();
@@ -67,7 +69,7 @@
             vm.renew_at = now + renew_interval;
             vm.extend_bound(bound);
         }
-        self.call(now, id, About::Renew, call, Guard::Before(until), out);
+        self.call(now, id, CallKind::Renew, call, Guard::Before(until), out);
     }
 
     /// Asks a VM for a report when one is due.
@@ -82,7 +84,7 @@
         }
         vm.polling = true;
         vm.poll_at = now + min_poll_interval;
-        self.call(now, id, About::Report, WorkerCall::Report, Guard::None, out);
+        self.call(now, id, CallKind::Report, WorkerCall::Report, Guard::None, out);
     }
 
     /// Gives a VM's attempts up once no lease granted there can last.
@@ -106,7 +108,7 @@
     }
 
     /// Tells the jobs' owners of ends, until they are acknowledged.
-    pub(super) fn tell_ends(&mut self, now: Time, id: &VmId, out: &mut Vec<RackEffect>) {
+    pub(super) fn report_ends(&mut self, now: Time, id: &VmId, out: &mut Vec<RackEffect>) {
         let resend = self.limits.resend;
         let Some(vm) = self.vms.get_mut(id) else { return };
         let rack = vm.shard;
@@ -114,8 +116,8 @@
             if closed.acked || now < closed.send_at {
                 continue;
             }
-            closed.send_at = now + resend * 2_u32.pow(closed.sends.min(TELL_DOUBLINGS));
-            closed.sends += 1;
+            closed.send_at = now + resend * 2_u32.pow(closed.send_count.min(MAX_RESEND_DOUBLINGS));
+            closed.send_count += 1;
             let ended = Ended {
                 vm: id.clone(),
                 rack,
@@ -149,5 +151,8 @@
 /// take longer than its lease, and a lapse would cost its checkpoint.
 fn renewable(vm: &Vm) -> impl Iterator<Item = &TaskFence> {
     let runs = |phase: Phase| !matches!(phase, Phase::Starting);
-    vm.attempts.iter().filter(move |(_, on)| on.ran && runs(on.phase)).map(|(of, _)| of)
+    vm.attempts
+        .iter()
+        .filter(move |(_, attempt)| attempt.ran && runs(attempt.phase))
+        .map(|(of, _)| of)
 }
--- a/crates/tasks/src/racks/mod.rs
+++ b/crates/tasks/src/racks/mod.rs
@@ -31,8 +31,8 @@
         Authority, ClassName, ConfigDocument, Epoch, Resources, ShardId, TaskId, TeamName, Ticket,
         Time, VmId, VmRecord, shard_of_rack, worker::TaskFence,
     },
-    eviction::Pressure,
-    index::RoomIndex,
+    eviction::EvictionState,
+    index::CapacityIndex,
     rand::{SeedableRng, rngs::SmallRng},
     smallvec::SmallVec,
     std::{
@@ -50,7 +50,7 @@
     owned_at: Time,
     released: bool,
     /// When authority was last seen to be held; renewals go on for a while after it.
-    held_at: Time,
+    authority_seen_at: Time,
 }
 
 /// A call of a worker that isn't answered yet.
@@ -58,12 +58,12 @@
 struct Call {
     vm: VmId,
     sent: Time,
-    about: About,
+    kind: CallKind,
 }
 
 /// What a call is about.
 #[derive(Clone, Debug)]
-enum About {
+enum CallKind {
     Start(TaskFence),
     Renew,
     Stop(TaskFence),
@@ -100,8 +100,8 @@
     }
 
     /// Whether sizes and interference are learned. Off only for a baseline to measure against.
-    pub fn learning(mut self, on: bool) -> Self {
-        self.learning = on;
+    pub fn learning(mut self, enabled: bool) -> Self {
+        self.learning = enabled;
         self
     }
 
@@ -114,19 +114,19 @@
             learned: ClassStatistics::new(self.learning),
             document: Arc::default(),
             shards: BTreeMap::new(),
-            list: Arc::default(),
+            vm_list: Arc::default(),
             vms: BTreeMap::new(),
             slots: Vec::new(),
             free_slots: Vec::new(),
-            index: RoomIndex::default(),
+            index: CapacityIndex::default(),
             placed: HashMap::new(),
             calls: HashMap::new(),
             next_ticket: Ticket(0),
             backends_changed: BTreeSet::new(),
-            pressure: Pressure::default(),
+            eviction: EvictionState::default(),
             usage: BTreeMap::new(),
-            room: NodeCapacity::default(),
-            sum_up_at: Time::ZERO,
+            capacity: NodeCapacity::default(),
+            next_totals_at: Time::ZERO,
             quarantined: BTreeSet::new(),
         }
     }
@@ -141,28 +141,28 @@
     learned: ClassStatistics,
     document: Arc<ConfigDocument>,
     shards: BTreeMap<ShardId, RackShard>,
-    list: Arc<Vec<VmRecord>>,
+    vm_list: Arc<Vec<VmRecord>>,
     vms: BTreeMap<VmId, Vm>,
     /// The VM of each slot of the index.
     slots: Vec<VmId>,
     free_slots: Vec<u32>,
-    index: RoomIndex,
+    index: CapacityIndex,
     /// The reservation of each task that has one, so that a doubled question gets one answer.
     placed: HashMap<TaskId, (VmId, ReservationId)>,
     calls: HashMap<Ticket, Call>,
     next_ticket: Ticket,
     backends_changed: BTreeSet<ShardId>,
-    pressure: Pressure,
+    eviction: EvictionState,
     /// What each team's batch work holds, as last summed up.
     usage: BTreeMap<TeamName, Resources>,
     /// The room of all VMs, as last summed up.
-    room: NodeCapacity,
-    sum_up_at: Time,
+    capacity: NodeCapacity,
+    next_totals_at: Time,
     quarantined: BTreeSet<VmId>,
 }
 
 /// How often room and use are summed up over all VMs.
-const SUM_UP_EVERY: Duration = Duration::from_millis(500);
+const TOTALS_INTERVAL: Duration = Duration::from_millis(500);
 
 impl RackTable {
     /// A builder with learning on.
@@ -178,21 +178,21 @@
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) {
-        self.note_authority(now, auth);
+        self.record_authority(now, auth);
         match event {
             RackEvent::Owned { shard, epoch, released } => self.own(now, shard, epoch, released),
             RackEvent::Lost { shard } => self.lose(shard),
             RackEvent::Config { document } => self.document = document,
             RackEvent::Tick => self.tick(now, auth, out),
             RackEvent::Vms { vms } => {
-                self.list = Arc::new(vms);
-                self.take_list(now);
+                self.vm_list = Arc::new(vms);
+                self.apply_vm_list(now);
             }
             RackEvent::NodeMessage { from: _, msg: NodeMsg::Place(place) } => {
                 self.place(now, place, auth, out);
             }
             RackEvent::NodeMessage { from: _, msg: NodeMsg::TargetStatus { class, missed } } => {
-                self.pressure.note(now, class, missed);
+                self.eviction.record_target(now, class, missed);
             }
             RackEvent::RackMessage { shard, msg } => match msg {
                 RackMsg::Start(start) => self.on_start(now, shard, start, auth, out),
@@ -213,35 +213,35 @@
             self.poll(now, id, out);
             self.renew(now, id, out);
             self.call_due(now, id, auth, out);
-            self.drain_leaving(now, id, out);
-            self.tell_ends(now, id, out);
+            self.drain_vm(now, id, out);
+            self.report_ends(now, id, out);
         }
-        if now >= self.sum_up_at {
-            self.sum_up_at = now + SUM_UP_EVERY;
-            self.sum_up();
+        if now >= self.next_totals_at {
+            self.next_totals_at = now + TOTALS_INTERVAL;
+            self.update_totals();
         }
-        self.relieve(now, auth, out);
-        self.tell_backends(out);
+        self.protect_services(now, auth, out);
+        self.report_backends(out);
     }
 
-    fn note_authority(&mut self, now: Time, auth: &dyn Authority) {
-        for (shard, kept) in &mut self.shards {
-            if auth.epoch_if_held(now, *shard) == Some(kept.epoch) {
-                kept.held_at = now;
+    fn record_authority(&mut self, now: Time, auth: &dyn Authority) {
+        for (shard, state) in &mut self.shards {
+            if auth.epoch_if_held(now, *shard) == Some(state.epoch) {
+                state.authority_seen_at = now;
             }
         }
     }
 
     /// Whether unsafe steps are allowed for the shard now.
-    fn holds(&self, now: Time, shard: ShardId, auth: &dyn Authority) -> bool {
-        let Some(kept) = self.shards.get(&shard) else { return false };
-        !self.protections.authority || auth.epoch_if_held(now, shard) == Some(kept.epoch)
+    fn has_authority(&self, now: Time, shard: ShardId, auth: &dyn Authority) -> bool {
+        let Some(state) = self.shards.get(&shard) else { return false };
+        !self.protections.authority || auth.epoch_if_held(now, shard) == Some(state.epoch)
     }
 
     fn own(&mut self, now: Time, shard: ShardId, epoch: Epoch, released: bool) {
-        let kept = RackShard { epoch, owned_at: now, released, held_at: now };
-        self.shards.insert(shard, kept);
-        self.take_list(now);
+        let state = RackShard { epoch, owned_at: now, released, authority_seen_at: now };
+        self.shards.insert(shard, state);
+        self.apply_vm_list(now);
     }
 
     fn lose(&mut self, shard: ShardId) {
@@ -258,15 +258,15 @@
         self.calls.retain(|_, call| !gone.contains(&call.vm));
     }
 
-    fn take_list(&mut self, now: Time) {
+    fn apply_vm_list(&mut self, now: Time) {
         for vm in self.vms.values_mut() {
             vm.listed = false;
         }
-        let list = Arc::clone(&self.list);
-        for record in list.iter() {
+        let vm_list = Arc::clone(&self.vm_list);
+        for record in vm_list.iter() {
             let shard = shard_of_rack(&record.rack);
             if self.shards.contains_key(&shard) {
-                self.take_record(now, shard, record);
+                self.apply_vm_record(now, shard, record);
             }
         }
         let gone: Vec<VmId> = self
@@ -282,7 +282,7 @@
         ids.iter().for_each(|id| self.reindex(id));
     }
 
-    fn take_record(&mut self, now: Time, shard: ShardId, record: &VmRecord) {
+    fn apply_vm_record(&mut self, now: Time, shard: ShardId, record: &VmRecord) {
         if let Some(vm) = self.vms.get_mut(&record.vm) {
             vm.listed = true;
             if vm.record != *record {
@@ -324,13 +324,13 @@
         }
         let open = vm.may_grant(self.protections.report_before_grant) && !vm.health.quarantined;
         let checked = self.protections.capacity_check;
-        let room = if checked { vm.room() } else { vm.record.capacity };
-        self.index.set(vm.slot, open.then_some(&room));
+        let free = if checked { vm.free_capacity() } else { vm.record.capacity };
+        self.index.set(vm.slot, open.then_some(&free));
     }
 
-    fn ticket(&mut self, now: Time, vm: &VmId, about: About) -> Ticket {
+    fn ticket(&mut self, now: Time, vm: &VmId, kind: CallKind) -> Ticket {
         self.next_ticket = self.next_ticket.next();
-        self.calls.insert(self.next_ticket, Call { vm: vm.clone(), sent: now, about });
+        self.calls.insert(self.next_ticket, Call { vm: vm.clone(), sent: now, kind });
         self.next_ticket
     }
 
@@ -338,27 +338,27 @@
         &mut self,
         now: Time,
         id: &VmId,
-        about: About,
+        kind: CallKind,
         call: WorkerCall,
         guard: Guard,
         out: &mut Vec<RackEffect>,
     ) {
         let addr = self.vms[id].record.addr.clone();
-        let ticket = self.ticket(now, id, about);
+        let ticket = self.ticket(now, id, kind);
         out.push(RackEffect::CallWorker { vm: id.clone(), addr, ticket, call, guard });
     }
 
     /// What the node's VMs can hold.
-    fn count_room(&self) -> NodeCapacity {
-        let mut room = NodeCapacity::default();
+    fn node_capacity(&self) -> NodeCapacity {
+        let mut capacity = NodeCapacity::default();
         for vm in self.vms.values() {
-            room.add_size(&vm.record.capacity);
+            capacity.add_size(&vm.record.capacity);
             if vm.may_grant(self.protections.report_before_grant) {
-                room.vms += 1;
-                room.free = room.free.plus(&vm.room());
+                capacity.vms += 1;
+                capacity.free = capacity.free.plus(&vm.free_capacity());
             }
         }
-        room
+        capacity
     }
 
     /// What each VM holds, for a state dump.
@@ -375,7 +375,7 @@
         self.vms.values().map(summary).collect()
     }
 
-    fn tell_backends(&mut self, out: &mut Vec<RackEffect>) {
+    fn report_backends(&mut self, out: &mut Vec<RackEffect>) {
         for shard in std::mem::take(&mut self.backends_changed) {
             let backends = self.backends(shard);
             out.push(RackEffect::Backends { shard, backends });
@@ -384,11 +384,14 @@
 
     /// The VMs of a shard that answer requests now.
     pub fn backends(&self, shard: ShardId) -> Vec<Backend> {
-        let serves = |vm: &&Vm| vm.shard == shard && !vm.is_leaving() && !vm.lost;
+        let serves = |vm: &&Vm| vm.shard == shard && !vm.is_draining() && !vm.lost;
         let backend = |vm: &Vm| {
-            let running =
-                vm.attempts.values().filter(|on| on.service && on.phase == vm::Phase::Running);
-            let classes: SmallVec<[ClassName; 4]> = running.map(|on| on.class.clone()).collect();
+            let running = vm
+                .attempts
+                .values()
+                .filter(|attempt| attempt.service && attempt.phase == vm::Phase::Running);
+            let classes: SmallVec<[ClassName; 4]> =
+                running.map(|attempt| attempt.class.clone()).collect();
             Backend {
                 vm: vm.record.vm.clone(),
                 addr: vm.record.addr.clone(),
--- a/crates/tasks/src/racks/place.rs
+++ b/crates/tasks/src/racks/place.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         RackEffect, RackTable,
-        vm::{Reserved, Vm},
+        vm::{Reservation, Vm},
     },
     crate::msg::{Grant, JobMsg, Place, Placed, ReservationId, TaskRequest, TeamUsage},
     egretlb_types::{Authority, ClassName, Resources, TeamName, Time, VmId},
@@ -12,7 +12,7 @@
 
 /// How many VMs are compared for a task. More find a better neighbourhood at more cost; past a
 /// dozen the best of them hardly improves.
-const CANDIDATES: usize = 12;
+const MAX_CANDIDATES: usize = 12;
 
 /// How much worse one unit of expected slowdown (a doubling of run time) is than leaving a VM
 /// wholly empty: a latency target missed costs more than fragmented room.
@@ -26,7 +26,7 @@
 
 /// Work that leaves services alone goes beside them first. Otherwise it would fill the VMs without
 /// services, and work that disturbs would find room only beside them.
-const QUIET_BONUS: f64 = 0.8;
+const HARMLESS_BONUS: f64 = 0.8;
 
 impl RackTable {
     pub(super) fn place(
@@ -44,29 +44,35 @@
             capacity: Default::default(),
             usage: Vec::new(),
         };
-        for want in &place.requests {
-            match self.place_one(now, want, auth) {
+        for request in &place.requests {
+            match self.place_one(now, request, auth) {
                 Some(grant) => placed.granted.push(grant),
                 None => {
-                    placed.refused.push(want.task.clone());
-                    if want.reclaim && self.reclaim(now, want, auth, out) {
+                    placed.refused.push(request.task.clone());
+                    if request.reclaim && self.reclaim(now, request, auth, out) {
                         placed.reclaiming += 1;
                     }
                 }
             }
         }
-        placed.capacity = self.room.clone();
-        placed.usage = self.usage_of(place.requests.iter().filter_map(|want| want.team.as_ref()));
+        placed.capacity = self.capacity.clone();
+        placed.usage =
+            self.usage_of(place.requests.iter().filter_map(|request| request.team.as_ref()));
         let msg = JobMsg::Placed(placed);
         out.push(RackEffect::SendToJob { shard: place.shard, msg });
     }
 
-    fn place_one(&mut self, now: Time, want: &TaskRequest, auth: &dyn Authority) -> Option<Grant> {
-        if let Some(grant) = self.granted_before(now, want) {
+    fn place_one(
+        &mut self,
+        now: Time,
+        request: &TaskRequest,
+        auth: &dyn Authority,
+    ) -> Option<Grant> {
+        if let Some(grant) = self.granted_before(now, request) {
             return Some(grant);
         }
-        let resources = self.size_of(want);
-        let id = self.choose(now, want, &resources, auth)?;
+        let resources = self.size_of(request);
+        let id = self.choose(now, request, &resources, auth)?;
         let vm = self.vms.get_mut(&id)?;
         if vm.health.quarantined {
             vm.health.probe_at = now + self.limits.probe_interval;
@@ -74,25 +80,25 @@
         let epoch = self.shards.get(&vm.shard)?.epoch;
         self.next_ticket = self.next_ticket.next();
         let reservation = ReservationId { epoch, number: self.next_ticket };
-        let reserved = Reserved {
-            task: want.task.clone(),
-            attempt: want.attempt,
-            service: want.service,
-            class: want.class.clone(),
+        let reserved = Reservation {
+            task: request.task.clone(),
+            attempt: request.attempt,
+            service: request.service,
+            class: request.class.clone(),
             resources,
             until: now + self.limits.reservation,
         };
         vm.reservations.insert(reservation, reserved);
-        self.placed.insert(want.task.clone(), (id.clone(), reservation));
+        self.placed.insert(request.task.clone(), (id.clone(), reservation));
         self.reindex(&id);
         self.grant(&id, reservation)
     }
 
     /// The same room again for a question that was doubled or whose answer was lost.
-    fn granted_before(&self, now: Time, want: &TaskRequest) -> Option<Grant> {
-        let (id, reservation) = self.placed.get(&want.task)?;
+    fn granted_before(&self, now: Time, request: &TaskRequest) -> Option<Grant> {
+        let (id, reservation) = self.placed.get(&request.task)?;
         let reserved = self.vms.get(id)?.reservations.get(reservation)?;
-        let same = reserved.attempt == want.attempt && now < reserved.until;
+        let same = reserved.attempt == request.attempt && now < reserved.until;
         if same { self.grant(id, *reservation) } else { None }
     }
 
@@ -111,11 +117,11 @@
     }
 
     /// What to commit for a task: what was learned of its class, where that may stand in.
-    pub(super) fn size_of(&self, want: &TaskRequest) -> Resources {
-        if want.learned_size {
-            self.learned.size(&want.class, &want.resources)
+    pub(super) fn size_of(&self, request: &TaskRequest) -> Resources {
+        if request.learned_size {
+            self.learned.committed_size(&request.class, &request.resources)
         } else {
-            want.resources
+            request.resources
         }
     }
 
@@ -124,22 +130,22 @@
     fn choose(
         &mut self,
         now: Time,
-        want: &TaskRequest,
+        request: &TaskRequest,
         resources: &Resources,
         auth: &dyn Authority,
     ) -> Option<VmId> {
-        if let Some(probe) = self.probe(now, want, resources, auth) {
+        if let Some(probe) = self.probe(now, request, resources, auth) {
             return Some(probe);
         }
-        let slots = self.index.sample(resources, CANDIDATES, &mut self.rng);
+        let slots = self.index.sample(resources, MAX_CANDIDATES, &mut self.rng);
         let mut best: Option<(f64, &VmId)> = None;
         for slot in slots {
             let id = &self.slots[slot as usize];
             let Some(vm) = self.vms.get(id) else { continue };
-            if !self.may_take(now, vm, want, resources, auth) {
+            if !self.may_take(now, vm, request, resources, auth) {
                 continue;
             }
-            let cost = self.cost(vm, want, resources);
+            let cost = self.cost(vm, request, resources);
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, id));
             }
@@ -151,15 +157,15 @@
         &self,
         now: Time,
         vm: &Vm,
-        want: &TaskRequest,
+        request: &TaskRequest,
         resources: &Resources,
         auth: &dyn Authority,
     ) -> bool {
-        let room = !self.protections.capacity_check || resources.fits(&vm.room());
-        room && vm.may_grant(self.protections.report_before_grant)
-            && !want.avoid.contains(&vm.record.vm)
-            && (!want.service || vm.takes_service(&want.class))
-            && self.holds(now, vm.shard, auth)
+        let fits = !self.protections.capacity_check || resources.fits(&vm.free_capacity());
+        fits && vm.may_grant(self.protections.report_before_grant)
+            && !request.avoid.contains(&vm.record.vm)
+            && (!request.service || vm.accepts_service(&request.class))
+            && self.has_authority(now, vm.shard, auth)
     }
 
     /// A VM in quarantine that is due for a probe. Only a batch task that hasn't failed yet is
@@ -167,25 +173,25 @@
     fn probe(
         &self,
         now: Time,
-        want: &TaskRequest,
+        request: &TaskRequest,
         resources: &Resources,
         auth: &dyn Authority,
     ) -> Option<VmId> {
-        if want.service || !want.avoid.is_empty() {
+        if request.service || !request.avoid.is_empty() {
             return None;
         }
         let due = |vm: &&Vm| vm.health.quarantined && now >= vm.health.probe_at;
         let probes = self.quarantined.iter().filter_map(|id| self.vms.get(id));
         probes
             .filter(due)
-            .find(|vm| self.may_take(now, vm, want, resources, auth))
+            .find(|vm| self.may_take(now, vm, request, resources, auth))
             .map(|vm| vm.record.vm.clone())
     }
 
     /// What placing the task on the VM would cost: expected slowdown on both sides, room left in
     /// shapes that are hard to use, lost spread. It only ranks; whether it fits is checked before.
-    fn cost(&self, vm: &Vm, want: &TaskRequest, resources: &Resources) -> f64 {
-        let left = vm.room().minus(resources);
+    fn cost(&self, vm: &Vm, request: &TaskRequest, resources: &Resources) -> f64 {
+        let left = vm.free_capacity().minus(resources);
         let part = |left: u32, of: u32| f64::from(left) / f64::from(of.max(1));
         let capacity = &vm.record.capacity;
         let cpu_left = part(left.cpu.0, capacity.cpu.0);
@@ -193,21 +199,23 @@
         // Batch packs tightly and keeps roomy VMs for large tasks; a service takes the roomiest,
         // since its load grows where it stands.
         let roomy = (cpu_left + memory_left) / 2.0;
-        let mut cost = if want.service { 1.0 - roomy } else { roomy };
+        let mut cost = if request.service { 1.0 - roomy } else { roomy };
         cost += (cpu_left - memory_left).abs();
         if resources.accelerators.0 == 0 && capacity.accelerators.0 > 0 {
             cost += IDLE_ACCELERATOR_PENALTY;
         }
-        if want.avoid_data_centres.contains(&vm.record.data_centre) {
+        if request.avoid_data_centres.contains(&vm.record.data_centre) {
             cost += SPREAD_PENALTY;
         }
-        let mut services = vm.attempts.values().filter(|on| on.service).peekable();
-        let beside_services = !want.service && services.peek().is_some();
-        if beside_services && services.all(|on| self.learned.is_harmless(&on.class, &want.class)) {
-            cost -= QUIET_BONUS;
+        let mut services = vm.attempts.values().filter(|attempt| attempt.service).peekable();
+        let beside_services = !request.service && services.peek().is_some();
+        if beside_services
+            && services.all(|attempt| self.learned.is_harmless(&attempt.class, &request.class))
+        {
+            cost -= HARMLESS_BONUS;
         }
-        let neighbours = vm.attempts.values().map(|on| (&on.class, on.service));
-        cost + SLOWDOWN_WEIGHT * self.learned.slowdown(&want.class, want.service, neighbours)
+        let neighbours = vm.attempts.values().map(|attempt| (&attempt.class, attempt.service));
+        cost + SLOWDOWN_WEIGHT * self.learned.slowdown(&request.class, request.service, neighbours)
     }
 
     fn usage_of<'a>(&self, teams: impl Iterator<Item = &'a TeamName>) -> Vec<TeamUsage> {
@@ -227,12 +235,14 @@
 impl RackTable {
     /// Sums up the room and what each class holds. Done now and then rather than for each
     /// question, so that a question's cost doesn't grow with the VMs.
-    pub(super) fn sum_up(&mut self) {
-        self.room = self.count_room();
+    pub(super) fn update_totals(&mut self) {
+        self.capacity = self.node_capacity();
         let mut by_class: BTreeMap<&ClassName, Resources> = BTreeMap::new();
-        for on in self.vms.values().flat_map(|vm| vm.attempts.values()).filter(|on| !on.service) {
-            let sum = by_class.entry(&on.class).or_default();
-            *sum = sum.plus(&on.resources);
+        for attempt in
+            self.vms.values().flat_map(|vm| vm.attempts.values()).filter(|attempt| !attempt.service)
+        {
+            let sum = by_class.entry(&attempt.class).or_default();
+            *sum = sum.plus(&attempt.resources);
         }
         // A quota bounds batch work: services take what their targets need.
         let mut usage: BTreeMap<TeamName, Resources> = BTreeMap::new();
--- a/crates/tasks/src/racks/report.rs
+++ b/crates/tasks/src/racks/report.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         RackAlarm, RackEffect, RackTable, to_job,
-        vm::{OnVm, Phase, Vm},
+        vm::{Phase, Vm, VmAttempt},
     },
     crate::{limits::Limits, msg::JobMsg},
     egretlb_types::{
@@ -38,32 +38,38 @@
         vm.report_sent = Some(sent);
         vm.unresponsive = false;
         vm.lost = false;
-        vm.says_leaving = report.leaving;
+        vm.reports_draining = report.leaving;
         self.learn(now, id, &report);
         for ended in &report.ended {
-            self.take_ended(now, id, ended, out);
+            self.on_task_ended(now, id, ended, out);
         }
         for running in &report.running {
-            self.take_running(now, id, sent, running, out);
+            self.on_task_running(now, id, sent, running, out);
         }
-        self.take_missing(now, id, sent, &report);
-        self.measure(id, &report, out);
+        self.query_unlisted(now, id, sent, &report);
+        self.update_usage(id, &report, out);
         self.drop_closed(id, sent, &report);
-        self.plan_poll(now, id);
-        self.tell_ends(now, id, out);
+        self.schedule_poll(now, id);
+        self.report_ends(now, id, out);
         self.call_due(now, id, auth, out);
     }
 
     fn learn(&mut self, now: Time, id: &VmId, report: &WorkerReport) {
         let Some(vm) = self.vms.get(id) else { return };
         // Ends that are listed again aren't learned again: the attempt is closed by then.
-        let class_of = |of: &TaskFence| vm.attempts.get(of).map(|on| on.class.clone());
-        self.learned.take(now, report, class_of);
+        let class_of = |of: &TaskFence| vm.attempts.get(of).map(|attempt| attempt.class.clone());
+        self.learned.observe(now, report, class_of);
     }
 
-    fn take_ended(&mut self, now: Time, id: &VmId, ended: &EndedTask, out: &mut Vec<RackEffect>) {
+    fn on_task_ended(
+        &mut self,
+        now: Time,
+        id: &VmId,
+        ended: &EndedTask,
+        out: &mut Vec<RackEffect>,
+    ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let was_service = vm.attempts.get(&ended.of).is_some_and(|on| on.service);
+        let was_service = vm.attempts.get(&ended.of).is_some_and(|attempt| attempt.service);
         let ran = Duration::from_millis(ended.ran_ms);
         if !vm.close(now, &ended.of, ended.end.into(), ran) {
             return;
@@ -86,7 +92,7 @@
         }
     }
 
-    fn take_running(
+    fn on_task_running(
         &mut self,
         now: Time,
         id: &VmId,
@@ -100,28 +106,29 @@
             // It was given up, or a stop of it was confirmed, and a later report lists it: the
             // worker's clock is slower than the bound, or the worker erred. It must not go on.
             if sent > closed.at {
-                let mut on = adopted(now, running);
-                on.phase = Phase::Stopping;
-                on.ran = false;
-                vm.attempts.insert(running.of.clone(), on);
+                let mut attempt = adopted(now, running);
+                attempt.phase = Phase::Stopping;
+                attempt.ran = false;
+                vm.attempts.insert(running.of.clone(), attempt);
             }
             return;
         }
         let known = vm.attempts.contains_key(&running.of);
-        let on = vm.attempts.entry(running.of.clone()).or_insert_with(|| adopted(now, running));
-        on.used = running.used;
-        on.slowdown_permille = running.slowdown_permille;
-        on.ran = true;
-        let started = !known || on.phase == Phase::Starting;
-        if on.phase == Phase::Starting && !on.calling {
-            on.phase = Phase::Running;
-            on.start = None;
-            on.doubt = false;
+        let attempt =
+            vm.attempts.entry(running.of.clone()).or_insert_with(|| adopted(now, running));
+        attempt.used = running.used;
+        attempt.slowdown_permille = running.slowdown_permille;
+        attempt.ran = true;
+        let started = !known || attempt.phase == Phase::Starting;
+        if attempt.phase == Phase::Starting && !attempt.call_in_flight {
+            attempt.phase = Phase::Running;
+            attempt.start = None;
+            attempt.unconfirmed = false;
         }
         if !started {
             return;
         }
-        if on.service {
+        if attempt.service {
             self.backends_changed.insert(shard);
         }
         if !known {
@@ -132,23 +139,23 @@
     }
 
     /// Attempts that should run and that a later report doesn't list: the VM is asked.
-    fn take_missing(&mut self, now: Time, id: &VmId, sent: Time, report: &WorkerReport) {
+    fn query_unlisted(&mut self, now: Time, id: &VmId, sent: Time, report: &WorkerReport) {
         let listed: BTreeSet<&TaskFence> = report.running.iter().map(|r| &r.of).collect();
         let Some(vm) = self.vms.get_mut(id) else { return };
-        for (of, on) in &mut vm.attempts {
-            let runs = matches!(on.phase, Phase::Running | Phase::Draining { .. });
-            if runs && on.since < sent && !listed.contains(of) {
-                on.phase = Phase::Stopping;
-                on.checkpoint = true;
-                on.call_at = now;
-                if on.service {
+        for (of, attempt) in &mut vm.attempts {
+            let runs = matches!(attempt.phase, Phase::Running | Phase::Draining { .. });
+            if runs && attempt.since < sent && !listed.contains(of) {
+                attempt.phase = Phase::Stopping;
+                attempt.checkpoint = true;
+                attempt.next_call_at = now;
+                if attempt.service {
                     self.backends_changed.insert(vm.shard);
                 }
             }
         }
     }
 
-    fn measure(&mut self, id: &VmId, report: &WorkerReport, out: &mut Vec<RackEffect>) {
+    fn update_usage(&mut self, id: &VmId, report: &WorkerReport, out: &mut Vec<RackEffect>) {
         let Some(vm) = self.vms.get_mut(id) else { return };
         let sum = |sum: Resources, running: &RunningTask| sum.plus(&running.used);
         vm.observed = report.running.iter().fold(Resources::default(), sum);
@@ -170,7 +177,7 @@
 
     /// The next report: soon where something is about to end or wants watching, seldom else.
     /// Polling all VMs at the shortest period would by itself pass the control budget.
-    fn plan_poll(&mut self, now: Time, id: &VmId) {
+    fn schedule_poll(&mut self, now: Time, id: &VmId) {
         let Some(vm) = self.vms.get(id) else { return };
         let wait = poll_wait(now, vm, &self.limits, |class| self.learned.run_time(class));
         if let Some(vm) = self.vms.get_mut(id) {
@@ -186,37 +193,37 @@
     run_time: impl Fn(&egretlb_types::ClassName) -> Option<Duration>,
 ) -> Duration {
     let mut wait = limits.max_poll_interval;
-    for on in vm.attempts.values() {
-        let ran = now.since(on.since);
-        let expected = match run_time(&on.class) {
-            _ if on.service => limits.max_poll_interval,
+    for attempt in vm.attempts.values() {
+        let ran = now.since(attempt.since);
+        let expected = match run_time(&attempt.class) {
+            _ if attempt.service => limits.max_poll_interval,
             // What already runs longer than usual is asked about after a part of that excess.
             Some(usual) => usual.saturating_sub(ran).max(ran.saturating_sub(usual) / 4),
             None => ran / 4,
         };
-        let watched = on.throttled.is_some() || on.slowdown_permille > 1_500;
+        let watched = attempt.throttled_since.is_some() || attempt.slowdown_permille > 1_500;
         let expected = if watched { expected.min(limits.max_poll_interval / 3) } else { expected };
         wait = wait.min(expected);
     }
     wait.max(limits.min_poll_interval)
 }
 
-fn adopted(now: Time, running: &RunningTask) -> OnVm {
-    OnVm {
+fn adopted(now: Time, running: &RunningTask) -> VmAttempt {
+    VmAttempt {
         class: running.class.clone(),
         service: running.service,
         over_quota: false,
         resources: running.resources,
         phase: Phase::Running,
         start: None,
-        doubt: false,
+        unconfirmed: false,
         ran: true,
         checkpoint: true,
-        calling: false,
-        call_at: now,
+        call_in_flight: false,
+        next_call_at: now,
         since: now,
         used: running.used,
         slowdown_permille: running.slowdown_permille,
-        throttled: None,
+        throttled_since: None,
     }
 }
--- a/crates/tasks/src/racks/start.rs
+++ b/crates/tasks/src/racks/start.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        About, Guard, RackEffect, RackTable, WorkerCall, to_job,
-        vm::{OnVm, Phase},
+        CallKind, Guard, RackEffect, RackTable, WorkerCall, to_job,
+        vm::{Phase, VmAttempt},
     },
     crate::msg::{AttemptEnd, Ended, JobMsg, Start, Stop},
     egretlb_types::{
@@ -30,25 +30,25 @@
     ) {
         // An adopted attempt's room isn't known to be lent until its job's owner says so.
         let known = self.vms.get_mut(&start.vm).and_then(|vm| vm.attempts.get_mut(&start.of));
-        if let Some(on) = known {
-            on.over_quota = start.over_quota;
+        if let Some(attempt) = known {
+            attempt.over_quota = start.over_quota;
         }
-        if !self.holds(now, shard, auth)
-            || !self.answer_known(now, shard, &start.vm, &start.of, out)
+        if !self.has_authority(now, shard, auth)
+            || !self.answer_if_known(now, shard, &start.vm, &start.of, out)
         {
             return;
         }
         let reserved = start.reservation.and_then(|id| self.take_reservation(&start, id));
         let checked = self.protections.reservation_per_start;
         match reserved {
-            Some(resources) => self.begin(now, start, resources, auth, out),
+            Some(resources) => self.start_reserved(now, start, resources, auth, out),
             None if !checked => {
                 let resources = start.resources;
-                self.begin(now, start, resources, auth, out);
+                self.start_reserved(now, start, resources, auth, out);
             }
             None => {
-                let on = asked_about(now, &start.class, start.service, true);
-                self.ask_fate(now, &start.vm, &start.of, on, auth, out);
+                let attempt = unresolved_attempt(now, &start.class, start.service, true);
+                self.resolve_outcome(now, &start.vm, &start.of, attempt, auth, out);
             }
         }
     }
@@ -62,7 +62,7 @@
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) {
-        if !self.holds(now, shard, auth) {
+        if !self.has_authority(now, shard, auth) {
             return;
         }
         let drain = self.limits.drain;
@@ -70,26 +70,26 @@
             self.answer_unknown_vm(now, shard, &stop.vm, &stop.of, out);
             return;
         };
-        if let Some(on) = vm.attempts.get_mut(&stop.of) {
-            match on.phase {
-                Phase::Running if on.service => {
-                    on.phase = Phase::Draining { until: now + drain };
+        if let Some(attempt) = vm.attempts.get_mut(&stop.of) {
+            match attempt.phase {
+                Phase::Running if attempt.service => {
+                    attempt.phase = Phase::Draining { until: now + drain };
                     self.backends_changed.insert(shard);
                 }
                 Phase::Running | Phase::Starting => {
-                    on.phase = Phase::Stopping;
-                    on.checkpoint = stop.checkpoint;
-                    on.call_at = now;
+                    attempt.phase = Phase::Stopping;
+                    attempt.checkpoint = stop.checkpoint;
+                    attempt.next_call_at = now;
                 }
                 Phase::Draining { .. } | Phase::Stopping => {}
             }
             self.call_due(now, &stop.vm, auth, out);
             return;
         }
-        if self.answer_known(now, shard, &stop.vm, &stop.of, out) {
+        if self.answer_if_known(now, shard, &stop.vm, &stop.of, out) {
             let Ok(class) = "unknown".parse() else { return };
-            let on = asked_about(now, &class, false, stop.checkpoint);
-            self.ask_fate(now, &stop.vm, &stop.of, on, auth, out);
+            let attempt = unresolved_attempt(now, &class, false, stop.checkpoint);
+            self.resolve_outcome(now, &stop.vm, &stop.of, attempt, auth, out);
         }
     }
 
@@ -102,7 +102,7 @@
 
     /// Answers a question about an attempt if the answer is at hand. Returns whether the VM has
     /// to be asked.
-    fn answer_known(
+    fn answer_if_known(
         &mut self,
         now: Time,
         shard: ShardId,
@@ -114,8 +114,8 @@
             self.answer_unknown_vm(now, shard, id, of, out);
             return false;
         };
-        if let Some(on) = vm.attempts.get(of) {
-            if on.phase == Phase::Running {
+        if let Some(attempt) = vm.attempts.get(of) {
+            if attempt.phase == Phase::Running {
                 let msg = JobMsg::Started { vm: id.clone(), rack: shard, of: of.clone() };
                 out.push(to_job(&of.task, msg));
             }
@@ -124,13 +124,13 @@
         if let Some(closed) = vm.closed.get_mut(of) {
             closed.acked = false;
             closed.send_at = now;
-            closed.sends = 0;
-            self.tell_ends(now, id, out);
+            closed.send_count = 0;
+            self.report_ends(now, id, out);
             return false;
         }
         if vm.lost {
             vm.close(now, of, AttemptEnd::Lost, Duration::ZERO);
-            self.tell_ends(now, id, out);
+            self.report_ends(now, id, out);
             return false;
         }
         // Until a report says what runs here, nothing can be said, and nothing may be stopped.
@@ -177,7 +177,7 @@
         Some(resources)
     }
 
-    fn begin(
+    fn start_reserved(
         &mut self,
         now: Time,
         start: Start,
@@ -196,29 +196,29 @@
             checkpoint: start.checkpoint,
             command: start.command,
         };
-        let mut on = asked_about(now, &start.class, start.service, true);
-        on.phase = Phase::Starting;
-        on.resources = resources;
-        on.over_quota = start.over_quota;
-        on.start = Some(Box::new(task));
+        let mut attempt = unresolved_attempt(now, &start.class, start.service, true);
+        attempt.phase = Phase::Starting;
+        attempt.resources = resources;
+        attempt.over_quota = start.over_quota;
+        attempt.start = Some(Box::new(task));
         let Some(vm) = self.vms.get_mut(&start.vm) else { return };
-        vm.attempts.insert(start.of, on);
+        vm.attempts.insert(start.of, attempt);
         self.reindex(&start.vm);
         self.call_due(now, &start.vm, auth, out);
     }
 
     /// Asks a VM for the fate of an attempt that isn't known to run there, by stopping it.
-    fn ask_fate(
+    fn resolve_outcome(
         &mut self,
         now: Time,
         id: &VmId,
         of: &TaskFence,
-        on: OnVm,
+        attempt: VmAttempt,
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        vm.attempts.insert(of.clone(), on);
+        vm.attempts.insert(of.clone(), attempt);
         self.call_due(now, id, auth, out);
     }
 
@@ -238,19 +238,19 @@
             return;
         }
         let mut due = Vec::new();
-        for (of, on) in &mut vm.attempts {
-            if let Phase::Draining { until } = on.phase
+        for (of, attempt) in &mut vm.attempts {
+            if let Phase::Draining { until } = attempt.phase
                 && now >= until
             {
-                on.phase = Phase::Stopping;
+                attempt.phase = Phase::Stopping;
             }
-            let waits = matches!(on.phase, Phase::Starting | Phase::Stopping);
-            if waits && !on.calling && now >= on.call_at {
+            let waits = matches!(attempt.phase, Phase::Starting | Phase::Stopping);
+            if waits && !attempt.call_in_flight && now >= attempt.next_call_at {
                 due.push(of.clone());
             }
         }
         for of in due {
-            if !self.holds(now, shard, auth) {
+            if !self.has_authority(now, shard, auth) {
                 return;
             }
             self.call_start_or_stop(now, id, of, out);
@@ -264,47 +264,47 @@
         of: TaskFence,
         out: &mut Vec<RackEffect>,
     ) {
-        let bound = self.bound_of_call(now);
+        let bound = self.lease_bound_of_call(now);
         let resend = self.limits.resend;
         let Some(vm) = self.vms.get_mut(id) else { return };
         let guard = Guard::Authority(vm.shard);
-        let Some(on) = vm.attempts.get_mut(&of) else { return };
-        on.calling = true;
-        on.call_at = now + resend;
-        let start = on.start.as_deref().filter(|_| on.phase == Phase::Starting).cloned();
-        let checkpoint = on.checkpoint;
-        let (about, call) = match start {
+        let Some(attempt) = vm.attempts.get_mut(&of) else { return };
+        attempt.call_in_flight = true;
+        attempt.next_call_at = now + resend;
+        let start = attempt.start.as_deref().filter(|_| attempt.phase == Phase::Starting).cloned();
+        let checkpoint = attempt.checkpoint;
+        let (kind, call) = match start {
             Some(start) => {
                 vm.extend_bound(bound);
-                (About::Start(of), WorkerCall::Start(start))
+                (CallKind::Start(of), WorkerCall::Start(start))
             }
             None => {
                 let stop = StopTask { of: of.clone(), checkpoint };
-                (About::Stop(of), WorkerCall::Stop(stop))
+                (CallKind::Stop(of), WorkerCall::Stop(stop))
             }
         };
-        self.call(now, id, about, call, guard, out);
+        self.call(now, id, kind, call, guard, out);
     }
 }
 
 /// An attempt of which only the fate is asked for. It holds no room: a fresh report doesn't list
 /// it, and no start of it is on its way.
-fn asked_about(now: Time, class: &ClassName, service: bool, checkpoint: bool) -> OnVm {
-    OnVm {
+fn unresolved_attempt(now: Time, class: &ClassName, service: bool, checkpoint: bool) -> VmAttempt {
+    VmAttempt {
         class: class.clone(),
         service,
         over_quota: false,
         resources: Resources::default(),
         phase: Phase::Stopping,
         start: None,
-        doubt: false,
+        unconfirmed: false,
         ran: false,
         checkpoint,
-        calling: false,
-        call_at: now,
+        call_in_flight: false,
+        next_call_at: now,
         since: now,
         used: Resources::default(),
         slowdown_permille: 1_000,
-        throttled: None,
+        throttled_since: None,
     }
 }
--- a/crates/tasks/src/racks/vm.rs
+++ b/crates/tasks/src/racks/vm.rs
@@ -28,7 +28,7 @@
 
 /// One attempt on a VM.
 #[derive(Clone, Debug)]
-pub(super) struct OnVm {
+pub(super) struct VmAttempt {
     pub(super) class: ClassName,
     pub(super) service: bool,
     pub(super) over_quota: bool,
@@ -37,26 +37,26 @@
     /// Kept until the start is answered, to ask again.
     pub(super) start: Option<Box<StartTask>>,
     /// A start may have reached the worker without an answer.
-    pub(super) doubt: bool,
+    pub(super) unconfirmed: bool,
     /// Whether it was ever known to run.
     pub(super) ran: bool,
     /// Whether a stop writes a checkpoint.
     pub(super) checkpoint: bool,
     /// A start, stop or throttle is in progress.
-    pub(super) calling: bool,
+    pub(super) call_in_flight: bool,
     /// When to call again.
-    pub(super) call_at: Time,
+    pub(super) next_call_at: Time,
     /// Since when it runs, or was asked to.
     pub(super) since: Time,
     pub(super) used: Resources,
     pub(super) slowdown_permille: u32,
     /// Since when it is throttled.
-    pub(super) throttled: Option<Time>,
+    pub(super) throttled_since: Option<Time>,
 }
 
 /// Room kept for an attempt that is being journalled.
 #[derive(Clone, Debug)]
-pub(super) struct Reserved {
+pub(super) struct Reservation {
     pub(super) task: TaskId,
     pub(super) attempt: Attempt,
     pub(super) service: bool,
@@ -76,7 +76,7 @@
     pub(super) acked: bool,
     pub(super) send_at: Time,
     /// How often it was told so far.
-    pub(super) sends: u32,
+    pub(super) send_count: u32,
 }
 
 /// How a VM has treated what it was given.
@@ -95,7 +95,7 @@
     pub(super) shard: ShardId,
     pub(super) slot: u32,
     pub(super) listed: bool,
-    pub(super) says_leaving: bool,
+    pub(super) reports_draining: bool,
     /// When the last report taken was asked for.
     pub(super) report_sent: Option<Time>,
     /// Before this no report is fresh: calls of the previous owner may still arrive.
@@ -104,9 +104,9 @@
     /// What attempts and reservations hold.
     pub(super) committed: Resources,
     /// What of it isn't in `observed` yet.
-    pub(super) unseen: Resources,
-    pub(super) attempts: BTreeMap<TaskFence, OnVm>,
-    pub(super) reservations: BTreeMap<ReservationId, Reserved>,
+    pub(super) unobserved: Resources,
+    pub(super) attempts: BTreeMap<TaskFence, VmAttempt>,
+    pub(super) reservations: BTreeMap<ReservationId, Reservation>,
     pub(super) closed: BTreeMap<TaskFence, Closed>,
     /// No lease granted on this VM lasts longer.
     pub(super) lease_bound: Time,
@@ -121,7 +121,7 @@
     /// Room being freed that is meant for tasks which asked for it.
     pub(super) promised: Resources,
     /// Whether job owners were told that it is leaving.
-    pub(super) leaving_told: bool,
+    pub(super) drain_reported: bool,
 }
 
 impl Vm {
@@ -131,12 +131,12 @@
             shard,
             slot,
             listed: true,
-            says_leaving: false,
+            reports_draining: false,
             report_sent: None,
             fresh_from: now,
             observed: Resources::default(),
             committed: Resources::default(),
-            unseen: Resources::default(),
+            unobserved: Resources::default(),
             attempts: BTreeMap::new(),
             reservations: BTreeMap::new(),
             closed: BTreeMap::new(),
@@ -149,12 +149,12 @@
             renew_at: now,
             health: Health::default(),
             promised: Resources::default(),
-            leaving_told: false,
+            drain_reported: false,
         }
     }
 
-    pub(super) fn is_leaving(&self) -> bool {
-        self.says_leaving || !self.listed || self.record.state == VmState::Leaving
+    pub(super) fn is_draining(&self) -> bool {
+        self.reports_draining || !self.listed || self.record.state == VmState::Leaving
     }
 
     /// Whether a report younger than this owner's authority says what runs here.
@@ -165,28 +165,29 @@
     /// Whether new work may be granted, quarantine aside.
     pub(super) fn may_grant(&self, need_report: bool) -> bool {
         let known = self.is_fresh() || !need_report;
-        known && !self.unresponsive && !self.lost && !self.is_leaving()
+        known && !self.unresponsive && !self.lost && !self.is_draining()
     }
 
     /// The room for new work: what neither commitments nor measurements take.
     ///
     /// Measurements lag, so what was granted since counts on top of them; and a task that uses
     /// less than it was given may use it all at the next moment, so commitments count in full.
-    pub(super) fn room(&self) -> Resources {
-        let in_use = self.committed.max(&self.observed.plus(&self.unseen));
+    pub(super) fn free_capacity(&self) -> Resources {
+        let in_use = self.committed.max(&self.observed.plus(&self.unobserved));
         self.record.capacity.minus(&in_use)
     }
 
     /// Whether one more replica of the class finds a slot. One replica of a class for each VM: a
     /// second one would share the same backend server, and be lost with it.
-    pub(super) fn takes_service(&self, class: &ClassName) -> bool {
+    pub(super) fn accepts_service(&self, class: &ClassName) -> bool {
         let replicas = self.services();
         let taken = replicas.clone().count();
         taken < usize::from(self.record.slots) && replicas.clone().all(|other| other != class)
     }
 
     fn services(&self) -> impl Iterator<Item = &ClassName> + Clone {
-        let running = self.attempts.values().filter(|on| on.service).map(|on| &on.class);
+        let running =
+            self.attempts.values().filter(|attempt| attempt.service).map(|attempt| &attempt.class);
         let reserved = self.reservations.values().filter(|r| r.service).map(|r| &r.class);
         running.chain(reserved)
     }
@@ -195,22 +196,22 @@
     /// recount can't drift as running sums would.
     pub(super) fn recount(&mut self) {
         let mut committed = Resources::default();
-        let mut unseen = Resources::default();
-        for on in self.attempts.values() {
-            committed = committed.plus(&on.resources);
-            if on.used == Resources::default() {
-                unseen = unseen.plus(&on.resources);
+        let mut unobserved = Resources::default();
+        for attempt in self.attempts.values() {
+            committed = committed.plus(&attempt.resources);
+            if attempt.used == Resources::default() {
+                unobserved = unobserved.plus(&attempt.resources);
             }
         }
         for reserved in self.reservations.values() {
             committed = committed.plus(&reserved.resources);
-            unseen = unseen.plus(&reserved.resources);
+            unobserved = unobserved.plus(&reserved.resources);
         }
-        if !self.attempts.values().any(|on| on.phase == Phase::Stopping) {
+        if !self.attempts.values().any(|attempt| attempt.phase == Phase::Stopping) {
             self.promised = Resources::default();
         }
         self.committed = committed;
-        self.unseen = unseen;
+        self.unobserved = unobserved;
     }
 
     /// Notes an end, unless it is known already. Returns whether it was new.
@@ -226,9 +227,9 @@
             self.recount();
             return false;
         }
-        let vm_quarantined = self.note_health(of, &how);
+        let vm_quarantined = self.record_outcome(of, &how);
         let closed =
-            Closed { how, vm_quarantined, ran, at: now, acked: false, send_at: now, sends: 0 };
+            Closed { how, vm_quarantined, ran, at: now, acked: false, send_at: now, send_count: 0 };
         self.closed.insert(of.clone(), closed);
         self.recount();
         true
@@ -236,7 +237,7 @@
 
     /// Counts failures in a row of distinct tasks, and says whether a failure here tells nothing
     /// of the task.
-    fn note_health(&mut self, of: &TaskFence, how: &AttemptEnd) -> bool {
+    fn record_outcome(&mut self, of: &TaskFence, how: &AttemptEnd) -> bool {
         match how {
             AttemptEnd::Failed => {
                 if !self.health.failed.contains(&of.task) {
--- a/crates/tasks/tests/learning.rs
+++ b/crates/tasks/tests/learning.rs
@@ -36,9 +36,9 @@
 fn too_small_declaration_counts_at_once() {
     let mut sizes = SizeTable::default();
     let declared = resources(1.0, 1.0, 1);
-    assert_eq!(sizes.size(&class("titles"), &declared), declared);
+    assert_eq!(sizes.committed_size(&class("titles"), &declared), declared);
     sizes.record_usage(&class("titles"), &resources(4.0, 0.5, 0));
-    assert_eq!(sizes.size(&class("titles"), &declared), resources(4.0, 1.0, 1));
+    assert_eq!(sizes.committed_size(&class("titles"), &declared), resources(4.0, 1.0, 1));
 }
 
 // A class declares four times what it uses. Room is won back, but only after many tasks, with a
@@ -48,12 +48,12 @@
     let mut sizes = SizeTable::default();
     let declared = resources(8.0, 8.0, 2);
     for ended in 0..30 {
-        let size = sizes.size(&class("titles"), &declared);
+        let size = sizes.committed_size(&class("titles"), &declared);
         assert_eq!(size == declared, ended < 20, "after {ended}");
         let ran = Duration::from_secs(60);
         sizes.record_end(&class("titles"), &resources(4.0, 0.1, 0), ran, TaskEnd::Done);
     }
-    assert_eq!(sizes.size(&class("titles"), &declared), resources(4.8, 2.0, 2));
+    assert_eq!(sizes.committed_size(&class("titles"), &declared), resources(4.8, 2.0, 2));
     assert_eq!(sizes.run_time(&class("titles")), Some(Duration::from_secs(60)));
 }
 
@@ -65,11 +65,11 @@
     let mut sizes = SizeTable::default();
     let declared = resources(1.0, 1.0, 0);
     for _ in 0..200 {
-        let given = sizes.size(&class("titles"), &declared);
+        let given = sizes.committed_size(&class("titles"), &declared);
         sizes.record_usage(&class("titles"), &given);
         sizes.record_end(&class("titles"), &given, Duration::from_secs(1), TaskEnd::Done);
     }
-    assert_eq!(sizes.size(&class("titles"), &declared), declared);
+    assert_eq!(sizes.committed_size(&class("titles"), &declared), declared);
 }
 
 // Two classes always run beside a service, in changing numbers, and one of them disturbs it. The
@@ -84,7 +84,7 @@
         let mut all = vec![running(0, "checks", 1_000 + noisy * 200)];
         all.extend((0..noisy).map(|i| running(10 + i, "titles", 1_000)));
         all.extend((0..quiet).map(|i| running(20 + i, "gazette", 1_000)));
-        table.take(now, &all);
+        table.observe(now, &all);
     }
     let titles = table.pair_slowdown(&class("checks"), &class("titles"));
     let gazette = table.pair_slowdown(&class("checks"), &class("gazette"));
@@ -92,7 +92,7 @@
     assert!(gazette < 0.03, "{gazette}");
     assert!(table.is_harmless(&class("checks"), &class("gazette")));
     // An hour later, without any report of the pair, little of it is still believed.
-    table.take(now + Duration::from_secs(3 * 3_600), &[]);
+    table.observe(now + Duration::from_secs(3 * 3_600), &[]);
     let faded = table.pair_slowdown(&class("checks"), &class("titles"));
     assert!(faded < titles / 10.0, "{faded}");
 }
@@ -102,7 +102,7 @@
 fn few_samples_count_little() {
     let mut table = InterferenceModel::default();
     let all = [running(0, "checks", 3_000), running(1, "titles", 1_000)];
-    table.take(Time::from_secs(1), &all);
+    table.observe(Time::from_secs(1), &all);
     assert!(table.pair_slowdown(&class("checks"), &class("titles")) < 0.05);
     assert!(!table.is_harmless(&class("checks"), &class("titles")));
 }
