--- a/crates/node/src/node/convert.rs
+++ b/crates/node/src/node/convert.rs
@@ -104,7 +104,7 @@
     };
     let tasks = TaskCounts {
         queued: counts.queued,
-        starting: counts.starting + counts.in_doubt,
+        starting: counts.starting + counts.unconfirmed,
         running: counts.running + counts.stopping,
         done: counts.done,
         failed: 0,
--- a/crates/tasks/src/jobs/api.rs
+++ b/crates/tasks/src/jobs/api.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`JobTable`](super::JobBook) and comes out of it.
+//! Events, effects and replies of a [`JobTable`](super::JobTable).
 
 use {
     super::record::{JobEntry, JobSpec},
@@ -11,52 +11,52 @@
     std::{fmt, sync::Arc},
 };
 
-/// Ties a call to its reply; chosen by the runtime.
+/// Matches a reply to its call; assigned by the runtime.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// What happens to a job book.
+/// Input of a job table.
 #[derive(Clone, Debug)]
 pub enum JobEvent {
-    /// The shard is this node's: its journal was read and its snapshot is acknowledged.
+    /// This node owns the shard: its journal is replayed and its snapshot acknowledged.
     Owned {
         /// The shard.
         shard: ShardId,
         /// The epoch.
         epoch: Epoch,
     },
-    /// The shard is no longer this node's.
+    /// This node no longer owns the shard.
     Lost {
         /// The shard.
         shard: ShardId,
     },
-    /// A configuration came into force.
+    /// A new configuration is in force.
     Config {
         /// The configuration.
         document: Arc<ConfigDocument>,
     },
-    /// Some time passed.
+    /// Periodic timer.
     Tick,
-    /// The nodes that take part, by the control stream.
+    /// The live nodes, from the control stream.
     Nodes {
-        /// The nodes, this one among them.
+        /// The nodes, including this one.
         nodes: Vec<NodeId>,
     },
-    /// A submission, idempotent by its job id.
+    /// Submit a job; idempotent by job id.
     Submit {
         /// The call.
         call: CallId,
         /// The job.
         spec: JobSpec,
     },
-    /// A cancellation, idempotent.
+    /// Cancel a job; idempotent.
     Cancel {
         /// The call.
         call: CallId,
         /// The job.
         job: JobId,
     },
-    /// A question for a job's status.
+    /// Query a job's status.
     Status {
         /// The call.
         call: CallId,
@@ -68,14 +68,14 @@
         /// The entry's ticket.
         ticket: Ticket,
     },
-    /// A message of another book.
+    /// A message from a rack table.
     Message {
-        /// The node that sent it.
+        /// The sending node.
         from: NodeId,
         /// The message.
         msg: JobMsg,
     },
-    /// An entry's measurements of a service class.
+    /// Load of a service class, measured by an entry.
     Load {
         /// The entry.
         from: NodeId,
@@ -86,16 +86,16 @@
     },
 }
 
-/// What a job book asks its runtime to do.
+/// Output of a job table, performed by the runtime.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobEffect {
-    /// Append the entry to the node's journal and tell when it is acknowledged.
+    /// Append the entry to the node's journal.
     Journal {
         /// The shard.
         shard: ShardId,
         /// The entry.
         entry: JobEntry,
-        /// To be told with [`JobEvent::Journaled`].
+        /// Returned by [`JobEvent::Journaled`] on acknowledgement.
         ticket: Ticket,
     },
     /// Answer a call.
@@ -105,43 +105,43 @@
         /// The answer.
         reply: JobReply,
     },
-    /// Send a message to a node's rack book.
+    /// Send a message to a node's rack table.
     SendToNode {
         /// The node.
         node: NodeId,
         /// The message.
         msg: NodeMsg,
     },
-    /// Send a message to whoever owns a rack's shard.
+    /// Send a message to the owner of a rack's shard.
     SendToRack {
         /// The shard.
         shard: ShardId,
         /// The message.
         msg: RackMsg,
     },
-    /// Tell the operators.
+    /// Notify the operators.
     Alarm(JobAlarm),
 }
 
-/// An answer to a call.
+/// Reply to a call.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobReply {
-    /// The job is in the journal and will end with a final state.
+    /// The job is journalled and will reach a final state.
     Accepted {
         /// The job.
         job: JobId,
     },
-    /// The cancellation is in the journal.
+    /// The cancellation is journalled.
     Cancelled {
         /// The job.
         job: JobId,
     },
-    /// Where the job stands.
+    /// The job's status.
     Status(JobStatus),
-    /// Nothing was changed.
+    /// The call was refused and changed nothing.
     Refused(JobRefusal),
-    /// It isn't known whether the call took effect. Calling again is safe, since it is idempotent.
+    /// The outcome is unknown. Calls are idempotent, so the caller may retry.
     AskAgain {
         /// When.
         after: RetryAfter,
@@ -154,34 +154,34 @@
 pub enum JobRefusal {
     /// The class isn't in the configuration.
     UnknownClass,
-    /// The class answers requests.
+    /// The class is a service class.
     NotBatch,
     /// The number of tasks is out of bounds.
     BadCount {
-        /// The most tasks.
+        /// Maximum number of tasks.
         max: u32,
     },
     /// The id belongs to another job.
     OtherSpec,
-    /// The id is kept for services.
+    /// The id is reserved for services.
     ReservedName,
-    /// No VM can ever hold one of its tasks.
+    /// No VM is large enough for one of its tasks.
     NeverFits,
-    /// The job isn't known.
+    /// The job doesn't exist.
     NoSuchJob,
-    /// The shard holds as many jobs as it may.
+    /// The shard holds the maximum number of jobs.
     Full {
-        /// When to come back.
+        /// When to retry.
         after: RetryAfter,
     },
-    /// This node may not act for the job now.
+    /// This node doesn't own the job's shard now.
     NotOwner {
-        /// When to come back.
+        /// When to retry.
         after: RetryAfter,
     },
     /// No configuration is known yet.
     NoConfig {
-        /// When to come back.
+        /// When to retry.
         after: RetryAfter,
     },
 }
@@ -193,7 +193,7 @@
                 write!(f, "unknown class; check its name with `egretlb config show`")
             }
             JobRefusal::NotBatch => {
-                write!(f, "the class answers requests; submit jobs to a batch class")
+                write!(f, "the class is a service class; submit jobs to a batch class")
             }
             JobRefusal::BadCount { max } => {
                 write!(f, "a job has 1 to {max} tasks; split larger ones into several jobs")
@@ -202,22 +202,22 @@
                 write!(f, "the job id was used for another job; choose a new id")
             }
             JobRefusal::ReservedName => {
-                write!(f, "job ids that start with 'service.' are kept; choose another id")
+                write!(f, "job ids that start with 'service.' are reserved; choose another id")
             }
             JobRefusal::NeverFits => {
-                write!(f, "no VM can ever hold a task of this size; ask for less")
+                write!(f, "no VM is large enough for a task of this size; request fewer resources")
             }
             JobRefusal::NoSuchJob => {
                 write!(f, "no such job; check the id, jobs are kept for a day after their end")
             }
             JobRefusal::Full { after } => {
-                write!(f, "too many jobs are kept; come back after {after} s")
+                write!(f, "the shard holds too many jobs; retry after {after} s")
             }
             JobRefusal::NotOwner { after } => {
-                write!(f, "this node can't act for the job now; come back after {after} s")
+                write!(f, "this node doesn't own the job now; retry after {after} s")
             }
             JobRefusal::NoConfig { after } => {
-                write!(f, "no configuration is known yet; come back after {after} s")
+                write!(f, "no configuration is known yet; retry after {after} s")
             }
         }
     }
@@ -225,57 +225,57 @@
 
 impl std::error::Error for JobRefusal {}
 
-/// How many tasks of a job stand where.
+/// Number of a job's tasks in each state.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct JobCounts {
-    /// Waiting for room.
+    /// Waiting for placement.
     pub queued: u32,
     /// Journalled, but not known to run.
     pub starting: u32,
     /// Running.
     pub running: u32,
-    /// The answer to a start was lost; being asked about.
-    pub in_doubt: u32,
+    /// Started without an answer; the outcome is being resolved.
+    pub unconfirmed: u32,
     /// Being stopped.
     pub stopping: u32,
-    /// Did their work.
+    /// Completed.
     pub done: u32,
-    /// Failed too often.
+    /// Parked after too many failures.
     pub parked: u32,
-    /// Fit no VM.
+    /// Too large for any VM.
     pub never_fits: u32,
     /// Cancelled.
     pub cancelled: u32,
 }
 
-/// Where a job stands.
+/// Status of a job.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// What was submitted.
+    /// The submission.
     pub spec: JobSpec,
     /// Whether it was cancelled.
     pub cancelled: bool,
-    /// Whether all tasks are over.
+    /// Whether all tasks have ended.
     pub over: bool,
-    /// How many tasks stand where.
+    /// Number of tasks in each state.
     pub counts: JobCounts,
-    /// Starts so far, first ones and repeated ones.
+    /// Number of starts, including restarts.
     pub attempts: u64,
-    /// The longest that tasks have waited for room, in whole seconds, if any wait.
+    /// Longest current wait for placement, in whole seconds.
     pub waiting_secs: u64,
 }
 
-/// What operators should know of.
+/// Conditions reported to operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum JobAlarm {
-    /// A task failed on several healthy VMs and isn't tried again.
+    /// A task failed on several healthy VMs and isn't retried.
     TaskParked {
         /// The task.
         task: TaskId,
         /// Where it failed.
         vms: Vec<VmId>,
     },
-    /// No VM can hold a job's tasks.
+    /// No VM is large enough for a job's tasks.
     JobNeverFits {
         /// The job.
         job: JobId,
@@ -287,7 +287,7 @@
         /// The VM.
         vm: VmId,
     },
-    /// A service has fewer replicas than its target needs, for want of room.
+    /// A service has fewer replicas than its target needs, for lack of free capacity.
     ServiceShort {
         /// The class.
         class: ClassName,
@@ -296,7 +296,7 @@
         /// Replicas needed.
         needs: u32,
     },
-    /// A service can't be run because its class's name is too long for a job id.
+    /// A service can't run because its class name is too long for a job id.
     ServiceNameTooLong {
         /// The class.
         class: ClassName,
--- a/crates/tasks/src/jobs/calls.rs
+++ b/crates/tasks/src/jobs/calls.rs
@@ -1,4 +1,4 @@
-//! Submissions, cancellations and questions for status.
+//! Submissions, cancellations and status queries.
 
 use {
     super::{
@@ -11,10 +11,10 @@
     std::time::Duration,
 };
 
-/// When to come back to an owner that can't act now: a succession takes a few seconds.
+/// Retry time at a node that doesn't own the shard; a succession takes a few seconds.
 const NOT_OWNER_RETRY: Duration = Duration::from_secs(3);
 
-/// When to come back to a full shard.
+/// Retry time at a full shard.
 const FULL_SHARD_RETRY: Duration = Duration::from_secs(60);
 
 pub(super) fn ask_again(call: CallId) -> JobEffect {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Checks a submission: the record of a new job, or `None` for one that is known.
+    /// Validates a submission. Returns the record of a new job, or `None` for a known one.
     fn check(
         &self,
         now: Time,
@@ -131,9 +131,8 @@
         self.pending.insert(ticket, Pending::Call { call, shard, reply, since: now });
     }
 
-    /// A job submitted again. While its first entry may still be on its way, the caller is
-    /// answered along with the first one: an entry appended later in the same journal is
-    /// acknowledged later.
+    /// Answers a repeated submission. While the first entry isn't acknowledged, a second one is
+    /// appended and its acknowledgement implies the first.
     fn answer_known_job(
         &mut self,
         now: Time,
@@ -150,7 +149,7 @@
             out.push(JobEffect::Reply { call, reply });
             return;
         }
-        // Appended again: folding it twice changes nothing.
+        // Replaying the entry twice changes nothing.
         let mut record = job.record.clone();
         record.tasks.clear();
         let entry = JobEntry::Submitted { record: Box::new(record) };
@@ -177,7 +176,7 @@
             out.push(refuse(call, JobRefusal::NoSuchJob));
             return;
         };
-        // Marking is all that a wave of cancellations costs at once; the stops are paced.
+        // Only marks the attempts; `resend` limits the rate of stops.
         for active in job.active.values_mut() {
             active.stop = true;
         }
@@ -204,8 +203,7 @@
         out.push(JobEffect::Reply { call, reply });
     }
 
-    /// Answers calls that the journal keeps waiting: with the log down they would wait for as long
-    /// as it takes, and their callers with them.
+    /// Answers calls whose journal entry isn't acknowledged in time, as during a log outage.
     pub(super) fn expire_calls(&mut self, now: Time, out: &mut Vec<JobEffect>) {
         let within = self.limits.ack_timeout;
         self.pending.retain(|_, pending| match pending {
--- a/crates/tasks/src/jobs/ends.rs
+++ b/crates/tasks/src/jobs/ends.rs
@@ -11,13 +11,13 @@
     std::time::Duration,
 };
 
-/// How long a task waits after a failure before it is tried again; doubled with each failure.
+/// Delay before the first retry of a failed task; doubled with each failure.
 const BASE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The most doublings of the wait.
+/// Maximum number of doublings of the delay.
 const MAX_RETRY_DOUBLINGS: u32 = 6;
 
-/// How often jobs that ended long ago are looked for.
+/// Interval between removals of old jobs.
 const FORGET_INTERVAL: Duration = Duration::from_secs(10);
 
 impl JobTable {
@@ -40,8 +40,7 @@
         };
         let current = job.active.get(&index).map(|active| active.attempt.fence);
         if current.is_none() || (current != Some(ended.of.fence) && fenced) {
-            // Told before. While its entry is on its way to the journal, the acknowledgement
-            // waits for it; the end is told again until then.
+            // A repeated report. The acknowledgement waits until the first one is journalled.
             if !job.unjournaled_ends.contains(&index) {
                 out.push(ack(&ended));
             }
@@ -62,8 +61,9 @@
     ) {
         let task = ended.of.task.clone();
         let failed = ended.how == AttemptEnd::Failed;
-        let blamed = (failed && !ended.vm_quarantined).then(|| ended.vm.clone());
-        let entry = JobEntry::Ended { task: task.clone(), fence, how: ended.how.clone(), blamed };
+        let blamed_vm = (failed && !ended.vm_quarantined).then(|| ended.vm.clone());
+        let entry =
+            JobEntry::Ended { task: task.clone(), fence, how: ended.how.clone(), blamed_vm };
         let ticket = self.journal(shard, entry, out);
         self.requeue_or_alarm(now, &ended, out);
         if self.protections.journal_before_ack {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Queues the task again where it isn't over, and tells operators what they should know.
+    /// Queues the task again unless it is over, and raises alarms.
     fn requeue_or_alarm(&mut self, now: Time, ended: &Ended, out: &mut Vec<JobEffect>) {
         let task = &ended.of.task;
         let Some(job) = self.job_mut(task) else { return };
@@ -117,8 +117,8 @@
         auth: &dyn Authority,
         out: &mut Vec<JobEffect>,
     ) {
-        // Acknowledged without authority, an end could be forgotten by the rack's owner while a
-        // successor has already read the journal without it.
+        // Without authority the acknowledgement could make the rack's owner drop an end that the
+        // successor's journal doesn't have.
         if self.authorized_epoch(now, shard, auth).is_some() {
             out.push(ack(&ended));
         }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Closes jobs that are over, and gives up what can never fit.
+    /// Closes jobs that are over, and ends tasks that can never fit.
     pub(super) fn close_jobs(&mut self, now: Time, shard: ShardId, out: &mut Vec<JobEffect>) {
         let Some(state) = self.shards.get(&shard) else { return };
         let open: Vec<JobId> = state.open.iter().cloned().collect();
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Forgets jobs whose status has been kept for long enough.
+    /// Removes jobs whose status has been kept for the retention time.
     pub(super) fn forget_old_jobs(
         &mut self,
         now: Time,
@@ -149,11 +149,11 @@
         }
         self.next_forget_at = now + FORGET_INTERVAL;
         let keep = self.limits.ended_retention;
-        let is_old = |job: &Job| job.over_since.is_some_and(|since| now.since(since) >= keep);
+        let is_expired = |job: &Job| job.over_since.is_some_and(|since| now.since(since) >= keep);
         let mut old: Vec<(ShardId, JobId)> = Vec::new();
         for (shard, state) in &self.shards {
             if self.authorized_epoch(now, *shard, auth).is_some() {
-                let jobs = state.jobs.iter().filter(|(_, job)| is_old(job));
+                let jobs = state.jobs.iter().filter(|(_, job)| is_expired(job));
                 old.extend(jobs.map(|(id, _)| (*shard, id.clone())));
             }
         }
@@ -175,8 +175,9 @@
             state.open.remove(id);
             return;
         }
-        let never = job.never_fits_since.is_some_and(|since| now.since(since) >= never_fits_after);
-        if !never || job.record.service {
+        let never_fits =
+            job.never_fits_since.is_some_and(|since| now.since(since) >= never_fits_after);
+        if !never_fits || job.record.service {
             return;
         }
         job.never_fits_since = None;
--- a/crates/tasks/src/jobs/job.rs
+++ b/crates/tasks/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! What the owner keeps of a job in memory, besides its record.
+//! In-memory state of a job, besides its record.
 
 use {
     super::{
@@ -11,13 +11,13 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// A task that waits for room.
+/// A task waiting for placement.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiting {
     pub(super) since: Time,
-    /// Not tried before: it failed a moment ago.
+    /// Backoff after a failure: not placed before this time.
     pub(super) not_before: Time,
-    /// The round of placement that it is in.
+    /// The pending placement request that includes it.
     pub(super) round: Option<Ticket>,
 }
 
@@ -35,7 +35,7 @@
     pub(super) send_at: Time,
 }
 
-/// One job.
+/// A job and its tasks in memory.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) record: JobRecord,
@@ -46,17 +46,17 @@
     pub(super) active: BTreeMap<u32, Active>,
     /// Tasks whose end isn't acknowledged by the journal yet.
     pub(super) unjournaled_ends: BTreeSet<u32>,
-    /// Nodes that had no room for its tasks in this sweep.
+    /// Nodes that refused its tasks in this sweep.
     pub(super) refused_by: SmallVec<[NodeId; 4]>,
-    /// Sweeps over all nodes without room for anything.
+    /// Completed sweeps over all nodes.
     pub(super) sweeps: u32,
     /// When the next sweep begins.
     pub(super) not_before: Time,
-    /// Since when every node says that its tasks can never fit.
+    /// Since when every node has reported that its tasks can't fit.
     pub(super) never_fits_since: Option<Time>,
-    /// When lent room was last asked back for it.
+    /// When capacity was last reclaimed for it.
     pub(super) reclaimed_at: Option<Time>,
-    /// The question with which it was.
+    /// The placement request that asked for the reclaim.
     pub(super) reclaim_round: Option<Ticket>,
     /// Whether its tasks are spread over data centres.
     pub(super) spread: bool,
@@ -65,7 +65,7 @@
 }
 
 impl Job {
-    /// A job just submitted.
+    /// Creates a job from a submission.
     pub(super) fn new(now: Time, record: JobRecord) -> Self {
         let mut job = Job {
             record,
@@ -87,8 +87,8 @@
         job
     }
 
-    /// A job taken over from an earlier owner. What may run is asked about first, and without a
-    /// reservation, so that asking can't start it.
+    /// Restores a job from an earlier owner. Its attempts are queried without a reservation, so
+    /// that the query can't start them.
     pub(super) fn adopt(now: Time, record: JobRecord) -> Self {
         let mut job = Job::new(now, record);
         job.durable = true;
@@ -103,7 +103,7 @@
         job
     }
 
-    /// Puts every queued task that isn't waiting yet into the queue, and takes others out.
+    /// Queues every queued task that isn't waiting yet, and removes the others from the queue.
     pub(super) fn refill(&mut self, now: Time) {
         for (index, task) in self.record.tasks.iter().enumerate() {
             let index = index as u32;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Where its attempts run.
+    /// The data centres of its attempts.
     pub(super) fn data_centres(&self) -> SmallVec<[DataCentre; 4]> {
         let mut found = SmallVec::new();
         for active in self.active.values().filter(|active| !active.stop && !active.draining) {
@@ -127,7 +127,7 @@
         found
     }
 
-    /// Tasks that still have to end.
+    /// Number of tasks that still have to end.
     pub(super) fn remaining(&self) -> u32 {
         (self.waiting.len() + self.active.len()) as u32
     }
@@ -136,7 +136,7 @@
         let mut counts = JobCounts::default();
         for (index, task) in self.record.tasks.iter().enumerate() {
             let index = index as u32;
-            // An end that isn't in the journal yet may be unknown to a successor: it isn't told.
+            // An end that isn't journalled may be unknown to a successor, so it isn't visible yet.
             if self.unjournaled_ends.contains(&index) {
                 counts.running += 1;
                 continue;
@@ -165,7 +165,7 @@
         match self.active.get(&index) {
             Some(active) if active.stop => counts.stopping += 1,
             Some(active) if active.running => counts.running += 1,
-            Some(active) if active.unconfirmed => counts.in_doubt += 1,
+            Some(active) if active.unconfirmed => counts.unconfirmed += 1,
             _ => counts.starting += 1,
         }
     }
--- a/crates/tasks/src/jobs/mod.rs
+++ b/crates/tasks/src/jobs/mod.rs
@@ -1,8 +1,8 @@
-//! The book of jobs and their tasks, for the job shards that a node owns.
+//! Table of jobs and their tasks, for the job shards that a node owns.
 //!
-//! It knows where each task may run and is the only one to decide that it may run somewhere else.
-//! An attempt is journalled before it is asked for, and no other attempt begins before that one is
-//! known to be over: that one rule is what keeps a task from running in two places.
+//! It alone decides where a task may run. An attempt is journalled before it is started, and the
+//! next attempt begins only after the previous one is known to have ended, so a task never runs in
+//! two places.
 
 mod api;
 mod calls;
@@ -43,26 +43,26 @@
     },
 };
 
-/// What waits for a journal entry.
+/// What happens when a journal entry is acknowledged.
 #[derive(Clone, Debug)]
 enum Pending {
-    /// A submission or cancellation, to be answered.
+    /// Answers a submission or cancellation.
     Call { call: CallId, shard: ShardId, reply: JobReply, since: Time },
-    /// An attempt, to be started.
+    /// Starts an attempt.
     Start { shard: ShardId, of: TaskFence },
-    /// An end, to be acknowledged.
+    /// Acknowledges an end.
     End { shard: ShardId, ended: Box<crate::msg::Ended> },
 }
 
-/// One shard, owned or being replayed.
+/// State of one shard, owned or being replayed.
 #[derive(Debug, Default)]
 struct Shard {
     /// `None` while the shard is being replayed.
     epoch: Option<Epoch>,
-    /// What was replayed, until the shard is owned.
+    /// Replayed jobs, until the shard is owned.
     replayed: BTreeMap<JobId, JobRecord>,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs that have tasks to place, to start or to stop.
+    /// Jobs with tasks to place, start or stop.
     open: BTreeSet<JobId>,
     rounds: BTreeMap<Ticket, Round>,
 }
@@ -76,25 +76,25 @@
 }
 
 impl JobTableBuilder {
-    /// Other limits than the default ones.
+    /// Overrides the default limits.
     pub fn limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Switches protections off, in tests.
+    /// Disables protections, in tests.
     pub fn protections(mut self, protections: Protections) -> Self {
         self.protections = protections;
         self
     }
 
-    /// The seed of the book's random choices.
+    /// Seed of the random placement choices.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// The book, without any shards.
+    /// Builds a table without any shards.
     pub fn build(self) -> JobTable {
         JobTable {
             limits: self.limits,
@@ -115,15 +115,14 @@
     }
 }
 
-/// The book of jobs and where their tasks may run.
+/// Table of jobs and of where their tasks may run.
 #[derive(Debug)]
 pub struct JobTable {
     limits: Limits,
     protections: Protections,
     rng: SmallRng,
     document: Option<Arc<ConfigDocument>>,
-    /// Where each class stands in the document: with thousands of classes a search through all
-    /// of them for each waiting job would cost more than placing it.
+    /// Index of each class in the configuration.
     classes: HashMap<ClassName, usize>,
     next_service_plan_at: Time,
     nodes: BTreeMap<NodeId, NodeInfo>,
@@ -131,19 +130,19 @@
     pending: HashMap<Ticket, Pending>,
     next_ticket: Ticket,
     services: BTreeMap<ClassName, ServiceState>,
-    /// Run times learned from ends, by class.
+    /// Learned run times by class.
     run_times: SizeTable,
     next_forget_at: Time,
     sizes: KnownVmSizes,
 }
 
 impl JobTable {
-    /// A builder.
+    /// Creates a builder.
     pub fn builder() -> JobTableBuilder {
         JobTableBuilder::default()
     }
 
-    /// Takes in one event and puts what is to be done into `out`.
+    /// Handles one event and appends its effects to `out`.
     pub fn step(
         &mut self,
         now: Time,
@@ -152,47 +151,47 @@
         out: &mut Vec<JobEffect>,
     ) {
         match event {
-            JobEvent::Owned { shard, epoch } => self.own(now, shard, epoch),
-            JobEvent::Lost { shard } => self.lose(shard, out),
-            JobEvent::Config { document } => self.take_config(document),
+            JobEvent::Owned { shard, epoch } => self.acquire_shard(now, shard, epoch),
+            JobEvent::Lost { shard } => self.drop_shard(shard, out),
+            JobEvent::Config { document } => self.apply_config(document),
             JobEvent::Tick => self.tick(now, auth, out),
-            JobEvent::Nodes { nodes } => self.take_nodes(nodes),
+            JobEvent::Nodes { nodes } => self.apply_nodes(nodes),
             JobEvent::Submit { call, spec } => self.submit(now, call, spec, auth, out),
             JobEvent::Cancel { call, job } => self.cancel(now, call, job, auth, out),
             JobEvent::Status { call, job } => self.status(now, call, job, out),
-            JobEvent::Journaled { ticket } => self.journaled(now, ticket, auth, out),
+            JobEvent::Journaled { ticket } => self.on_journaled(now, ticket, auth, out),
             JobEvent::Message { from, msg } => self.on_message(now, from, msg, auth, out),
             JobEvent::Load { from, class, load } => self.on_load(now, from, class, load),
         }
     }
 
-    /// Folds an entry of a predecessor's journal into a shard that isn't owned yet.
+    /// Replays a journal entry of a predecessor into a shard that isn't owned yet.
     pub fn replay(&mut self, shard: ShardId, entry: &JobEntry) {
         let park_rule = self.park_rule();
         fold(&mut self.shards.entry(shard).or_default().replayed, entry, park_rule);
     }
 
-    /// Takes over a shard's snapshot; entries that follow it are replayed on top.
+    /// Restores a shard's snapshot; later entries are replayed on top.
     pub fn restore(&mut self, shard: ShardId, snapshot: JobSnapshot) {
         let state = self.shards.entry(shard).or_default();
         let jobs = snapshot.jobs.into_iter();
         state.replayed = jobs.map(|record| (record.spec.job.clone(), record)).collect();
     }
 
-    /// Everything that lasts of a shard, owned or replayed.
+    /// The durable state of a shard, owned or replayed.
     pub fn snapshot(&self, shard: ShardId) -> JobSnapshot {
         let Some(state) = self.shards.get(&shard) else { return JobSnapshot::default() };
         let owned = state.jobs.values().map(|job| job.record.clone());
         JobSnapshot { jobs: owned.chain(state.replayed.values().cloned()).collect() }
     }
 
-    fn take_config(&mut self, document: Arc<ConfigDocument>) {
+    fn apply_config(&mut self, document: Arc<ConfigDocument>) {
         let names = document.classes.iter().enumerate();
         self.classes = names.map(|(at, class)| (class.name.clone(), at)).collect();
         self.document = Some(document);
     }
 
-    /// The class of the name, in the configuration in force.
+    /// Looks the class up in the current configuration.
     fn class(&self, name: &ClassName) -> Option<&ClassSpec> {
         self.document.as_ref()?.classes.get(*self.classes.get(name)?)
     }
@@ -201,7 +200,7 @@
         ParkRule { vms: self.limits.parked_after_vms, fails: self.limits.parked_after_fails }
     }
 
-    fn own(&mut self, now: Time, shard: ShardId, epoch: Epoch) {
+    fn acquire_shard(&mut self, now: Time, shard: ShardId, epoch: Epoch) {
         let state = self.shards.entry(shard).or_default();
         state.epoch = Some(epoch);
         for (id, record) in std::mem::take(&mut state.replayed) {
@@ -211,9 +210,9 @@
         }
     }
 
-    /// The shard's successor decides from now on. Callers who still wait are told to ask again:
-    /// the entry may or may not be in the journal that the successor reads.
-    fn lose(&mut self, shard: ShardId, out: &mut Vec<JobEffect>) {
+    /// Drops a shard. Waiting callers are asked to retry, since the successor may or may not read
+    /// their entry.
+    fn drop_shard(&mut self, shard: ShardId, out: &mut Vec<JobEffect>) {
         self.shards.remove(&shard);
         self.services.retain(|class, _| shard_of_class(class) != shard);
         self.pending.retain(|_, pending| match pending {
@@ -226,7 +225,7 @@
         });
     }
 
-    /// The epoch of a shard for which unsafe steps are allowed now.
+    /// The epoch of a shard for which this node holds authority.
     fn authorized_epoch(&self, now: Time, shard: ShardId, auth: &dyn Authority) -> Option<Epoch> {
         let epoch = self.shards.get(&shard)?.epoch?;
         let held = !self.protections.authority || auth.epoch_if_held(now, shard) == Some(epoch);
@@ -251,7 +250,7 @@
         self.query_capacity(now, out);
         self.plan_services(now, auth, out);
         self.forget_old_jobs(now, auth, out);
-        // Most of a node's shards have nothing to do at most times.
+        // Most shards of a node have nothing to do.
         let busy = |state: &Shard| !state.open.is_empty() || !state.rounds.is_empty();
         let busy = self.shards.iter().filter(|(_, state)| busy(state));
         let shards: Vec<ShardId> = busy.map(|(shard, _)| *shard).collect();
@@ -265,7 +264,7 @@
         }
     }
 
-    fn journaled(
+    fn on_journaled(
         &mut self,
         now: Time,
         ticket: Ticket,
@@ -321,7 +320,7 @@
         self.shards.get_mut(&shard)?.jobs.get_mut(&task.job)
     }
 
-    /// The attempt, if it is the one that may run now.
+    /// The task's current attempt, if it is the one named.
     fn active_mut(&mut self, of: &TaskFence) -> Option<&mut job::Active> {
         let job = self.job_mut(&of.task)?;
         job.active.get_mut(&of.task.index).filter(|active| active.attempt.fence == of.fence)
--- a/crates/tasks/src/jobs/queue.rs
+++ b/crates/tasks/src/jobs/queue.rs
@@ -1,8 +1,8 @@
-//! Who is placed next, and which node is asked.
+//! Placement order, and the choice of nodes.
 //!
-//! Services go first, then urgent work, then batch work that is at risk of missing its target,
-//! then other work within its team's quota, then work on lent quota. Within a rank the job that
-//! lags most behind its target goes first.
+//! Services go first, then urgent jobs, batch jobs at risk of missing their target, other jobs
+//! within their team's quota, and jobs over quota. Within a rank the job furthest behind its target
+//! goes first.
 
 use {
     super::{JobTable, job::Job, rounds::Round},
@@ -12,25 +12,25 @@
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// Tasks of one job asked of one node in one round: enough to use a round trip, few enough that a
-/// large job spreads over the nodes.
+/// Maximum number of tasks of one job in a request to one node, so that a large job spreads over
+/// the nodes.
 const MAX_TASKS_PER_REQUEST: usize = 8;
 
-/// How often the room of a node that isn't asked otherwise is asked for.
+/// How often a node's capacity is queried if no placement request does so.
 const CAPACITY_QUERY_INTERVAL: Duration = Duration::from_secs(20);
 
-/// How often lent room is taken back for one job: a checkpoint and a stop take some seconds, and
-/// asking sooner would evict a second time for the same task.
+/// Minimum time between reclaims for one job: a checkpoint and a stop take some seconds, and a
+/// second reclaim would evict more tasks than needed.
 const RECLAIM_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long a size of VM is remembered: many times a succession.
+/// How long a VM size is remembered: many times a succession.
 const VM_SIZE_RETENTION: Duration = Duration::from_secs(600);
 
-/// Before so much of a job's time has passed, in hundredths, it isn't at risk for lagging: it
-/// hasn't had its turn yet.
+/// Share of a job's time that must pass before it counts as at risk for being behind, since it may
+/// not have had its turn yet.
 const AT_RISK_AFTER_PERCENT: u32 = 25;
 
-/// What is known of a node.
+/// Last known state of a node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NodeInfo {
     pub(super) capacity: Option<NodeCapacity>,
@@ -39,20 +39,20 @@
 }
 
 impl NodeInfo {
-    /// Whether the node told of any VM. One that didn't has no racks, or has just taken some over.
+    /// Whether the node reported any VM. Without one it has no racks or has just taken some over.
     pub(super) fn has_vms(&self) -> bool {
         self.capacity.as_ref().is_some_and(|capacity| !capacity.largest.is_empty())
     }
 }
 
-/// The sizes of VM that nodes told of lately.
+/// The VM sizes that nodes reported lately.
 ///
-/// While a rack is being taken over nobody tells of its VMs. A size that is remembered for longer
-/// than that keeps a task from being told that it can never fit, which is final.
+/// During a succession nobody reports a rack's VMs. Sizes are remembered for longer than that, so
+/// that a task isn't wrongly declared too large for every VM.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KnownVmSizes {
     sizes: Vec<(Resources, Time)>,
-    /// Since when something is known.
+    /// When the first size was reported.
     since: Option<Time>,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// How early a job is placed.
+/// Placement priority.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Rank {
     Service,
@@ -78,14 +78,14 @@
 }
 
 impl JobTable {
-    pub(super) fn take_nodes(&mut self, nodes: Vec<NodeId>) {
+    pub(super) fn apply_nodes(&mut self, nodes: Vec<NodeId>) {
         self.nodes.retain(|node, _| nodes.contains(node));
         for node in nodes {
             self.nodes.entry(node).or_default();
         }
     }
 
-    /// Asks nodes for their room, so that a task that fits nowhere is refused at submission.
+    /// Queries the capacity of nodes, so that a task that fits no VM is refused at submission.
     pub(super) fn query_capacity(&mut self, now: Time, out: &mut Vec<super::JobEffect>) {
         let Some(shard) = self.shards.iter().find(|(_, state)| state.epoch.is_some()) else {
             return;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Sends the next tasks of a shard to nodes that may have room.
+    /// Sends the next tasks of a shard to nodes that may have free capacity.
     pub(super) fn plan(&mut self, now: Time, shard: ShardId, out: &mut Vec<super::JobEffect>) {
         let Some(state) = self.shards.get(&shard) else { return };
         let in_rounds: usize = state.rounds.values().map(|round| round.tasks.len()).sum();
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Puts some tasks of a job into the batches of nodes. Returns how many.
+    /// Adds tasks of a job to the requests of nodes. Returns their number.
     fn plan_job(
         &mut self,
         now: Time,
@@ -168,10 +168,11 @@
         planned
     }
 
-    /// Whether no VM known lately could hold it, even empty, and enough time has passed to know.
+    /// Whether it fits no VM size reported lately, even empty, and sizes have been known for long
+    /// enough.
     pub(super) fn fits_no_known_vm(&self, now: Time, resources: &Resources) -> bool {
-        let known = |since: Time| now.since(since) >= self.limits.never_fits_after;
-        self.sizes.since.is_some_and(known)
+        let known_long_enough = |since: Time| now.since(since) >= self.limits.never_fits_after;
+        self.sizes.since.is_some_and(known_long_enough)
             && self.sizes.sizes.iter().all(|(size, _)| !resources.fits(size))
     }
 
@@ -208,16 +209,17 @@
         out.push(super::JobEffect::SendToNode { node, msg });
     }
 
-    /// The roomier of two nodes drawn at random among those not yet asked in this sweep. Always
-    /// taking the roomiest would send all owners' tasks to one node until its room is told anew.
+    /// The node with more free capacity of two random ones not yet asked in this sweep. Always
+    /// taking the best would send every owner's tasks to one node until its capacity is reported
+    /// again.
     fn choose_node(&mut self, shard: ShardId, id: &JobId) -> Option<NodeId> {
         let job = self.shards.get(&shard)?.jobs.get(id)?;
         let resources = &job.record.resources;
-        let may = |(node, info): &(&NodeId, &NodeInfo)| {
+        let is_candidate = |(node, info): &(&NodeId, &NodeInfo)| {
             !job.refused_by.contains(node)
                 && info.capacity.as_ref().is_none_or(|capacity| capacity.could_fit(resources))
         };
-        let nodes: Vec<(&NodeId, &NodeInfo)> = self.nodes.iter().filter(may).collect();
+        let nodes: Vec<(&NodeId, &NodeInfo)> = self.nodes.iter().filter(is_candidate).collect();
         if nodes.is_empty() {
             return None;
         }
@@ -229,8 +231,8 @@
         Some(if free(second.1) > free(first.1) { *second.0 } else { *first.0 })
     }
 
-    /// All nodes were asked: the job waits a little, so that a full cluster isn't asked ten times
-    /// a second by every owner.
+    /// Ends a sweep over all nodes: the job backs off, so that a full cluster isn't overloaded by
+    /// requests.
     fn end_sweep(&mut self, now: Time, shard: ShardId, id: &JobId, rank: Rank) {
         let backoff = match rank {
             Rank::Service | Rank::Urgent => self.limits.urgent_backoff,
@@ -239,11 +241,11 @@
         let Some(job) = self.shards.get(&shard).and_then(|state| state.jobs.get(id)) else {
             return;
         };
-        let never = self.fits_no_known_vm(now, &job.record.resources);
+        let never_fits = self.fits_no_known_vm(now, &job.record.resources);
         let Some(job) = self.shards.get_mut(&shard).and_then(|state| state.jobs.get_mut(id)) else {
             return;
         };
-        job.never_fits_since = if never { job.never_fits_since.or(Some(now)) } else { None };
+        job.never_fits_since = if never_fits { job.never_fits_since.or(Some(now)) } else { None };
         job.refused_by.clear();
         job.sweeps = job.sweeps.saturating_add(1);
         job.not_before = now + backoff;
@@ -263,7 +265,8 @@
         }
     }
 
-    /// Whether the job's team may hold one more of its tasks, by what the nodes last told.
+    /// Whether one more task of the job fits its team's quota, by the usage that nodes last
+    /// reported.
     fn within_quota(&self, job: &Job) -> bool {
         let Some(team) = &job.record.team else { return true };
         let Some(spec) = self.document.as_ref().and_then(|document| document.team(team)) else {
@@ -280,13 +283,12 @@
     fn batch_target(&self, job: &Job) -> Option<BatchTarget> {
         let class = self.class(&job.record.spec.class)?;
         let ClassKind::Batch { amount, period, urgent, .. } = class.kind else { return None };
-        // A job larger than the class's amount has as many periods as it needs.
+        // A job larger than the class's amount gets proportionally more periods.
         let periods = job.record.spec.tasks.div_ceil(amount.max(1)).max(1);
         Some(BatchTarget { time: period * periods, urgent })
     }
 
-    /// How many tasks must run at once from now on to be done in time, in thousandths, for each
-    /// one that runs now.
+    /// Parallelism required to finish in time, in thousandths, per running attempt.
     fn lag(&self, now: Time, job: &Job) -> u64 {
         let Some(target) = self.batch_target(job) else { return 0 };
         self.required_parallelism_permille(now, job, &target) / (job.active.len() as u64).max(1)
@@ -306,15 +308,15 @@
 
     fn is_at_risk(&self, now: Time, job: &Job, target: &BatchTarget) -> bool {
         let passed = now.since(job.submitted);
-        let settled = passed * 100 >= target.time * AT_RISK_AFTER_PERCENT;
+        let past_initial_share = passed * 100 >= target.time * AT_RISK_AFTER_PERCENT;
         let late = target.time.saturating_sub(passed) < self.run_time(job) * 2;
         let behind =
             self.required_parallelism_permille(now, job, target) > job.active.len() as u64 * 1_000;
-        late || (settled && behind)
+        late || (past_initial_share && behind)
     }
 }
 
-/// When a job has to be done, counted from its submission.
+/// Deadline of a job, counted from its submission.
 struct BatchTarget {
     time: Duration,
     urgent: bool,
@@ -330,7 +332,7 @@
         class: record.spec.class.clone(),
         team: record.team.clone(),
         resources: record.resources,
-        // A task that failed may have been held to too little.
+        // A failed task may have had too small a learned size.
         learned_size: record.learned_size && task.fails == 0,
         service: record.service,
         over_quota: rank == Rank::OverQuota,
--- a/crates/tasks/src/jobs/record.rs
+++ b/crates/tasks/src/jobs/record.rs
@@ -1,5 +1,5 @@
-//! What lasts of a job: its record, the journal's entries, and the fold of the second into the
-//! first. The owner applies an entry by the same function by which its successor replays it.
+//! Durable state of a job: its record, the journal's entries, and their application to the record.
+//! Owner and successor apply entries by the same function.
 
 use {
     crate::msg::AttemptEnd,
@@ -13,21 +13,21 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// What the ids of the jobs start with that hold services' replicas; submitters can't use it.
+/// Prefix of the ids of the internal jobs that hold services' replicas; submitters can't use it.
 const SERVICE_PREFIX: &str = "service.";
 
-/// The internal job that holds the replicas of a service class; `None` if the class's name is too
-/// long to be part of a job's id.
+/// The internal job that holds the replicas of a service class; `None` if the class name is too
+/// long for a job id.
 pub fn service_job(class: &ClassName) -> Option<JobId> {
     format!("{SERVICE_PREFIX}{class}").parse().ok()
 }
 
-/// Whether the id is kept for services.
+/// Whether the id is reserved for services.
 pub(crate) fn is_service_job(job: &JobId) -> bool {
     job.as_str().starts_with(SERVICE_PREFIX)
 }
 
-/// The shard that keeps the task. Replicas live with their class's shard, where its load is told.
+/// The shard that owns the task. Replicas belong to their class's shard, which gets its load.
 pub fn job_shard_of_task(task: &TaskId) -> ShardId {
     let class = task.job.as_str().strip_prefix(SERVICE_PREFIX);
     match class.and_then(|class| class.parse::<ClassName>().ok()) {
@@ -36,49 +36,49 @@
     }
 }
 
-/// A submission: one or more like tasks.
+/// A submission of one or more identical tasks.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The submitter's name for the job, by which submitting again is idempotent.
+    /// The submitter's job id; repeated submissions with the same id are idempotent.
     pub job: JobId,
-    /// The class: its target, and what a task is declared to take.
+    /// The class, with its target and the declared task size.
     pub class: ClassName,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What to run; opaque to egretlb.
+    /// The command to run; opaque to egretlb.
     pub command: CompactString,
-    /// What a task takes, where it differs from the class's declaration.
+    /// Overrides the class's declared task size.
     #[serde(default)]
     pub resources: Option<Resources>,
 }
 
-/// The final result of a task.
+/// Final result of a task.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskResult {
-    /// It did its work, once.
+    /// Completed.
     Done,
-    /// It failed too often and isn't tried again.
+    /// Failed too often and isn't retried.
     Parked,
-    /// No VM can ever hold it.
+    /// Too large for any VM.
     NeverFits,
-    /// It was cancelled.
+    /// Cancelled.
     Cancelled,
 }
 
-/// Where a task stands, as far as it lasts.
+/// Durable state of a task.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// It waits for room.
+    /// Waits for placement.
     #[default]
     Queued,
     /// An attempt may be running.
     Attempt(AttemptRecord),
-    /// It is over.
+    /// Has ended.
     Over(TaskResult),
 }
 
-/// One attempt that was journalled and isn't known to have ended.
+/// An attempt that was journalled and isn't known to have ended.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AttemptRecord {
     /// Its fencing token.
@@ -89,61 +89,61 @@
     pub rack: ShardId,
     /// The VM's data centre.
     pub data_centre: DataCentre,
-    /// What it may use.
+    /// Resource limit.
     pub resources: Resources,
-    /// Whether its room is lent.
+    /// Whether its team was over its quota when it was placed.
     pub over_quota: bool,
 }
 
-/// What lasts of one task.
+/// Durable record of a task.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TaskRecord {
-    /// The number of the last attempt, 0 before the first.
+    /// Number of the last attempt, 0 before the first.
     pub attempts: Attempt,
-    /// What the next attempt resumes from.
+    /// The checkpoint that the next attempt resumes from.
     pub checkpoint: Option<CompactString>,
-    /// Failures so far.
+    /// Number of failures.
     pub fails: u16,
     /// The distinct healthy VMs where it failed.
     pub failed_on: SmallVec<[VmId; 2]>,
-    /// Where it stands.
+    /// Its state.
     pub state: TaskState,
 }
 
-/// What lasts of one job.
+/// Durable record of a job.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What was submitted.
+    /// The submission.
     pub spec: JobSpec,
-    /// What a task takes: the override, or the class's declaration at submission.
+    /// Task size: the override, or the class's declaration at submission.
     pub resources: Resources,
-    /// Whether learned sizes may stand in for `resources`: not where the submitter overrode them.
+    /// Whether the learned size may replace `resources`; false if the submitter overrode it.
     pub learned_size: bool,
     /// The team.
     pub team: Option<TeamName>,
-    /// How long a task was declared to run.
+    /// Declared run time of a task.
     pub run_time: Duration,
     /// Whether the tasks are a service's replicas.
     pub service: bool,
     /// Whether it was cancelled.
     pub cancelled: bool,
-    /// The tasks by number.
+    /// The tasks by index.
     pub tasks: Vec<TaskRecord>,
 }
 
-/// A journal entry of a job's shard.
+/// A journal entry of a job shard.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum JobEntry {
-    /// A job was accepted. The record has no tasks yet; the spec says how many there are.
+    /// A job was accepted. The record has no tasks yet; the spec has their number.
     Submitted {
         /// The record.
         record: Box<JobRecord>,
     },
-    /// A service's job has more tasks now.
+    /// A service's job has more tasks.
     Grown {
         /// The job.
         job: JobId,
-        /// How many tasks it has.
+        /// New number of tasks.
         tasks: u32,
     },
     /// An attempt may run from now on.
@@ -153,59 +153,59 @@
         /// The attempt.
         attempt: AttemptRecord,
     },
-    /// The attempt is over.
+    /// The attempt ended.
     Ended {
         /// The task.
         task: TaskId,
-        /// Which attempt.
+        /// Fencing token of the attempt.
         fence: Fence,
         /// How.
         how: AttemptEnd,
         /// The VM where it failed, if the failure counts against the task.
-        blamed: Option<VmId>,
+        blamed_vm: Option<VmId>,
     },
-    /// The job is cancelled: nothing of it starts any more.
+    /// The job is cancelled; none of its tasks starts any more.
     Cancelled {
         /// The job.
         job: JobId,
     },
-    /// No VM can ever hold the tasks that still wait.
+    /// The tasks that still wait are too large for any VM.
     NeverFits {
         /// The job.
         job: JobId,
     },
-    /// The job ended long ago and is forgotten.
+    /// The ended job is removed after its retention time.
     Forgot {
         /// The job.
         job: JobId,
     },
 }
 
-/// Everything that lasts of a shard.
+/// Durable state of a shard.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct JobSnapshot {
     /// The jobs.
     pub jobs: Vec<JobRecord>,
 }
 
-/// When a failing task is given up on; part of the fold, so that all owners agree.
+/// When a failing task is parked. Part of the replay, so that all owners agree.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ParkRule {
-    /// Distinct healthy VMs.
+    /// Number of distinct healthy VMs.
     pub(crate) vms: usize,
-    /// Failures of any kind.
+    /// Number of failures of any kind.
     pub(crate) fails: u16,
 }
 
 impl JobRecord {
-    /// Fills in the tasks of an accepted record.
+    /// Adds queued tasks up to the given number.
     pub(crate) fn grow(&mut self, tasks: u32) {
         if self.tasks.len() < tasks as usize {
             self.tasks.resize_with(tasks as usize, TaskRecord::default);
         }
     }
 
-    /// Whether every task is over.
+    /// Whether every task has ended.
     pub(crate) fn is_over(&self) -> bool {
         !self.service && self.tasks.iter().all(|task| matches!(task.state, TaskState::Over(_)))
     }
@@ -223,18 +223,18 @@
         index: u32,
         fence: Fence,
         how: &AttemptEnd,
-        blamed: &Option<VmId>,
+        blamed_vm: &Option<VmId>,
         park_rule: ParkRule,
     ) {
         let (cancelled, service) = (self.cancelled, self.service);
         let Some(task) = self.tasks.get_mut(index as usize) else { return };
         let current = matches!(&task.state, TaskState::Attempt(attempt) if attempt.fence == fence);
-        // An entry for another attempt comes from a message that was late or doubled. Folding it
-        // would queue a task that runs, and it would then run in two places.
+        // An entry for another attempt comes from a late or duplicated message. Applying it would
+        // queue a task that still runs.
         if !current {
             return;
         }
-        task.record_end(how, blamed);
+        task.record_end(how, blamed_vm);
         task.state = match how {
             AttemptEnd::Done if !service => TaskState::Over(TaskResult::Done),
             _ if cancelled => TaskState::Over(TaskResult::Cancelled),
@@ -247,17 +247,16 @@
 }
 
 impl TaskRecord {
-    fn record_end(&mut self, how: &AttemptEnd, blamed: &Option<VmId>) {
+    fn record_end(&mut self, how: &AttemptEnd, blamed_vm: &Option<VmId>) {
         match how {
-            // A stop without a checkpoint leaves the earlier one: resuming from it repeats some
-            // work, which is better than all of it.
+            // Without a new checkpoint the earlier one is kept, which saves part of the work.
             AttemptEnd::Stopped { checkpoint: Some(checkpoint) } => {
                 self.checkpoint = Some(checkpoint.clone());
             }
             AttemptEnd::Failed => self.fails = self.fails.saturating_add(1),
             _ => {}
         }
-        if let Some(vm) = blamed
+        if let Some(vm) = blamed_vm
             && !self.failed_on.contains(vm)
         {
             self.failed_on.push(vm.clone());
@@ -269,7 +268,7 @@
     }
 }
 
-/// Folds one entry into the jobs of a shard.
+/// Applies one entry to the jobs of a shard.
 pub(crate) fn fold(jobs: &mut BTreeMap<JobId, JobRecord>, entry: &JobEntry, park_rule: ParkRule) {
     match entry {
         JobEntry::Submitted { record } => {
@@ -288,7 +287,7 @@
     }
 }
 
-/// Folds an entry into the record of its job.
+/// Applies an entry to the record of its job.
 pub(crate) fn fold_record(record: &mut JobRecord, entry: &JobEntry, park_rule: ParkRule) {
     match entry {
         JobEntry::Submitted { .. } | JobEntry::Forgot { .. } => {}
@@ -299,8 +298,8 @@
                 task.state = TaskState::Attempt(attempt.clone());
             }
         }
-        JobEntry::Ended { task, fence, how, blamed } => {
-            record.end(task.index, *fence, how, blamed, park_rule);
+        JobEntry::Ended { task, fence, how, blamed_vm } => {
+            record.end(task.index, *fence, how, blamed_vm, park_rule);
         }
         JobEntry::Cancelled { .. } => {
             record.cancelled = true;
--- a/crates/tasks/src/jobs/rounds.rs
+++ b/crates/tasks/src/jobs/rounds.rs
@@ -1,4 +1,4 @@
-//! Questions for room in progress, and their answers.
+//! Pending placement requests and their responses.
 
 use {
     super::{JobEffect, JobTable, queue::NodeInfo},
@@ -6,7 +6,7 @@
     egretlb_types::{Authority, NodeId, ShardId, TaskId, Ticket, Time},
 };
 
-/// One question to one node.
+/// A placement request to one node.
 #[derive(Clone, Debug)]
 pub(super) struct Round {
     pub(super) node: NodeId,
@@ -27,7 +27,7 @@
         let has_round = |state: &super::Shard| state.rounds.contains_key(&placed.round);
         let Some(shard) = self.shards.iter().find(|(_, state)| has_round(state)) else { return };
         let shard = *shard.0;
-        // Without authority nothing is started; the round expires and the room lapses.
+        // Without authority nothing is started; the round and its reservations expire.
         if self.authorized_epoch(now, shard, auth).is_none() {
             return;
         }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The node has no lent room to give back: the next one may be asked for it at once.
+    /// The node had nothing to reclaim: the next node may be asked at once.
     fn allow_reclaim(&mut self, shard: ShardId, round: Ticket) {
         let Some(state) = self.shards.get_mut(&shard) else { return };
         let Some(pending) = state.rounds.get(&round) else { return };
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Takes a round's tasks out of it. The node isn't asked again in this sweep for jobs of
-    /// which it refused a task.
+    /// Removes a round. The node isn't asked again in this sweep for jobs of which it refused a
+    /// task.
     fn end_round(&mut self, shard: ShardId, round: Ticket, refused: &[TaskId]) {
         let Some(state) = self.shards.get_mut(&shard) else { return };
         let Some(Round { node, tasks, .. }) = state.rounds.remove(&round) else { return };
@@ -81,8 +81,8 @@
         }
     }
 
-    /// A node that doesn't answer counts as full: its answer may come, and is then too late, so
-    /// that a task is never granted room twice in one attempt.
+    /// Treats a node that doesn't answer as full. A response that arrives later is ignored, so an
+    /// attempt is never granted twice.
     pub(super) fn expire_rounds(&mut self, now: Time, shard: ShardId) {
         let timeout = self.limits.place_timeout;
         let Some(state) = self.shards.get(&shard) else { return };
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether the grant is for the attempt that the task would begin next.
+    /// Whether the grant is for the task's next attempt.
     pub(super) fn is_current_grant(&self, shard: ShardId, grant: &Grant) -> bool {
         let Some(job) = self.shards.get(&shard).and_then(|state| state.jobs.get(&grant.task.job))
         else {
--- a/crates/tasks/src/jobs/services.rs
+++ b/crates/tasks/src/jobs/services.rs
@@ -1,8 +1,8 @@
-//! How many replicas a service runs.
+//! Number of replicas of each service.
 //!
-//! The number follows what entries measure: requests late or refused, and requests open at once.
-//! It grows at once when the target is missed and shrinks slowly, one replica at a time: a replica
-//! too few is felt by callers, one too many only takes room from batch work.
+//! It follows the load that entries measure: late or refused requests, and concurrent requests. It
+//! grows at once when the target is missed and shrinks slowly, one replica at a time, since a
+//! missing replica delays callers and a surplus one only uses capacity of batch tasks.
 
 use {
     super::{
@@ -18,34 +18,33 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How often replicas are counted.
+/// How often the replica counts are planned.
 const PLAN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an entry's measurement counts.
+/// How long an entry's measurement is used.
 const LOAD_MAX_AGE: Duration = Duration::from_secs(15);
 
-/// How long after a growth the next one waits: until the new replicas' effect is measured.
+/// Minimum time between two increases, so that the effect of new replicas is measured.
 const MIN_GROWTH_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long a service must have needed fewer replicas before it gets one fewer.
+/// How long a service must need fewer replicas before one is removed.
 const SHRINK_AFTER: Duration = Duration::from_secs(300);
 
-/// Requests that one replica works on at once, assumed before its backend server's slots are
-/// known here: the smallest of today's sizes.
+/// Assumed concurrent requests per replica, while the slots of its backend server aren't known
+/// here.
 const ASSUMED_SLOTS: u64 = 8;
 
-/// The share of its slots that a replica is planned to have in use, in thousandths. Above it,
-/// waiting times grow steeply; the rest absorbs bursts until a new replica runs.
+/// Target utilization of a replica's slots. Waiting times grow steeply above it; the rest absorbs
+/// bursts until a new replica runs.
 const TARGET_UTILIZATION_PERMILLE: u64 = 600;
 
-/// Below this share, in thousandths, one replica fewer is enough. Far below the other, so that
-/// the number doesn't swing.
+/// Utilization below which a replica is removed. Far below the target, to avoid oscillation.
 const IDLE_UTILIZATION_PERMILLE: u64 = 300;
 
-/// The most replicas of one class.
+/// Maximum number of replicas of a class.
 const MAX_REPLICAS: u32 = 512;
 
-/// One service class whose shard is owned.
+/// State of a service class whose shard is owned.
 #[derive(Debug, Default)]
 pub(super) struct ServiceState {
     loads: BTreeMap<NodeId, (Time, ClassLoad)>,
@@ -56,7 +55,7 @@
     below_target_since: Option<Time>,
 }
 
-/// What a service's entries measured, summed.
+/// Load of a service, summed over entries.
 #[derive(Clone, Copy, Debug, Default)]
 struct LoadSum {
     within_target: u64,
@@ -76,8 +75,8 @@
         sum
     }
 
-    /// Decides how many replicas are wanted.
-    fn decide(&mut self, now: Time, permille: u64, min_replicas: u32, running: u32) {
+    /// Sets the target number of replicas.
+    fn update_target(&mut self, now: Time, permille: u64, min_replicas: u32, running: u32) {
         let sum = self.sum_loads(now);
         let total = sum.within_target + sum.outside_target;
         self.target_missed =
@@ -87,8 +86,8 @@
         let for_load = u32::try_from(sum.open_permille.div_ceil(per_replica)).unwrap_or(u32::MAX);
         let mut target = for_load.max(min_replicas);
         if self.target_missed {
-            // Replicas that are hardly used and still late are disturbed by their neighbours.
-            // More of them would only spread to more neighbours; those are dealt with instead.
+            // Replicas that are little used and still late suffer interference. More replicas
+            // wouldn't help; the rack tables throttle or evict the neighbours instead.
             let useful = sum.open_permille / (ASSUMED_SLOTS * IDLE_UTILIZATION_PERMILLE);
             let more = running + (running / 4).max(1);
             target = target.max(more.min(u32::try_from(useful).unwrap_or(u32::MAX)));
@@ -146,8 +145,8 @@
         }
     }
 
-    /// Stops the replicas of classes that the configuration no longer has, also those that an
-    /// earlier owner started.
+    /// Stops the replicas of classes that are no longer configured, including those that an earlier
+    /// owner started.
     fn retire_services(&mut self, now: Time) {
         let classes = &self.classes;
         self.services.retain(|class, _| classes.contains_key(class));
@@ -186,10 +185,10 @@
         let running = self.replicas(shard, &id);
         let min_replicas = if spread { 2 } else { 1 };
         let Some(service) = self.services.get_mut(&class.name) else { return };
-        // A new owner starts from what runs: the load that asked for it will be told again.
+        // A new owner starts from the running replicas until the load is measured again.
         service.target_replicas =
             service.target_replicas.max(if service.grown_at.is_none() { running } else { 0 });
-        service.decide(now, u64::from(permille), min_replicas, running);
+        service.update_target(now, u64::from(permille), min_replicas, running);
         let (target_replicas, target_missed) = (service.target_replicas, service.target_missed);
         self.resize(now, shard, &id, target_replicas, spread, out);
         self.report_missed_target(&class.name, target_missed, out);
@@ -231,7 +230,7 @@
         self.journal(shard, JobEntry::Submitted { record: Box::new(record) }, out);
     }
 
-    /// Replicas that run or start and aren't going away.
+    /// Replicas that run or start and aren't stopping or draining.
     fn replicas(&self, shard: ShardId, id: &JobId) -> u32 {
         let job = self.shards.get(&shard).and_then(|state| state.jobs.get(id));
         let not_ending = |active: &&super::job::Active| !active.stop && !active.draining;
@@ -247,21 +246,21 @@
         spread: bool,
         out: &mut Vec<JobEffect>,
     ) {
-        let has = self.replicas(shard, id);
+        let current = self.replicas(shard, id);
         let Some(job) = self.shards.get_mut(&shard).and_then(|state| state.jobs.get_mut(id)) else {
             return;
         };
         job.spread = spread;
-        let surplus = has.saturating_sub(target_replicas) as usize;
+        let surplus = current.saturating_sub(target_replicas) as usize;
         let not_ending = job.active.values_mut().filter(|active| !active.stop && !active.draining);
         for active in not_ending.rev().take(surplus) {
             active.stop = true;
             active.send_at = now;
         }
-        let free = job.waiting.len() as u32;
-        let missing = target_replicas.saturating_sub(has);
-        if free < missing {
-            let tasks = job.record.tasks.len() as u32 + missing - free;
+        let waiting = job.waiting.len() as u32;
+        let missing = target_replicas.saturating_sub(current);
+        if waiting < missing {
+            let tasks = job.record.tasks.len() as u32 + missing - waiting;
             self.journal(shard, JobEntry::Grown { job: id.clone(), tasks }, out);
             if let Some(job) = self.shards.get_mut(&shard).and_then(|state| state.jobs.get_mut(id))
             {
@@ -270,7 +269,7 @@
         }
     }
 
-    /// How many more replicas may be asked for now.
+    /// Number of further replicas to request now.
     pub(super) fn missing_replicas(&self, job: &Job) -> usize {
         let class = &job.record.spec.class;
         let target_replicas =
--- a/crates/tasks/src/jobs/starts.rs
+++ b/crates/tasks/src/jobs/starts.rs
@@ -1,4 +1,4 @@
-//! Starting attempts, and asking about them until their fate is known.
+//! Starting attempts, and querying them until their outcome is known.
 
 use {
     super::{
@@ -11,8 +11,8 @@
 };
 
 impl JobTable {
-    /// Journals an attempt for which room was found. It is asked for once that is acknowledged:
-    /// an attempt that runs and that a successor can't read of would be started a second time.
+    /// Journals an attempt for a grant. It is started once the entry is acknowledged; otherwise a
+    /// successor that doesn't know of it would start the task a second time.
     pub(super) fn start(
         &mut self,
         now: Time,
@@ -63,8 +63,8 @@
             active.journaled = true;
             active.send_at = now;
         }
-        // Without authority the attempt isn't asked for now. Once authority is back it is, by
-        // `resend`: its entry then precedes whatever a successor could have read.
+        // Without authority the attempt isn't started now. `resend` starts it once authority is
+        // back; its entry then precedes what a successor reads.
         if self.authorized_epoch(now, shard, auth).is_none() {
             return;
         }
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Asks again for what has had no answer: starts, stops, and now and then running attempts.
+    /// Resends unanswered starts and stops, and periodically checks running attempts.
     pub(super) fn resend(&mut self, now: Time, shard: ShardId, out: &mut Vec<JobEffect>) {
         let resend_at = now + self.limits.resend;
         let running_check_at = now + self.limits.running_check_interval;
@@ -100,8 +100,8 @@
         }
     }
 
-    /// An attempt runs. One that shouldn't is stopped: it was given up for good reasons, and its
-    /// task may run elsewhere soon.
+    /// Handles a running attempt. If it isn't the task's current one it is stopped, since the task
+    /// may run elsewhere.
     pub(super) fn on_started(
         &mut self,
         now: Time,
@@ -123,7 +123,7 @@
             }
             active.running = true;
             active.unconfirmed = false;
-            // Asking without the reservation from now on can't start it again.
+            // Without the reservation, queries from now on can't start it again.
             active.reservation = None;
             active.send_at =
                 if active.stop { resend_at.min(active.send_at) } else { running_check_at };
@@ -133,7 +133,7 @@
         out.push(JobEffect::SendToRack { shard: rack, msg });
     }
 
-    /// Whether the task's room is lent: its team was over its quota when it found room.
+    /// Whether the task's team is over its quota.
     fn is_over_quota(&self, now: Time, task: &TaskId) -> bool {
         let shard = super::job_shard_of_task(task);
         let job = self.shards.get(&shard).and_then(|state| state.jobs.get(&task.job));
@@ -141,7 +141,7 @@
     }
 }
 
-/// The message that asks for an attempt's start or stop, or for its fate.
+/// The message that starts or stops an attempt, or queries its state.
 fn start_or_stop_message(job: &mut Job, index: u32, next: Time) -> Option<JobEffect> {
     let record = &job.record;
     let active = job.active.get_mut(&index)?;
--- a/crates/tasks/src/learn/interference.rs
+++ b/crates/tasks/src/learn/interference.rs
@@ -1,26 +1,25 @@
-//! Which class slows which one down, from the slowdowns that VMs report late.
+//! Learned interference between pairs of classes, from reported slowdowns.
 //!
-//! A report gives a task's slowdown among all its neighbours, not by whom. The weights of the
-//! pairs are found by normalized least mean squares: the part of a slowdown that the weights don't
-//! explain is shared out over the classes present. Over many mixes of neighbours the blame settles
-//! on those who cause it. A weight is shrunk towards "unknown", which is zero, while it rests on
-//! few samples, and fades with time, since interference shifts with load.
+//! A report has a task's total slowdown among its neighbours. The weights of the pairs are learned
+//! by normalized least mean squares: the prediction error is distributed over the classes present,
+//! and converges on the cause as the neighbours vary. Weights based on few samples are shrunk
+//! towards zero, and samples decay with time, since interference changes with load.
 
 use {
     egretlb_types::{ClassName, Time, worker::RunningTask},
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How much of the unexplained part one report corrects.
+/// Share of the prediction error that one report corrects.
 const LEARNING_RATE: f64 = 0.1;
 
-/// Samples at which a weight counts half.
+/// Number of samples at which a weight counts half.
 const HALF_TRUST_SAMPLES: f64 = 8.0;
 
-/// How long until an unrefreshed weight counts half as many samples.
+/// Time after which the samples of a weight count half.
 const HALF_LIFE: Duration = Duration::from_secs(900);
 
-/// Below this weight a class counts as harmless: some thirty of its tasks would double the time.
+/// A class below this weight is harmless: about thirty of its tasks would double the run time.
 const HARMLESS_BELOW: f64 = 0.03;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -33,13 +32,13 @@
 /// Learned weights by pair of classes.
 #[derive(Clone, Debug, Default)]
 pub struct InterferenceModel {
-    /// For each class that suffers, what each class causes.
+    /// By slowed class, then by class that slows it.
     rows: BTreeMap<ClassName, BTreeMap<ClassName, Weight>>,
     now: Time,
 }
 
 impl InterferenceModel {
-    /// Takes in the running tasks of one VM.
+    /// Learns from the running tasks of one VM.
     pub fn observe(&mut self, now: Time, running: &[RunningTask]) {
         self.now = now;
         let mut counts: BTreeMap<&ClassName, f64> = BTreeMap::new();
@@ -58,7 +57,7 @@
         }
         let now = self.now;
         let row = self.rows.get_mut(of).expect("inserted above");
-        // The task itself isn't its own neighbour.
+        // A task isn't its own neighbour.
         let others = |class: &ClassName, n: f64| if class == of { n - 1.0 } else { n };
         let mut expected = 0.0;
         let mut norm = 0.0;
@@ -86,7 +85,7 @@
         }
     }
 
-    /// How much one task of `by` is expected to slow one of `of` down; 1.0 doubles its time.
+    /// Expected slowdown of a task of `of` by one task of `by`; 1.0 doubles its run time.
     pub fn pair_slowdown(&self, of: &ClassName, by: &ClassName) -> f64 {
         let Some(weight) = self.rows.get(of).and_then(|row| row.get(by)) else { return 0.0 };
         let samples = decayed_samples(weight, self.now);
@@ -95,7 +94,7 @@
 }
 
 impl InterferenceModel {
-    /// Whether tasks of `by` are known, not only believed, to leave tasks of `of` alone.
+    /// Whether enough samples show that tasks of `by` don't slow tasks of `of`.
     pub fn is_harmless(&self, of: &ClassName, by: &ClassName) -> bool {
         let weight = self.rows.get(of).and_then(|row| row.get(by));
         weight.is_some_and(|weight| {
--- a/crates/tasks/src/learn/mod.rs
+++ b/crates/tasks/src/learn/mod.rs
@@ -1,8 +1,7 @@
-//! What is learned of classes from late reports: sizes, run times, and who slows whom down.
+//! Statistics of classes learned from worker reports: sizes, run times and interference.
 //!
-//! Learned figures rank and size; they never let a VM be given more than it holds. The trade-off
-//! is that a class is learned anew by each node that runs it: a few dozen reports, against a
-//! stream of statistics between nodes that the control budget has no room for.
+//! They only rank VMs and size reservations; capacity checks don't depend on them. Each node learns
+//! from its own VMs, which saves sending statistics between nodes.
 
 mod interference;
 mod sizes;
@@ -14,7 +13,7 @@
     std::time::Duration,
 };
 
-/// All that a node has learned.
+/// Statistics learned by a node.
 #[derive(Debug)]
 pub struct ClassStatistics {
     enabled: bool,
@@ -23,7 +22,8 @@
 }
 
 impl ClassStatistics {
-    /// Nothing learned yet. With `enabled` false nothing ever is, as a baseline to measure against.
+    /// Creates empty statistics. With `enabled` false nothing is learned, as a baseline to compare
+    /// with.
     pub fn new(enabled: bool) -> Self {
         ClassStatistics {
             enabled,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes in one report of a VM. `class_of` tells the class of an ended task, if still known.
+    /// Learns from one worker report. `class_of` returns the class of an ended task, if known.
     pub fn observe(
         &mut self,
         now: Time,
@@ -54,35 +54,35 @@
         self.interference.observe(now, &report.running);
     }
 
-    /// What to commit for a task of the class that is declared to take `declared`.
+    /// Resources to reserve for a task of the class with the declared size.
     pub fn committed_size(&self, class: &ClassName, declared: &Resources) -> Resources {
         self.sizes.committed_size(class, declared)
     }
 
-    /// How long a task of the class runs, once enough of them have ended.
+    /// Learned run time of the class, once enough tasks have ended.
     pub fn run_time(&self, class: &ClassName) -> Option<Duration> {
         self.sizes.run_time(class)
     }
 
-    /// How much a task of `by` is expected to slow a task of `of` down: 1.0 doubles its time.
+    /// Expected slowdown of a task of `of` by one task of `by`; 1.0 doubles its run time.
     pub fn pair_slowdown(&self, of: &ClassName, by: &ClassName) -> f64 {
         self.interference.pair_slowdown(of, by)
     }
 
-    /// Whether tasks of `by` are known to leave tasks of `of` alone.
+    /// Whether enough samples show that tasks of `by` don't slow tasks of `of`.
     pub fn is_harmless(&self, of: &ClassName, by: &ClassName) -> bool {
         self.interference.is_harmless(of, by)
     }
 
-    /// The slowdown expected from putting one more task among `neighbours`, summed over all who
-    /// would suffer; a service's counts most, since callers wait for it.
+    /// Expected slowdown of all tasks if one more is placed among `neighbours`. Slowdowns of
+    /// services have the higher weight.
     pub fn slowdown<'a>(
         &self,
         class: &ClassName,
         service: bool,
         neighbours: impl Iterator<Item = (&'a ClassName, bool)>,
     ) -> f64 {
-        /// A batch task that runs longer costs throughput, a service's slowness costs callers.
+        /// Weight of a batch task's slowdown, compared with 1 for a service, whose callers wait.
         const BATCH_SHARE: f64 = 0.25;
         if !self.enabled {
             return 0.0;
--- a/crates/tasks/src/learn/sizes.rs
+++ b/crates/tasks/src/learn/sizes.rs
@@ -1,40 +1,38 @@
-//! Peak use and run time of each class, from measurements that arrive late.
+//! Learned peak use and run time of each class.
 //!
-//! Declared sizes are far from reality in both directions. Too small: the learned peak is
-//! committed instead as soon as a single measurement exceeds the declaration, since the harm (a
-//! VM overrun) is at once. Too large: the commitment shrinks only after many tasks have ended, and
-//! never to nothing, since the harm of a wrong guess (a task held to too little) is paid by tasks
-//! that did no wrong, while the gain (room) is only the scheduler's. Accelerators are whole and
-//! are always taken as declared.
+//! The learned peak replaces a declaration that is too small after a single larger measurement,
+//! since the VM would be overcommitted. A declaration that is too large is reduced only after many
+//! tasks have ended, and not below a floor, since a task with too small a reservation may fail.
+//! Accelerators are always reserved as declared.
 
 use {
     egretlb_types::{ClassName, Megabytes, MilliCores, Resources, worker::TaskEnd},
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Ended tasks of a class before its commitment may shrink below the declaration.
+/// Number of ended tasks of a class before its reservations shrink below the declaration.
 const SHRINK_MIN_SAMPLES: u32 = 20;
 
-/// Ended tasks of a class before its learned run time is used.
+/// Number of ended tasks of a class before its learned run time is used.
 const RUN_TIME_MIN_SAMPLES: u32 = 3;
 
-/// What is committed for a learned peak below the declaration, in thousandths of it: measurements
-/// miss short peaks.
+/// Reservation as a share of the learned peak, if that is below the declaration. Measurements miss
+/// short peaks.
 const MARGIN_PERMILLE: u64 = 1_200;
 
-/// No commitment falls below this share of the declaration, in thousandths.
+/// Minimum reservation as a share of the declaration.
 const FLOOR_PERMILLE: u64 = 250;
 
-/// How much of a remembered peak is kept with every ended task, in thousandths. A class that has
-/// become smaller is believed after some hundred tasks.
+/// Share of the learned peak that is kept per ended task. The peak follows a class that uses less
+/// within some hundred tasks.
 const PEAK_DECAY_PERMILLE: u64 = 990;
 
-/// The weight of a new run time against the remembered one, in thousandths.
+/// Weight of a new run time in the moving average.
 const RUN_TIME_WEIGHT_PERMILLE: u64 = 100;
 
 #[derive(Clone, Debug, Default)]
 struct ClassSize {
-    /// The peak seen, slowly forgotten.
+    /// Decaying peak use.
     peak: Resources,
     ended: u32,
     run_time: Duration,
@@ -55,7 +53,7 @@
     }
 }
 
-/// The smaller of the two in each part.
+/// The minimum of each resource.
 fn min_each(a: &Resources, b: &Resources) -> Resources {
     Resources {
         cpu: a.cpu.min(b.cpu),
@@ -65,18 +63,18 @@
 }
 
 impl SizeTable {
-    /// A running task's use was measured.
+    /// Records the measured use of a running task.
     pub fn record_usage(&mut self, class: &ClassName, used: &Resources) {
         let size = self.entry(class);
         size.peak = size.peak.max(used);
     }
 
-    /// A task ended.
+    /// Records the end of a task.
     pub fn record_end(&mut self, class: &ClassName, peak: &Resources, ran: Duration, end: TaskEnd) {
         let size = self.entry(class);
         size.peak = scale(&size.peak, PEAK_DECAY_PERMILLE).max(peak);
         if end != TaskEnd::Done {
-            // How long a failure took says nothing of how long the work takes.
+            // The run time of a failed task isn't representative.
             return;
         }
         size.run_time = match size.ended {
@@ -93,13 +91,12 @@
         self.classes.get_mut(class).expect("inserted above")
     }
 
-    /// What to commit for a task of the class.
+    /// Resources to reserve for a task of the class.
     pub fn committed_size(&self, class: &ClassName, declared: &Resources) -> Resources {
         let Some(size) = self.classes.get(class) else { return *declared };
         let mut committed = if size.ended >= SHRINK_MIN_SAMPLES {
-            // The margin lifts no higher than the declaration. A task that uses all it is given
-            // would otherwise be given a fifth more each time, without end: its use then says what
-            // it was given and not what it needs.
+            // Limited to the declaration: a task that uses all of its reservation would otherwise
+            // grow by the margin each time.
             let with_margin = min_each(&scale(&size.peak, MARGIN_PERMILLE), declared);
             size.peak.max(&with_margin).max(&scale(declared, FLOOR_PERMILLE))
         } else {
@@ -109,7 +106,7 @@
         committed
     }
 
-    /// The usual run time of the class.
+    /// Average run time of the class.
     pub fn run_time(&self, class: &ClassName) -> Option<Duration> {
         self.classes
             .get(class)
--- a/crates/tasks/src/lib.rs
+++ b/crates/tasks/src/lib.rs
@@ -1,11 +1,12 @@
-//! Jobs and tasks: leases, placement, eviction, quotas and recovery, as two reducers.
+//! Jobs and tasks: leases, placement, eviction, quotas and recovery, as two state machines without
+//! I/O.
 //!
-//! [`JobTable`] knows where each task may run and journals it; [`RackTable`] knows what each VM
-//! holds and journals nothing, since a successor learns it from the VMs' reports. They meet only
-//! through the messages of [`msg`], which may be lost, doubled, delayed and reordered.
+//! [`JobTable`] journals where each task may run. [`RackTable`] tracks what each VM runs and
+//! journals nothing: a successor rebuilds it from the VMs' reports. They communicate only through
+//! the messages of [`msg`], which may be lost, duplicated, delayed and reordered.
 //!
-//! The trade-off: two owners cost a start two more messages than one owner would, but no fact is
-//! ever handed over between owners, so no message has to be confirmed for a fact to be true.
+//! Two owners cost two more messages per start than one would, but no state is handed over between
+//! them, so no handover has to be confirmed.
 
 mod jobs;
 mod learn;
--- a/crates/tasks/src/limits.rs
+++ b/crates/tasks/src/limits.rs
@@ -1,76 +1,76 @@
-//! The limits that both books decide by, and the switches that tests turn protections off with.
+//! Timing and size limits of both tables, and the switches with which tests disable protections.
 
 use std::time::Duration;
 
-/// Times and counts that the books decide by. Not for operators: they state targets.
+/// Timeouts, intervals and maximum counts. Not configurable by operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// How long a worker runs a task without a renewal. Long enough that renewing costs little of
-    /// the control budget, short enough that a lost VM's tasks run again soon.
+    /// How long a worker runs a task without a renewal. Balances the cost of renewals against the
+    /// delay before a lost VM's tasks run again.
     pub lease: Duration,
-    /// How often the leases of a VM are renewed: a third of the lease, so that two lost renewals
-    /// cost nothing.
+    /// How often the leases of a VM are renewed. A third of the lease tolerates two lost renewals.
     pub renew_interval: Duration,
-    /// How long after its sending a call may still reach a worker. The runtime gives a call up
-    /// earlier; this bounds what may sit in buffers. Assumed of the platform.
+    /// How long after it is sent a call may still reach a worker. Longer than the call timeout,
+    /// since calls may sit in buffers.
     pub max_call_delay: Duration,
-    /// What clocks of different rates may differ by over the waits here.
+    /// Maximum drift between two clocks over the waits here.
     pub clock_margin: Duration,
-    /// How long an owner out of authority goes on renewing leases, so that a log outage doesn't
-    /// end all that runs. A successor of an owner that didn't release its shard waits as long
-    /// before it declares an unreachable VM's attempts lost.
+    /// How long an owner without authority keeps renewing leases, so that a log outage doesn't end
+    /// running tasks. The successor of an owner that didn't release its shard waits as long before
+    /// it declares an unreachable VM's attempts lost.
     pub renewal_without_authority: Duration,
-    /// How long room is kept for a task that was placed: a journal append and two messages.
+    /// How long a reservation is kept: covers a journal append and two messages.
     pub reservation: Duration,
-    /// How long a placement may stay unanswered before another node is asked.
+    /// How long to wait for a placement response before another node is tried.
     pub place_timeout: Duration,
-    /// How long until a message without an answer is sent again.
+    /// Interval between retransmissions of an unanswered message.
     pub resend: Duration,
-    /// How often the owner of a job asks about an attempt that is known to run. Needed only where
-    /// a VM and its rack's owner are lost together, so that nobody is left who knew of the attempt.
+    /// How often a job's owner checks an attempt that is known to run. Needed only if a VM and its
+    /// rack's owner are lost together, so that no owner knows of the attempt.
     pub running_check_interval: Duration,
-    /// The wait before a task that found no room asks again.
+    /// Backoff of a job after every node has refused its tasks.
     pub place_backoff: Duration,
-    /// The same for urgent tasks and services.
+    /// The same for urgent jobs and services.
     pub urgent_backoff: Duration,
-    /// The shortest time between two reports of a VM.
+    /// Minimum time between two reports of a VM.
     pub min_poll_interval: Duration,
-    /// The longest time between two reports of a VM.
+    /// Maximum time between two reports of a VM.
     pub max_poll_interval: Duration,
-    /// How long a call waits for the journal before the caller is told to ask again.
+    /// How long a call waits for the journal before the caller is asked to retry.
     pub ack_timeout: Duration,
-    /// The most tasks of a job: bounds memory and the size of a snapshot.
+    /// Maximum number of tasks of a job. Bounds memory and snapshot size.
     pub max_job_tasks: u32,
-    /// The most jobs that a shard keeps; a full shard refuses with when to come back.
+    /// Maximum number of jobs in a shard; a full shard refuses submissions with a retry time.
     pub max_shard_jobs: usize,
-    /// How long an ended job's status is kept.
+    /// How long the status of an ended job is kept.
     pub ended_retention: Duration,
-    /// Failures on so many distinct healthy VMs make the task itself at fault.
+    /// Number of distinct healthy VMs on which a task fails before it is parked.
     pub parked_after_vms: usize,
-    /// Failures of any kind after which a task is parked.
+    /// Number of failures of any kind after which a task is parked.
     pub parked_after_fails: u16,
-    /// How long every node must say that a task can never fit before it is told so: longer than a
-    /// succession, during which a rack's VMs are nobody's.
+    /// How long every node must report that a task can't fit before it is final. Longer than a
+    /// succession, during which a rack's VMs have no owner.
     pub never_fits_after: Duration,
-    /// Stops of a cancellation wave in progress at once, for each shard. Keeps a wave of
-    /// thousands from taking the place of renewals and starts.
+    /// Maximum number of stops of cancelled tasks in progress per shard, so that mass cancellations
+    /// don't delay renewals and starts.
     pub max_concurrent_stops: usize,
-    /// Wants sent in one round of placement, for each shard.
+    /// Maximum number of tasks in pending placement requests, per shard.
     pub max_pending_placements: usize,
     /// Consecutive failures of distinct tasks that put a VM into quarantine.
     pub quarantine_after: u32,
     /// How often a VM in quarantine gets a task as a probe.
     pub probe_interval: Duration,
-    /// How long a service's replica is shut off from new requests before it is stopped.
+    /// How long a replica gets no new requests before it is stopped.
     pub drain: Duration,
-    /// The least time that a task runs before it may be evicted: an eviction costs about as much
-    /// as is lost since its start.
+    /// Minimum run time before a task may be evicted: an eviction loses about as much work as was
+    /// done since the start.
     pub min_run_time: Duration,
-    /// How long a throttle is given to show before the task is evicted.
+    /// How long a throttle may take to show an effect before the task is evicted.
     pub throttle_effect_time: Duration,
     /// How long a service must meet its target before a throttle is lifted.
     pub throttle_release_after: Duration,
-    /// Evictions for a target's sake allowed a minute, for each 100 batch tasks running at a node.
+    /// Maximum evictions per minute to protect services, per 100 batch tasks running on a node's
+    /// VMs.
     pub evictions_per_minute: u32,
 }
 
@@ -110,27 +110,27 @@
     }
 }
 
-/// Switches for tests that show that a checker notices a missing protection. All are on by
-/// default, and only a test turns one off.
+/// Switches with which tests show that the checker detects a missing protection. All are on by
+/// default; only tests turn one off.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Protections {
-    /// A start waits until it is journalled.
+    /// An attempt starts only after it is journalled.
     pub journal_before_start: bool,
-    /// A VM's attempts are lost only after their leases must have lapsed.
+    /// A VM's attempts are declared lost only after their leases must have lapsed.
     pub wait_for_lease: bool,
-    /// A start needs the reservation that was made for it.
+    /// A start needs its reservation.
     pub reservation_per_start: bool,
-    /// Placement checks committed room.
+    /// Placement checks free capacity.
     pub capacity_check: bool,
-    /// A new owner grants nothing on a VM without a report younger than its authority.
+    /// A new owner grants nothing on a VM before it has a report requested under its own authority.
     pub report_before_grant: bool,
     /// An outcome counts only for the attempt that it names.
     pub fence_outcomes: bool,
-    /// An end is acknowledged, and a submission answered, only once it is journalled.
+    /// Ends are acknowledged, and submissions answered, only once journalled.
     pub journal_before_ack: bool,
-    /// A start whose answer was lost is asked about before the task is started elsewhere.
+    /// A start without an answer is resolved before the task is started elsewhere.
     pub resolve_unconfirmed: bool,
-    /// Unsafe steps need authority.
+    /// Steps that are unsafe for two owners to take require authority.
     pub authority: bool,
 }
 
--- a/crates/tasks/src/msg.rs
+++ b/crates/tasks/src/msg.rs
@@ -1,7 +1,7 @@
-//! The messages between the books of different nodes.
+//! Messages between the tables of different nodes.
 //!
-//! All are idempotent and may be lost, doubled, delayed or reordered; whoever needs an answer
-//! sends again. None carries a time, since clocks of two processes can't be compared.
+//! All are idempotent and may be lost, duplicated, delayed or reordered; the sender retransmits if
+//! it needs an answer. None carries a timestamp, since clocks of two processes can't be compared.
 
 use {
     compact_str::CompactString,
@@ -15,75 +15,75 @@
     std::{fmt, time::Duration},
 };
 
-/// To a node's rack book, whatever racks it owns.
+/// Sent to a node's rack table, whichever racks it owns.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum NodeMsg {
-    /// Find room for tasks.
+    /// Reserve capacity for tasks.
     Place(Place),
-    /// A service class misses its target, or meets it again.
+    /// Whether a service class meets its target.
     TargetStatus {
         /// The service class.
         class: ClassName,
-        /// Whether it misses its target.
+        /// Whether the target is missed.
         missed: bool,
     },
 }
 
-/// Asks a node for room for some tasks. Without any wants it only asks for the node's room.
+/// Requests reservations for tasks. Without tasks it only queries the node's capacity.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Place {
-    /// The shard whose owner asks, to which the answer goes.
+    /// The shard that gets the response.
     pub shard: ShardId,
-    /// Ties the answer to the question.
+    /// Matches the response to the request.
     pub round: Ticket,
     /// The tasks, most urgent first.
     pub requests: Vec<TaskRequest>,
 }
 
-/// One task that needs room.
+/// One task to place.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TaskRequest {
     /// The task.
     pub task: TaskId,
-    /// The attempt that the room is for.
+    /// The attempt to reserve capacity for.
     pub attempt: Attempt,
     /// The class, by which sizes and interference are learned.
     pub class: ClassName,
-    /// The team whose quota it counts against.
+    /// The team whose quota is charged.
     pub team: Option<TeamName>,
-    /// What it takes, as declared.
+    /// Declared size.
     pub resources: Resources,
-    /// Whether the rack's owner may commit what it has learned of the class instead.
+    /// Whether the rack's owner may reserve the size learned for the class instead.
     pub learned_size: bool,
     /// Whether it is a service's replica.
     pub service: bool,
-    /// Whether its team is over its quota, so that it may be evicted for others' sake.
+    /// Whether its team is over its quota, so that other teams may reclaim its capacity.
     pub over_quota: bool,
-    /// Whether lent room may be taken back by eviction for it.
+    /// Whether tasks of teams over their quota may be evicted for it.
     pub reclaim: bool,
     /// VMs where it failed before.
     pub avoid: SmallVec<[VmId; 2]>,
-    /// Data centres that already have a replica, for a class that must survive losing one.
+    /// Data centres that already have a replica, if the class must survive losing one.
     pub avoid_data_centres: SmallVec<[DataCentre; 4]>,
 }
 
-/// Names room kept for one attempt; unique among all reservations ever made for a rack shard.
+/// Identifies a reservation; unique for the lifetime of a rack shard.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct ReservationId {
-    /// The rack shard's epoch under which the room was reserved.
+    /// The rack shard's epoch under which it was made.
     pub epoch: Epoch,
     /// Its number at the node.
     pub number: Ticket,
 }
 
-/// Room kept for one attempt for some seconds.
+/// Capacity reserved for one attempt, for [`Limits::reservation`](crate::Limits::reservation).
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
     /// The task.
     pub task: TaskId,
     /// The attempt.
     pub attempt: Attempt,
-    /// To be named by the start.
+    /// The reservation that the start names.
     pub reservation: ReservationId,
     /// The VM.
     pub vm: VmId,
@@ -91,63 +91,63 @@
     pub rack: ShardId,
     /// The VM's data centre.
     pub data_centre: DataCentre,
-    /// What was reserved: the declaration, or what was learned.
+    /// What was reserved: the declared or the learned size.
     pub resources: Resources,
 }
 
-/// The answer to [`Place`].
+/// Response to [`Place`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Placed {
-    /// The question's round.
+    /// The request's round.
     pub round: Ticket,
-    /// What found room.
+    /// The reservations made.
     pub granted: Vec<Grant>,
-    /// What didn't.
+    /// Tasks without a reservation.
     pub refused: Vec<TaskId>,
-    /// For how many of those lent room is being taken back.
+    /// Number of refused tasks for which capacity is being reclaimed.
     pub reclaiming: u32,
-    /// The node's room.
+    /// The node's capacity.
     pub capacity: NodeCapacity,
-    /// What the teams of the wants hold at this node.
+    /// Resources held on this node by the teams of the requested tasks.
     pub usage: Vec<TeamUsage>,
 }
 
-/// What a team holds at one node.
+/// Resources held by a team on one node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TeamUsage {
     /// The team.
     pub team: TeamName,
-    /// What its tasks hold.
+    /// Resources held by its tasks.
     pub held: Resources,
 }
 
-/// What the VMs of a node's racks can hold.
+/// Capacity of the VMs of a node's racks.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct NodeCapacity {
-    /// How many VMs take new work.
+    /// Number of VMs that accept new tasks.
     pub vms: u32,
-    /// The room left, summed over the VMs.
+    /// Free capacity, summed over these VMs.
     pub free: Resources,
-    /// The sizes of VM that no other size exceeds in every part: what fits none of them never
-    /// fits here.
+    /// The VM sizes that no other size exceeds in every resource. A task that fits none of them
+    /// can't run here.
     pub largest: SmallVec<[Resources; 2]>,
 }
 
 impl NodeCapacity {
-    /// Whether `want` fits none of the node's VMs, even empty ones.
+    /// Whether `want` doesn't fit any of the node's VMs, even an empty one.
     ///
-    /// A node that knows no VM yet has just taken racks over and says nothing. Taken for a no, it
-    /// isn't asked again until its room is told anew, and nothing starts on its racks for 20 s.
+    /// False while the node knows no VMs, as just after it took racks over: treating that as a
+    /// refusal would delay the next request until the capacity is queried again.
     pub fn never_fits(&self, want: &Resources) -> bool {
         !self.largest.is_empty() && !self.could_fit(want)
     }
 
-    /// Whether `want` would fit an empty VM.
+    /// Whether `want` fits an empty VM.
     pub fn could_fit(&self, want: &Resources) -> bool {
         self.largest.iter().any(|size| want.fits(size))
     }
 
-    /// Adds a VM's size, dropping the sizes that it exceeds.
+    /// Adds a VM's size and drops the sizes that it exceeds.
     pub fn add_size(&mut self, size: &Resources) {
         if self.largest.iter().any(|other| size.fits(other)) {
             return;
@@ -162,14 +162,14 @@
     }
 }
 
-/// To the owner of a rack shard.
+/// Sent to the owner of a rack shard.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum RackMsg {
-    /// Start an attempt that is journalled, or say what became of it.
+    /// Start a journalled attempt, or report its state.
     Start(Start),
-    /// Stop an attempt, or say what became of it.
+    /// Stop an attempt, or report its state.
     Stop(Stop),
-    /// The end of the attempt is journalled; it need not be told again.
+    /// The end of the attempt is journalled and needn't be reported again.
     AckEnded {
         /// The VM.
         vm: VmId,
@@ -178,26 +178,26 @@
     },
 }
 
-/// Starts an attempt in its reserved room.
+/// Starts an attempt in its reservation.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Start {
     /// The VM.
     pub vm: VmId,
     /// The attempt.
     pub of: TaskFence,
-    /// The room reserved for it; `None` when only its fate is asked for.
+    /// Its reservation; `None` only queries the attempt's state.
     pub reservation: Option<ReservationId>,
     /// The class.
     pub class: ClassName,
     /// Whether it is a service's replica.
     pub service: bool,
-    /// Whether its room is lent.
+    /// Whether its team was over its quota when it was placed.
     pub over_quota: bool,
-    /// What it may use.
+    /// Resource limit.
     pub resources: Resources,
     /// The checkpoint to resume from.
     pub checkpoint: Option<CompactString>,
-    /// What to run.
+    /// The command to run.
     pub command: CompactString,
 }
 
@@ -212,66 +212,67 @@
     pub checkpoint: bool,
 }
 
-/// To the owner of a job's shard.
+/// Sent to the owner of a job's shard.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum JobMsg {
-    /// The answer to a placement.
+    /// Response to a placement request.
     Placed(Placed),
-    /// The attempt runs. Sent as an answer, and unasked by a new owner of the rack.
+    /// The attempt runs. Sent as a response, and unsolicited by a new owner of the rack.
     Started {
-        /// Where.
+        /// The VM.
         vm: VmId,
         /// The shard of the VM's rack.
         rack: ShardId,
         /// The attempt.
         of: TaskFence,
     },
-    /// The answer to the start was lost; it is being asked about.
+    /// The start got no answer; the rack's owner is resolving its outcome.
     UnconfirmedStart {
         /// The attempt.
         of: TaskFence,
     },
-    /// The attempt is over. Sent until acknowledged.
+    /// The attempt ended. Sent until acknowledged.
     Ended(Ended),
-    /// The replica's VM is leaving: start another, this one will be stopped after a while.
+    /// The replica's VM is draining: start a replacement, this replica stops after
+    /// [`Limits::drain`](crate::Limits::drain).
     VmDraining {
         /// The attempt.
         of: TaskFence,
     },
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Ended {
     /// Where it ran.
     pub vm: VmId,
-    /// The shard of the VM's rack, to which the acknowledgement goes.
+    /// The shard of the VM's rack, which gets the acknowledgement.
     pub rack: ShardId,
     /// The attempt.
     pub of: TaskFence,
     /// How it ended.
     pub how: AttemptEnd,
-    /// Whether the VM fails what others can run, so that a failure says nothing of the task.
+    /// Whether the VM is in quarantine, so that a failure doesn't count against the task.
     pub vm_quarantined: bool,
     /// How long it ran, if known.
     pub ran: Duration,
 }
 
-/// The ways in which an attempt ends. After any of them the attempt runs nowhere and never will.
+/// How an attempt ended. After any of these it doesn't run and can't start any more.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// The task did its work.
+    /// The task completed.
     Done,
     /// The task failed.
     Failed,
-    /// It was stopped, with the checkpoint if one was written.
+    /// It was stopped, with a checkpoint if one was written.
     Stopped {
-        /// What to resume from.
+        /// The checkpoint to resume from.
         checkpoint: Option<CompactString>,
     },
     /// It never ran.
     NeverRan,
-    /// Its lease lapsed, at the worker or because its VM is out of reach.
+    /// Its lease lapsed, at the worker or because its VM is unreachable.
     Lost,
 }
 
--- a/crates/tasks/src/racks/answers.rs
+++ b/crates/tasks/src/racks/answers.rs
@@ -1,4 +1,4 @@
-//! What workers answer, and what is known when they don't.
+//! Answers of workers, and calls without an answer.
 
 use {
     super::{Call, CallError, CallKind, RackEffect, RackTable, WorkerAnswer, to_job, vm::Phase},
@@ -31,12 +31,12 @@
             }
         }
         match result {
-            Ok(answer) => self.on_good_answer(now, call, answer, auth, out),
+            Ok(answer) => self.on_response(now, call, answer, auth, out),
             Err(e) => self.on_no_answer(now, call, e, out),
         }
     }
 
-    fn on_good_answer(
+    fn on_response(
         &mut self,
         now: Time,
         call: Call,
@@ -56,14 +56,15 @@
             (CallKind::Stop(of), WorkerAnswer::Stop(answer)) => {
                 self.on_stopped(now, &id, &of, answer, out);
             }
-            // A throttle's answer changes nothing that a report won't tell; an answer of another
-            // kind than the call is a fault of the worker's and is treated as none.
+            // A throttle needs no handling: reports show its effect. An answer that doesn't match
+            // the call is ignored.
             _ => {}
         }
         self.reindex(&id);
     }
 
-    /// A call got no answer. Grants and renewals on the VM end until it reports again.
+    /// Handles a call without an answer. Nothing is granted or renewed on the VM until it reports
+    /// again.
     fn on_no_answer(&mut self, now: Time, call: Call, e: CallError, out: &mut Vec<RackEffect>) {
         let id = call.vm;
         let resolve = self.protections.resolve_unconfirmed;
@@ -73,10 +74,10 @@
         vm.poll_at = now + min_poll_interval;
         if let CallKind::Start(of) = call.kind {
             let Some(attempt) = vm.attempts.get_mut(&of) else { return };
-            let never_left = e == CallError::NotSent && !attempt.unconfirmed;
+            let not_sent = e == CallError::NotSent && !attempt.unconfirmed;
             attempt.unconfirmed |= e == CallError::Unknown;
-            if never_left || !resolve {
-                // Certain: the worker never sees it, and nobody else starts on this VM.
+            if not_sent || !resolve {
+                // The worker never gets the call, and no other node starts tasks on this VM.
                 vm.close(now, &of, AttemptEnd::NeverRan, Duration::ZERO);
                 self.report_ends(now, &id, out);
             } else {
@@ -98,7 +99,7 @@
         let Some(attempt) = vm.attempts.get_mut(of) else { return };
         match answer {
             StartAnswer::Started => {
-                attempt.ran = true;
+                attempt.has_run = true;
                 attempt.start = None;
                 attempt.unconfirmed = false;
                 attempt.since = now;
@@ -117,7 +118,7 @@
                 attempt.next_call_at = now;
             }
             StartAnswer::StaleFence | StartAnswer::Refused if attempt.unconfirmed => {
-                // An earlier call of this start may have been taken up; the VM has to say.
+                // An earlier call of this start may have succeeded; a stop call resolves it.
                 attempt.phase = Phase::Stopping;
                 attempt.next_call_at = now;
             }
@@ -144,8 +145,8 @@
         let how = match answer {
             StopAnswer::Stopped { checkpoint } => AttemptEnd::Stopped { checkpoint },
             StopAnswer::Ended { end } => end.into(),
-            // It ran, and the worker knows nothing of it: the worker itself was restarted.
-            StopAnswer::NeverRan if attempt.ran => AttemptEnd::Lost,
+            // It ran and the worker doesn't know it: the worker was restarted.
+            StopAnswer::NeverRan if attempt.has_run => AttemptEnd::Lost,
             StopAnswer::NeverRan => AttemptEnd::NeverRan,
             StopAnswer::Throttled => return,
         };
@@ -156,7 +157,7 @@
         self.report_ends(now, id, out);
     }
 
-    /// Tasks that the worker doesn't run any more: the next report says how they ended.
+    /// Tasks that the worker no longer runs; a report is requested at once to learn how they ended.
     fn on_renewed(&mut self, now: Time, id: &VmId, answer: RenewAnswer) {
         let Some(vm) = self.vms.get_mut(id) else { return };
         if !answer.unknown.is_empty() {
--- a/crates/tasks/src/racks/api.rs
+++ b/crates/tasks/src/racks/api.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`RackTable`](super::RackBook) and comes out of it.
+//! Events, effects and calls of a [`RackTable`](super::RackTable).
 
 use {
     crate::msg::{JobMsg, NodeMsg, RackMsg},
@@ -15,51 +15,52 @@
     std::{fmt, sync::Arc},
 };
 
-/// What happens to a rack book.
+/// Input of a rack table.
 #[derive(Clone, Debug)]
 pub enum RackEvent {
-    /// The shard is this node's.
+    /// This node owns the shard.
     Owned {
         /// The shard.
         shard: ShardId,
         /// The epoch.
         epoch: Epoch,
-        /// Whether the previous owner released it, or there was none, so that nobody else can be
+        /// Whether the previous owner released it, or there was none, so that no other node can be
         /// renewing leases of the rack's VMs.
         released: bool,
     },
-    /// The shard is no longer this node's.
+    /// This node no longer owns the shard.
     Lost {
         /// The shard.
         shard: ShardId,
     },
-    /// A configuration came into force.
+    /// A new configuration is in force.
     Config {
         /// The configuration.
         document: Arc<ConfigDocument>,
     },
-    /// Some time passed.
+    /// Periodic timer.
     Tick,
-    /// The platform's list of VMs, whole; the book keeps those of its racks.
+    /// The platform's complete list of VMs; the table keeps those of its racks.
     Vms {
-        /// The list.
+        /// The VMs.
         vms: Vec<VmRecord>,
     },
     /// A message to the node.
     NodeMessage {
-        /// The node that sent it; [`RackEffect::SendToJob`] goes by shard, not by node.
+        /// The sending node. Responses go to the owner of a job shard by [`RackEffect::SendToJob`]
+        /// instead.
         from: NodeId,
         /// The message.
         msg: NodeMsg,
     },
     /// A message to the owner of a rack's shard.
     RackMessage {
-        /// The shard that it was sent to.
+        /// The addressed shard.
         shard: ShardId,
         /// The message.
         msg: RackMsg,
     },
-    /// A worker's answer to a call, or what is known of a call without one. Every call gets one.
+    /// The result of a worker call. Every call gets exactly one.
     WorkerAnswered {
         /// The call's ticket.
         ticket: Ticket,
@@ -68,7 +69,7 @@
     },
 }
 
-/// A call of the worker interface.
+/// A request of the worker API.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WorkerCall {
     /// `POST /tasks`.
@@ -83,7 +84,7 @@
     Report,
 }
 
-/// An answer of the worker interface.
+/// A response of the worker API.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WorkerAnswer {
     /// To a start.
@@ -96,97 +97,98 @@
     Report(WorkerReport),
 }
 
-/// What is known of a call that got no answer.
+/// Why a call has no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallError {
-    /// No byte of it left: the worker never sees it.
+    /// Nothing was sent: the worker never gets the call.
     NotSent,
-    /// It may have reached the worker, or may yet within the call's life.
+    /// It may have reached the worker, or may still do so within
+    /// [`Limits::max_call_delay`](crate::Limits::max_call_delay).
     Unknown,
 }
 
-/// What the runtime has to check at the last moment before it makes a call.
+/// Condition that the runtime checks just before it sends a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Guard {
-    /// Nothing: the call changes nothing.
+    /// None: the call changes nothing.
     None,
-    /// That this node has authority for the shard.
+    /// This node holds authority for the shard.
     Authority(ShardId),
-    /// That the clock hasn't passed the time. Renewals go on for a while without authority.
+    /// The time hasn't passed. Used by renewals, which go on without authority for a limited time.
     Before(Time),
 }
 
-/// What a rack book asks its runtime to do.
+/// Output of a rack table, performed by the runtime.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RackEffect {
-    /// Call a worker. A call whose guard fails isn't made and is answered [`CallError::NotSent`].
+    /// Call a worker. A call whose guard fails isn't sent and ends with [`CallError::NotSent`].
     CallWorker {
         /// The VM.
         vm: VmId,
-        /// Where it listens.
+        /// The worker's address.
         addr: CompactString,
-        /// To be told with the answer.
+        /// Returned with the answer.
         ticket: Ticket,
         /// The call.
         call: WorkerCall,
-        /// What to check just before.
+        /// Checked just before sending.
         guard: Guard,
     },
-    /// Send a message to whoever owns a job's shard.
+    /// Send a message to the owner of a job's shard.
     SendToJob {
         /// The shard.
         shard: ShardId,
         /// The message.
         msg: JobMsg,
     },
-    /// The backend servers of a rack's shard, whole, whenever they change.
+    /// The complete list of a rack shard's backend servers, after each change.
     Backends {
         /// The shard.
         shard: ShardId,
         /// The backend servers.
         backends: Vec<Backend>,
     },
-    /// Tell the operators.
+    /// Notify the operators.
     Alarm(RackAlarm),
 }
 
-/// A VM that answers requests of some classes.
+/// A VM that serves requests of some classes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Backend {
     /// The VM.
     pub vm: VmId,
-    /// Where it listens.
+    /// Its address.
     pub addr: CompactString,
     /// Its data centre.
     pub data_centre: DataCentre,
     /// The service classes with a replica there that takes new requests.
     pub classes: SmallVec<[ClassName; 4]>,
-    /// How many requests it works on at once.
+    /// Maximum number of requests it processes at once.
     pub slots: u16,
-    /// How many connections it accepts at once.
+    /// Maximum number of connections.
     pub connections: u16,
 }
 
-/// What operators should know of.
+/// Conditions reported to operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RackAlarm {
-    /// The VM fails what it is given; it gets only a probe now and then.
+    /// Several distinct tasks failed in a row on the VM; it only gets probes.
     Quarantined {
         /// The VM.
         vm: VmId,
-        /// Failures in a row.
+        /// Number of failures in a row.
         fails: u32,
     },
-    /// A probe did its work; the VM gets work again.
+    /// A probe succeeded; the VM gets tasks again.
     QuarantineOver {
         /// The VM.
         vm: VmId,
     },
-    /// The VM is out of reach and its leases must have lapsed.
+    /// The VM is unreachable and its leases must have lapsed.
     VmLost {
         /// The VM.
         vm: VmId,
-        /// How many attempts were lost with it.
+        /// Number of attempts lost with it.
         attempts: u32,
     },
     /// A lost VM answers again.
@@ -194,41 +196,41 @@
         /// The VM.
         vm: VmId,
     },
-    /// The VM uses more than it holds.
+    /// The VM's tasks use more than its capacity.
     Overused {
         /// The VM.
         vm: VmId,
-        /// What its tasks were measured to use.
+        /// Measured use of its tasks.
         used: Resources,
     },
-    /// A batch task was limited for a service's sake.
+    /// A batch task was throttled to protect a service.
     Throttled {
         /// The VM.
         vm: VmId,
         /// The task.
         task: TaskId,
     },
-    /// A task is being checkpointed and moved.
+    /// A task is being checkpointed and evicted.
     Evicting {
         /// The VM.
         vm: VmId,
         /// The task.
         task: TaskId,
-        /// What for.
+        /// The reason.
         why: EvictReason,
     },
 }
 
-/// What a task is evicted for.
+/// Why a task is evicted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EvictReason {
     /// A service on its VM misses its target, and throttling didn't help.
     Service,
-    /// Its room was lent and its owner needs it.
+    /// Its team is over quota and another team reclaims the capacity.
     Reclaim,
-    /// Its VM is leaving.
+    /// Its VM is draining.
     Draining,
-    /// Its VM uses more than it holds.
+    /// Its VM uses more than its capacity.
     Overused,
 }
 
@@ -265,18 +267,18 @@
     }
 }
 
-/// One VM in a state dump.
+/// State of one VM, for a state dump.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VmSummary {
     /// The VM.
     pub vm: VmId,
-    /// What its attempts and reservations hold.
+    /// Resources of its attempts and reservations.
     pub committed: Resources,
-    /// What was last measured.
+    /// Last measured use.
     pub observed: Resources,
-    /// Attempts there.
+    /// Number of attempts.
     pub attempts: u32,
-    /// Whether it may get new work.
+    /// Whether it accepts new tasks.
     pub takes_work: bool,
     /// Whether it is in quarantine.
     pub quarantined: bool,
--- a/crates/tasks/src/racks/eviction.rs
+++ b/crates/tasks/src/racks/eviction.rs
@@ -1,10 +1,10 @@
-//! Taking room back: for a service that misses its target, for a team's own quota, from VMs that
-//! are leaving.
+//! Throttling and eviction: for a service that misses its target, for a team within its quota, and
+//! from VMs that are draining.
 //!
-//! Evictions are measured by users and cost the work since the last checkpoint, so each kind is
-//! the last of several steps. For a service: first the noisiest batch neighbour of its slowest
-//! replica is throttled; only if that didn't help for a while is it checkpointed and moved, if it
-//! has run long enough and the budget allows.
+//! Evictions lose the work since the last checkpoint, so they are the last resort. For a service,
+//! the batch neighbour of its slowest replica with the highest expected interference is throttled
+//! first. It is evicted only if the throttle had no effect, the task has run long enough, and the
+//! budget allows.
 
 use {
     super::{
@@ -19,27 +19,27 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long a service counts as missing its target after it was last said to.
+/// How long a service counts as missing its target after the last notification.
 const MISSED_TARGET_LIFETIME: Duration = Duration::from_secs(12);
 
-/// How often neighbours are looked at: measurements are older than that anyway.
+/// Interval between checks of services and throttled tasks. Measurements are usually older.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The share of its processor time left to a throttled task, in thousandths. Low enough to show
-/// within one trial, high enough that the task goes on.
+/// Share of processor time left to a throttled task. Low enough to show an effect, high enough for
+/// progress.
 const THROTTLE_PERMILLE: u16 = 300;
 
-/// A replica slowed down less than this, in thousandths, isn't helped by moving neighbours.
+/// Minimum slowdown of a replica for which neighbours are throttled.
 const MIN_SLOWDOWN_PERMILLE: u32 = 1_100;
 
-/// Which services are pressed, and what may still be evicted for them.
+/// Services that miss their target, and the eviction budget.
 #[derive(Debug, Default)]
 pub(super) struct EvictionState {
     missing_until: BTreeMap<ClassName, Time>,
-    /// When each service was last seen to miss its target, for the lifting of throttles.
+    /// When each service last missed its target; throttles are lifted some time after.
     last_missed: BTreeMap<ClassName, Time>,
     next_check: Time,
-    /// Evictions allowed now, in thousandths, and when that was last topped up.
+    /// Available evictions in thousandths, and when they were last refilled.
     budget: u64,
     refilled_at: Time,
 }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Tops the budget up by the batch tasks that run, and holds it at one minute's worth.
+    /// Refills the budget in proportion to the running batch tasks, up to one minute's worth.
     fn refill_budget(&mut self, now: Time, batch: u64, per_minute: u32) {
         let minute = (batch * u64::from(per_minute) * 10).max(1_000);
         let since = now.since(self.refilled_at).as_millis() as u64;
@@ -72,7 +72,7 @@
 }
 
 impl RackTable {
-    /// One look at pressed services and throttled tasks.
+    /// Throttles or evicts neighbours of services that miss their target, and lifts throttles.
     pub(super) fn protect_services(
         &mut self,
         now: Time,
@@ -129,21 +129,21 @@
             };
             match attempt.throttled_since {
                 None => return self.throttle(now, id, &of, THROTTLE_PERMILLE, out),
-                // Its effect isn't measured yet; a second step now might be one too many.
+                // The effect isn't measured yet.
                 Some(since) if now.since(since) < effect_time => return,
                 Some(_)
                     if now.since(attempt.since) >= min_run_time && self.eviction.spend_one() =>
                 {
                     return self.evict(now, id, &of, EvictReason::Service, out);
                 }
-                // It may not be evicted now and stays throttled; the next one is tried.
+                // It can't be evicted now and stays throttled; the next task is tried.
                 Some(_) => {}
             }
         }
     }
 
-    /// The batch tasks of a VM, those first that are expected to slow its services most: by what
-    /// was learned of the pair of classes, and by their use of the processors while nothing is.
+    /// The batch tasks of a VM by expected interference with its services, highest first. Processor
+    /// use ranks tasks without learned interference.
     fn by_interference(&self, id: &VmId) -> Vec<TaskFence> {
         let Some(vm) = self.vms.get(id) else { return Vec::new() };
         let services: Vec<&ClassName> = vm
@@ -187,8 +187,8 @@
         self.call(now, id, CallKind::Throttle(of.clone()), call, guard, out);
     }
 
-    /// Lifts throttles where the VM's services have met their targets for a while. Lifting at the
-    /// first good sign would set the task going and coming with every measurement.
+    /// Lifts throttles on VMs whose services have met their targets for a while. The delay avoids
+    /// oscillation.
     fn lift_throttles(&mut self, now: Time, auth: &dyn Authority, out: &mut Vec<RackEffect>) {
         let throttle_release_after = self.limits.throttle_release_after;
         let mut lift = Vec::new();
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Checkpoints and stops a task; its job's owner queues it again from the checkpoint.
+    /// Checkpoints and stops a task; its job's owner queues it again.
     fn evict(
         &mut self,
         now: Time,
@@ -230,9 +230,8 @@
         out.push(RackEffect::Alarm(alarm));
     }
 
-    /// Takes lent room back for a task whose team is within its quota and whose class is at risk.
-    /// As few tasks as make room for it, on one VM; the room is found at a later try. Returns
-    /// whether room is being freed.
+    /// Evicts as few tasks over quota as needed to free capacity for the request on one VM. A later
+    /// request gets the capacity. Returns whether capacity is being freed.
     pub(super) fn reclaim(
         &mut self,
         now: Time,
@@ -243,8 +242,8 @@
         let resources = self.size_of(request);
         let mut best: Option<(VmId, Vec<TaskFence>)> = None;
         for (id, vm) in &self.vms {
-            let open = vm.may_grant(true) && !vm.health.quarantined;
-            if !open || !self.has_authority(now, vm.shard, auth) {
+            let accepts_tasks = vm.may_grant(true) && !vm.health.quarantined;
+            if !accepts_tasks || !self.has_authority(now, vm.shard, auth) {
                 continue;
             }
             let Some(victims) = victims(vm, &resources, now, self.limits.min_run_time) else {
@@ -265,8 +264,8 @@
         true
     }
 
-    /// Empties a VM that is leaving: replicas are shut off and replaced first, batch tasks are
-    /// checkpointed and moved.
+    /// Drains a VM: replicas get no new requests and are replaced first; batch tasks are
+    /// checkpointed and evicted.
     pub(super) fn drain_vm(&mut self, now: Time, id: &VmId, out: &mut Vec<RackEffect>) {
         let drain = self.limits.drain;
         let Some(vm) = self.vms.get_mut(id) else { return };
@@ -296,16 +295,15 @@
     }
 }
 
-/// The fewest lent batch tasks of a VM that make room, largest first; none if there is room, and
-/// `None` if all of them wouldn't do.
+/// The fewest batch tasks over quota whose eviction frees enough capacity, largest first. Empty if
+/// there is enough already, `None` if all of them don't free enough.
 fn victims(
     vm: &Vm,
     demand: &Resources,
     now: Time,
     min_run_time: Duration,
 ) -> Option<Vec<TaskFence>> {
-    // Room that is being freed already is waited for rather than freed twice, unless it is
-    // promised to another task.
+    // Capacity that is already being freed counts, unless it is promised to another task.
     let stopping = vm.attempts.values().filter(|attempt| attempt.phase == Phase::Stopping);
     let freed = stopping.fold(Resources::default(), |sum, attempt| sum.plus(&attempt.resources));
     let mut free = vm.free_capacity().plus(&freed).minus(&vm.promised);
--- a/crates/tasks/src/racks/index.rs
+++ b/crates/tasks/src/racks/index.rs
@@ -1,9 +1,9 @@
-//! Finds VMs with room without looking at all of them.
+//! Index of VMs by free capacity.
 //!
-//! VMs are kept in cells by the room that is left: one axis for processor time, one for memory,
-//! each in quarter powers of two, and one for accelerators. All VMs of a cell above the wanted
-//! size fit for certain; those of a cell that the wanted size falls into are tried, a bounded
-//! number of them. The number of cells depends on the sizes of VMs, not on how many there are.
+//! VMs are grouped in cells by free processor time and memory, in quarter powers of two, and by
+//! free accelerators. VMs of cells above the demand certainly fit; a bounded number of those in the
+//! demand's own cell are tried. The number of cells depends on the sizes of VMs, not on their
+//! number.
 
 use {
     egretlb_types::Resources,
@@ -11,10 +11,10 @@
     std::collections::BTreeMap,
 };
 
-/// Accelerators beyond this many share a cell.
+/// Larger numbers of accelerators share this cell.
 const ACCELERATORS_MAX: u32 = 15;
 
-/// A cell: VMs with about as much room.
+/// Rounded free capacity, the key of a group of VMs.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Cell {
     accelerators: u8,
@@ -22,7 +22,7 @@
     memory: u8,
 }
 
-/// The quarter power of two at or below `size`.
+/// Index of the quarter power of two at or below `size`.
 fn step(size: u32) -> u8 {
     if size < 4 {
         return size as u8;
@@ -41,7 +41,7 @@
 }
 
 impl Cell {
-    /// Whether a VM of this cell may have room for something of the cell `demand`.
+    /// Whether a VM of this cell may fit a demand of the other cell.
     fn may_fit(&self, demand: &Cell) -> bool {
         self.accelerators >= demand.accelerators
             && self.cpu >= demand.cpu
@@ -49,7 +49,7 @@
     }
 }
 
-/// VMs by room. VMs are named by small numbers that their owner chooses.
+/// VMs by free capacity, identified by slot numbers that the caller assigns.
 #[derive(Debug, Default)]
 pub(super) struct CapacityIndex {
     cells: BTreeMap<Cell, Vec<u32>>,
@@ -57,7 +57,7 @@
 }
 
 impl CapacityIndex {
-    /// Puts the VM where its room belongs, or takes it out if it may get nothing.
+    /// Moves the VM to the cell of its free capacity, or removes it if it accepts no tasks.
     pub(super) fn set(&mut self, slot: u32, free: Option<&Resources>) {
         let index = slot as usize;
         if self.positions.len() <= index {
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Up to `limit` VMs that may have room for `demand`, drawn at random from each cell, fuller
-    /// cells first. The caller checks each.
+    /// Up to `limit` VMs that may fit the demand, drawn at random from cells spread over the range.
+    /// The caller checks each.
     pub(super) fn sample(&self, demand: &Resources, limit: usize, rng: &mut SmallRng) -> Vec<u32> {
         let demand = cell(demand);
         let fitting: Vec<&Vec<u32>> = self
@@ -103,7 +103,8 @@
             fitting.iter().for_each(|slots| picked.extend_from_slice(slots));
             return picked;
         }
-        // Cells take turns, so that both a tight and a roomy fit are among the candidates.
+        // Takes VMs from cells spread over the whole range, so that tight and loose fits are among
+        // the candidates.
         let cells = fitting.len();
         let each = limit.div_ceil(cells);
         let first = rng.random_range(0..cells);
--- a/crates/tasks/src/racks/lease.rs
+++ b/crates/tasks/src/racks/lease.rs
@@ -1,8 +1,8 @@
-//! Leases: renewing them, and knowing when they must have lapsed.
+//! Lease renewal and expiry.
 //!
 //! A worker counts a lease from the receipt of a call, the owner from the latest time at which the
-//! call may be received. What goes wrong otherwise: a VM that is cut off from its rack's owner
-//! goes on running a task until its lease lapses, while a second attempt of it starts elsewhere.
+//! call may be received. So a VM that is cut off stops its tasks before their next attempts start
+//! elsewhere.
 
 use {
     super::{
@@ -16,30 +16,28 @@
     },
 };
 
-/// The most doublings of the wait before an end is told again. In a log outage no job's owner can
-/// acknowledge ends; all that end in an hour, told every two seconds, would be hundreds of messages
-/// a second.
+/// Maximum number of doublings of the delay before an end is reported again. Limits the traffic in
+/// a log outage, when no end can be acknowledged.
 const MAX_RESEND_DOUBLINGS: u32 = 3;
 
 impl RackTable {
-    /// The latest end of a lease that a call made now may grant.
+    /// The latest end of a lease that a call sent now may grant.
     pub(super) fn lease_bound_of_call(&self, now: Time) -> Time {
         now + self.limits.max_call_delay + self.limits.lease + self.limits.clock_margin
     }
 
     /// The latest end of a lease granted by an earlier owner of the shard.
     ///
-    /// An owner that lost touch with the log goes on renewing for a while, so that an outage of
-    /// the log doesn't end all that runs. So after an owner that didn't release its shard, an
-    /// unreachable VM's attempts are in doubt for that while: that is the price. It is paid only
-    /// where a VM gets lost soon after its rack's owner.
+    /// An owner that loses the log keeps renewing leases for a limited time. If it didn't release
+    /// the shard, its successor waits for that time before it declares an unreachable VM's attempts
+    /// lost.
     pub(super) fn inherited_bound(&self, shard: ShardId) -> Time {
         let Some(state) = self.shards.get(&shard) else { return Time::from_micros(u64::MAX) };
         let bound = self.lease_bound_of_call(state.owned_at);
         if state.released { bound } else { bound + self.limits.renewal_without_authority }
     }
 
-    /// Until when leases may be renewed: while authority is held, and for a while after.
+    /// When renewals end: a limited time after authority was last held.
     fn renew_until(&self, shard: ShardId) -> Option<Time> {
         self.shards
             .get(&shard)
@@ -51,8 +49,8 @@
         let bound = self.lease_bound_of_call(now);
         let Some(vm) = self.vms.get(id) else { return };
         let Some(until) = self.renew_until(vm.shard) else { return };
-        // A VM that doesn't answer isn't renewed: each renewal may arrive, and would prolong the
-        // time until its attempts are known to be lost.
+        // Not sent to a VM that doesn't answer: a renewal may still arrive, and would postpone the
+        // time at which its attempts are known to be lost.
         let can_renew = !vm.unresponsive && !vm.lost && !vm.renewing && now < until;
         if !can_renew || now < vm.renew_at {
             return;
@@ -72,11 +70,11 @@
         self.call(now, id, CallKind::Renew, call, Guard::Before(until), out);
     }
 
-    /// Asks a VM for a report when one is due.
+    /// Requests a report if one is due.
     pub(super) fn poll(&mut self, now: Time, id: &VmId, out: &mut Vec<RackEffect>) {
         let min_poll_interval = self.limits.min_poll_interval;
         let Some(vm) = self.vms.get_mut(id) else { return };
-        // The first report that can be fresh is asked for as soon as it can be.
+        // Requests a report as soon as one can be fresh.
         let fresh_due =
             !vm.is_fresh() && now >= vm.fresh_from && vm.report_sent < Some(vm.fresh_from);
         if vm.polling || (now < vm.poll_at && !fresh_due) {
@@ -87,7 +85,7 @@
         self.call(now, id, CallKind::Report, WorkerCall::Report, Guard::None, out);
     }
 
-    /// Gives a VM's attempts up once no lease granted there can last.
+    /// Declares a VM's attempts lost once every lease granted there must have lapsed.
     pub(super) fn check_lost(&mut self, now: Time, id: &VmId, out: &mut Vec<RackEffect>) {
         let wait = self.protections.wait_for_lease;
         let Some(vm) = self.vms.get_mut(id) else { return };
@@ -107,7 +105,7 @@
         self.reindex(id);
     }
 
-    /// Tells the jobs' owners of ends, until they are acknowledged.
+    /// Reports ends to the jobs' owners until they are acknowledged.
     pub(super) fn report_ends(&mut self, now: Time, id: &VmId, out: &mut Vec<RackEffect>) {
         let resend = self.limits.resend;
         let Some(vm) = self.vms.get_mut(id) else { return };
@@ -147,12 +145,12 @@
     }
 }
 
-/// What runs for all that is known. An attempt that is being stopped is renewed too: its stop may
-/// take longer than its lease, and a lapse would cost its checkpoint.
+/// The attempts whose leases are renewed. Includes those being stopped, since a lapse would lose
+/// their checkpoint.
 fn renewable(vm: &Vm) -> impl Iterator<Item = &TaskFence> {
     let runs = |phase: Phase| !matches!(phase, Phase::Starting);
     vm.attempts
         .iter()
-        .filter(move |(_, attempt)| attempt.ran && runs(attempt.phase))
+        .filter(move |(_, attempt)| attempt.has_run && runs(attempt.phase))
         .map(|(of, _)| of)
 }
--- a/crates/tasks/src/racks/mod.rs
+++ b/crates/tasks/src/racks/mod.rs
@@ -1,9 +1,9 @@
-//! The book of what VMs hold, for the rack shards that a node owns.
+//! Table of VMs and their attempts, for the rack shards that a node owns.
 //!
-//! It alone talks to its racks' VMs: it reserves room, passes starts and stops on, renews the
-//! leases of all that runs there, polls reports, and tells the jobs' owners how attempts ended.
-//! It journals nothing: a successor adopts what the VMs report, and grants nothing on a VM before
-//! it has a report that no call of the predecessor can make untrue.
+//! It alone calls its racks' VMs: it makes reservations, forwards starts and stops, renews leases,
+//! polls reports, and reports ends to the jobs' owners. It journals nothing: a successor adopts
+//! what the VMs report, and grants nothing on a VM before it has a report that no call of the
+//! predecessor can change.
 
 mod answers;
 mod api;
@@ -43,17 +43,17 @@
     vm::Vm,
 };
 
-/// What is kept of one owned shard.
+/// State of an owned shard.
 #[derive(Clone, Copy, Debug)]
 struct RackShard {
     epoch: Epoch,
     owned_at: Time,
     released: bool,
-    /// When authority was last seen to be held; renewals go on for a while after it.
+    /// When authority was last held; renewals go on for a limited time after it.
     authority_seen_at: Time,
 }
 
-/// A call of a worker that isn't answered yet.
+/// A worker call in progress.
 #[derive(Clone, Debug)]
 struct Call {
     vm: VmId,
@@ -61,7 +61,7 @@
     kind: CallKind,
 }
 
-/// What a call is about.
+/// The kind of a call, with its attempt.
 #[derive(Clone, Debug)]
 enum CallKind {
     Start(TaskFence),
@@ -81,31 +81,31 @@
 }
 
 impl RackTableBuilder {
-    /// Other limits than the default ones.
+    /// Overrides the default limits.
     pub fn limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Switches protections off, in tests.
+    /// Disables protections, in tests.
     pub fn protections(mut self, protections: Protections) -> Self {
         self.protections = protections;
         self
     }
 
-    /// The seed of the book's random choices.
+    /// Seed of the random placement choices.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Whether sizes and interference are learned. Off only for a baseline to measure against.
+    /// Whether sizes and interference are learned. Disabled only as a baseline to compare with.
     pub fn learning(mut self, enabled: bool) -> Self {
         self.learning = enabled;
         self
     }
 
-    /// The book, without any shards.
+    /// Builds a table without any shards.
     pub fn build(self) -> RackTable {
         RackTable {
             limits: self.limits,
@@ -132,7 +132,7 @@
     }
 }
 
-/// The book of what VMs hold: room, leases, attempts, health.
+/// Table of VMs: free capacity, leases, attempts and health.
 #[derive(Debug)]
 pub struct RackTable {
     limits: Limits,
@@ -143,34 +143,34 @@
     shards: BTreeMap<ShardId, RackShard>,
     vm_list: Arc<Vec<VmRecord>>,
     vms: BTreeMap<VmId, Vm>,
-    /// The VM of each slot of the index.
+    /// VM by slot of the capacity index.
     slots: Vec<VmId>,
     free_slots: Vec<u32>,
     index: CapacityIndex,
-    /// The reservation of each task that has one, so that a doubled question gets one answer.
+    /// The reservation of each task that has one, so that a repeated request gets the same grant.
     placed: HashMap<TaskId, (VmId, ReservationId)>,
     calls: HashMap<Ticket, Call>,
     next_ticket: Ticket,
     backends_changed: BTreeSet<ShardId>,
     eviction: EvictionState,
-    /// What each team's batch work holds, as last summed up.
+    /// Resources held by each team's batch tasks, as of the last update.
     usage: BTreeMap<TeamName, Resources>,
-    /// The room of all VMs, as last summed up.
+    /// Capacity of all VMs, as of the last update.
     capacity: NodeCapacity,
     next_totals_at: Time,
     quarantined: BTreeSet<VmId>,
 }
 
-/// How often room and use are summed up over all VMs.
+/// Interval between updates of the capacity and usage totals.
 const TOTALS_INTERVAL: Duration = Duration::from_millis(500);
 
 impl RackTable {
-    /// A builder with learning on.
+    /// Creates a builder with learning enabled.
     pub fn builder() -> RackTableBuilder {
         RackTableBuilder { learning: true, ..RackTableBuilder::default() }
     }
 
-    /// Takes in one event and puts what is to be done into `out`.
+    /// Handles one event and appends its effects to `out`.
     pub fn step(
         &mut self,
         now: Time,
@@ -180,8 +180,10 @@
     ) {
         self.record_authority(now, auth);
         match event {
-            RackEvent::Owned { shard, epoch, released } => self.own(now, shard, epoch, released),
-            RackEvent::Lost { shard } => self.lose(shard),
+            RackEvent::Owned { shard, epoch, released } => {
+                self.acquire_shard(now, shard, epoch, released)
+            }
+            RackEvent::Lost { shard } => self.drop_shard(shard),
             RackEvent::Config { document } => self.document = document,
             RackEvent::Tick => self.tick(now, auth, out),
             RackEvent::Vms { vms } => {
@@ -232,19 +234,19 @@
         }
     }
 
-    /// Whether unsafe steps are allowed for the shard now.
+    /// Whether this node holds authority for the shard.
     fn has_authority(&self, now: Time, shard: ShardId, auth: &dyn Authority) -> bool {
         let Some(state) = self.shards.get(&shard) else { return false };
         !self.protections.authority || auth.epoch_if_held(now, shard) == Some(state.epoch)
     }
 
-    fn own(&mut self, now: Time, shard: ShardId, epoch: Epoch, released: bool) {
+    fn acquire_shard(&mut self, now: Time, shard: ShardId, epoch: Epoch, released: bool) {
         let state = RackShard { epoch, owned_at: now, released, authority_seen_at: now };
         self.shards.insert(shard, state);
         self.apply_vm_list(now);
     }
 
-    fn lose(&mut self, shard: ShardId) {
+    fn drop_shard(&mut self, shard: ShardId) {
         self.shards.remove(&shard);
         let gone: Vec<VmId> = self
             .vms
@@ -313,7 +315,7 @@
         self.placed.retain(|_, (at, _)| at != id);
     }
 
-    /// Puts the VM where its room now belongs in the index.
+    /// Updates the VM's resource sums and its place in the capacity index.
     fn reindex(&mut self, id: &VmId) {
         let Some(vm) = self.vms.get_mut(id) else { return };
         vm.recount();
@@ -322,10 +324,11 @@
         } else {
             self.quarantined.remove(id);
         }
-        let open = vm.may_grant(self.protections.report_before_grant) && !vm.health.quarantined;
+        let accepts_tasks =
+            vm.may_grant(self.protections.report_before_grant) && !vm.health.quarantined;
         let checked = self.protections.capacity_check;
         let free = if checked { vm.free_capacity() } else { vm.record.capacity };
-        self.index.set(vm.slot, open.then_some(&free));
+        self.index.set(vm.slot, accepts_tasks.then_some(&free));
     }
 
     fn ticket(&mut self, now: Time, vm: &VmId, kind: CallKind) -> Ticket {
@@ -348,7 +351,7 @@
         out.push(RackEffect::CallWorker { vm: id.clone(), addr, ticket, call, guard });
     }
 
-    /// What the node's VMs can hold.
+    /// Sums the capacity of the node's VMs.
     fn node_capacity(&self) -> NodeCapacity {
         let mut capacity = NodeCapacity::default();
         for vm in self.vms.values() {
@@ -361,7 +364,7 @@
         capacity
     }
 
-    /// What each VM holds, for a state dump.
+    /// State of each VM, for a state dump.
     pub fn summary(&self) -> Vec<VmSummary> {
         let summary = |vm: &Vm| VmSummary {
             vm: vm.record.vm.clone(),
@@ -382,7 +385,7 @@
         }
     }
 
-    /// The VMs of a shard that answer requests now.
+    /// The VMs of a shard that serve requests now.
     pub fn backends(&self, shard: ShardId) -> Vec<Backend> {
         let serves = |vm: &&Vm| vm.shard == shard && !vm.is_draining() && !vm.lost;
         let backend = |vm: &Vm| {
--- a/crates/tasks/src/racks/place.rs
+++ b/crates/tasks/src/racks/place.rs
@@ -1,4 +1,4 @@
-//! Choosing VMs for tasks, and keeping the room until they start.
+//! Choice of VMs for tasks, and reservations.
 
 use {
     super::{
@@ -10,22 +10,21 @@
     std::collections::BTreeMap,
 };
 
-/// How many VMs are compared for a task. More find a better neighbourhood at more cost; past a
-/// dozen the best of them hardly improves.
+/// Maximum number of VMs compared for a task. More candidates cost time and hardly improve the best
+/// one.
 const MAX_CANDIDATES: usize = 12;
 
-/// How much worse one unit of expected slowdown (a doubling of run time) is than leaving a VM
-/// wholly empty: a latency target missed costs more than fragmented room.
+/// Cost of an expected slowdown of 1.0 (twice the run time), relative to leaving a VM empty. A
+/// missed latency target is worse than fragmentation.
 const SLOWDOWN_WEIGHT: f64 = 4.0;
 
-/// A VM in a data centre that already has a replica is taken only for want of others.
+/// Cost of a VM in a data centre that already has a replica; used only if there is no other.
 const SPREAD_PENALTY: f64 = 100.0;
 
-/// An accelerator held idle by a task that needs none may keep another task waiting.
+/// Cost of an accelerator VM for a task that needs none, which may keep another task waiting.
 const IDLE_ACCELERATOR_PENALTY: f64 = 2.0;
 
-/// Work that leaves services alone goes beside them first. Otherwise it would fill the VMs without
-/// services, and work that disturbs would find room only beside them.
+/// Bonus for harmless tasks beside services, which leaves VMs without services to other tasks.
 const HARMLESS_BONUS: f64 = 0.8;
 
 impl RackTable {
@@ -68,11 +67,11 @@
         request: &TaskRequest,
         auth: &dyn Authority,
     ) -> Option<Grant> {
-        if let Some(grant) = self.granted_before(now, request) {
+        if let Some(grant) = self.existing_grant(now, request) {
             return Some(grant);
         }
         let resources = self.size_of(request);
-        let id = self.choose(now, request, &resources, auth)?;
+        let id = self.choose_vm(now, request, &resources, auth)?;
         let vm = self.vms.get_mut(&id)?;
         if vm.health.quarantined {
             vm.health.probe_at = now + self.limits.probe_interval;
@@ -94,8 +93,8 @@
         self.grant(&id, reservation)
     }
 
-    /// The same room again for a question that was doubled or whose answer was lost.
-    fn granted_before(&self, now: Time, request: &TaskRequest) -> Option<Grant> {
+    /// The existing grant, for a request that was duplicated or whose response was lost.
+    fn existing_grant(&self, now: Time, request: &TaskRequest) -> Option<Grant> {
         let (id, reservation) = self.placed.get(&request.task)?;
         let reserved = self.vms.get(id)?.reservations.get(reservation)?;
         let same = reserved.attempt == request.attempt && now < reserved.until;
@@ -116,7 +115,7 @@
         })
     }
 
-    /// What to commit for a task: what was learned of its class, where that may stand in.
+    /// Resources to reserve for a task: the learned size, where the request allows it.
     pub(super) fn size_of(&self, request: &TaskRequest) -> Resources {
         if request.learned_size {
             self.learned.committed_size(&request.class, &request.resources)
@@ -125,9 +124,9 @@
         }
     }
 
-    /// The best of a sample of VMs with room. Looking at all of them would make each decision
-    /// dearer with every worker; a dozen at random, from tight and roomy ones, rank nearly as well.
-    fn choose(
+    /// The VM with the lowest cost in a random sample with enough free capacity. Sampling keeps the
+    /// cost of a decision independent of the number of VMs.
+    fn choose_vm(
         &mut self,
         now: Time,
         request: &TaskRequest,
@@ -142,7 +141,7 @@
         for slot in slots {
             let id = &self.slots[slot as usize];
             let Some(vm) = self.vms.get(id) else { continue };
-            if !self.may_take(now, vm, request, resources, auth) {
+            if !self.can_place(now, vm, request, resources, auth) {
                 continue;
             }
             let cost = self.cost(vm, request, resources);
@@ -153,7 +152,7 @@
         best.map(|(_, id)| id.clone())
     }
 
-    fn may_take(
+    fn can_place(
         &self,
         now: Time,
         vm: &Vm,
@@ -168,8 +167,8 @@
             && self.has_authority(now, vm.shard, auth)
     }
 
-    /// A VM in quarantine that is due for a probe. Only a batch task that hasn't failed yet is
-    /// used for it: it costs the task one short attempt, and its failure isn't held against it.
+    /// A VM in quarantine that is due for a probe. Probes are batch tasks that haven't failed yet;
+    /// a failure doesn't count against them.
     fn probe(
         &self,
         now: Time,
@@ -184,20 +183,20 @@
         let probes = self.quarantined.iter().filter_map(|id| self.vms.get(id));
         probes
             .filter(due)
-            .find(|vm| self.may_take(now, vm, request, resources, auth))
+            .find(|vm| self.can_place(now, vm, request, resources, auth))
             .map(|vm| vm.record.vm.clone())
     }
 
-    /// What placing the task on the VM would cost: expected slowdown on both sides, room left in
-    /// shapes that are hard to use, lost spread. It only ranks; whether it fits is checked before.
+    /// Cost of placing the task on the VM: expected slowdowns, fragmentation and lost spread. Only
+    /// ranks VMs; the capacity check comes first.
     fn cost(&self, vm: &Vm, request: &TaskRequest, resources: &Resources) -> f64 {
         let left = vm.free_capacity().minus(resources);
         let part = |left: u32, of: u32| f64::from(left) / f64::from(of.max(1));
         let capacity = &vm.record.capacity;
         let cpu_left = part(left.cpu.0, capacity.cpu.0);
         let memory_left = part(left.memory.0, capacity.memory.0);
-        // Batch packs tightly and keeps roomy VMs for large tasks; a service takes the roomiest,
-        // since its load grows where it stands.
+        // Batch tasks are packed tightly, which keeps space for large ones. Services get the VM
+        // with the most free capacity, since their load grows in place.
         let roomy = (cpu_left + memory_left) / 2.0;
         let mut cost = if request.service { 1.0 - roomy } else { roomy };
         cost += (cpu_left - memory_left).abs();
@@ -233,8 +232,8 @@
 }
 
 impl RackTable {
-    /// Sums up the room and what each class holds. Done now and then rather than for each
-    /// question, so that a question's cost doesn't grow with the VMs.
+    /// Updates the capacity and usage totals. Runs periodically, so that the cost of a request
+    /// doesn't grow with the number of VMs.
     pub(super) fn update_totals(&mut self) {
         self.capacity = self.node_capacity();
         let mut by_class: BTreeMap<&ClassName, Resources> = BTreeMap::new();
@@ -244,7 +243,7 @@
             let sum = by_class.entry(&attempt.class).or_default();
             *sum = sum.plus(&attempt.resources);
         }
-        // A quota bounds batch work: services take what their targets need.
+        // Quotas limit only batch tasks; services get what their targets need.
         let mut usage: BTreeMap<TeamName, Resources> = BTreeMap::new();
         for (class, sum) in by_class {
             if let Some(class) = self.document.class(class) {
--- a/crates/tasks/src/racks/report.rs
+++ b/crates/tasks/src/racks/report.rs
@@ -1,4 +1,4 @@
-//! What VMs report: adopting what runs, noticing what ended, measuring.
+//! Reports of VMs: running and ended tasks, and measurements.
 
 use {
     super::{
@@ -24,12 +24,12 @@
         out: &mut Vec<RackEffect>,
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        // An older report than one already taken would bring back what has ended since.
+        // An older report could revive attempts that have ended since.
         if vm.report_sent.is_some_and(|taken| sent < taken) {
             return;
         }
         if vm.unresponsive {
-            // In reach again: the leases are renewed at once, they may be about to lapse.
+            // Reachable again: leases may be about to lapse, so they are renewed at once.
             vm.renew_at = now;
         }
         if vm.lost {
@@ -56,7 +56,7 @@
 
     fn learn(&mut self, now: Time, id: &VmId, report: &WorkerReport) {
         let Some(vm) = self.vms.get(id) else { return };
-        // Ends that are listed again aren't learned again: the attempt is closed by then.
+        // An end that is listed again isn't learned twice, since its attempt is closed.
         let class_of = |of: &TaskFence| vm.attempts.get(of).map(|attempt| attempt.class.clone());
         self.learned.observe(now, report, class_of);
     }
@@ -78,12 +78,15 @@
             self.backends_changed.insert(vm.shard);
         }
         let (health, limit) = (&mut vm.health, self.limits.quarantine_after);
-        if ended.end == TaskEnd::Failed && !health.quarantined && health.fails >= limit {
-            // Everything it is given fails here: it would swallow a queue faster than any healthy
-            // VM, since failing is quick.
+        if ended.end == TaskEnd::Failed
+            && !health.quarantined
+            && health.consecutive_failures >= limit
+        {
+            // Every task fails here. Since failing is quick, the VM would fail the whole queue.
             health.quarantined = true;
             health.probe_at = now + self.limits.probe_interval;
-            let alarm = RackAlarm::Quarantined { vm: id.clone(), fails: health.fails };
+            let alarm =
+                RackAlarm::Quarantined { vm: id.clone(), fails: health.consecutive_failures };
             out.push(RackEffect::Alarm(alarm));
         }
         if ended.end == TaskEnd::Done && health.quarantined {
@@ -103,22 +106,22 @@
         let Some(vm) = self.vms.get_mut(id) else { return };
         let shard = vm.shard;
         if let Some(closed) = vm.closed.get(&running.of) {
-            // It was given up, or a stop of it was confirmed, and a later report lists it: the
-            // worker's clock is slower than the bound, or the worker erred. It must not go on.
+            // The attempt was declared lost or confirmed stopped, and a later report lists it: the
+            // worker's clock is out of bounds, or the worker is faulty. It is stopped.
             if sent > closed.at {
-                let mut attempt = adopted(now, running);
+                let mut attempt = adopted_attempt(now, running);
                 attempt.phase = Phase::Stopping;
-                attempt.ran = false;
+                attempt.has_run = false;
                 vm.attempts.insert(running.of.clone(), attempt);
             }
             return;
         }
         let known = vm.attempts.contains_key(&running.of);
         let attempt =
-            vm.attempts.entry(running.of.clone()).or_insert_with(|| adopted(now, running));
+            vm.attempts.entry(running.of.clone()).or_insert_with(|| adopted_attempt(now, running));
         attempt.used = running.used;
         attempt.slowdown_permille = running.slowdown_permille;
-        attempt.ran = true;
+        attempt.has_run = true;
         let started = !known || attempt.phase == Phase::Starting;
         if attempt.phase == Phase::Starting && !attempt.call_in_flight {
             attempt.phase = Phase::Running;
@@ -138,7 +141,7 @@
         out.push(to_job(&running.of.task, msg));
     }
 
-    /// Attempts that should run and that a later report doesn't list: the VM is asked.
+    /// Queries attempts that should run and that the report doesn't list, by stopping them.
     fn query_unlisted(&mut self, now: Time, id: &VmId, sent: Time, report: &WorkerReport) {
         let listed: BTreeSet<&TaskFence> = report.running.iter().map(|r| &r.of).collect();
         let Some(vm) = self.vms.get_mut(id) else { return };
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Forgets acknowledged ends that no report can list any more.
+    /// Removes acknowledged ends that no report can list any more.
     fn drop_closed(&mut self, id: &VmId, sent: Time, report: &WorkerReport) {
         let ended = report.ended.iter().map(|ended| &ended.of);
         let running = report.running.iter().map(|running| &running.of);
@@ -175,8 +178,8 @@
         vm.closed.retain(|of, closed| !closed.acked || sent <= closed.at || listed.contains(of));
     }
 
-    /// The next report: soon where something is about to end or wants watching, seldom else.
-    /// Polling all VMs at the shortest period would by itself pass the control budget.
+    /// Schedules the next report: soon if a task is about to end or was throttled or slowed, late
+    /// otherwise. Polling every VM at the minimum interval costs too much.
     fn schedule_poll(&mut self, now: Time, id: &VmId) {
         let Some(vm) = self.vms.get(id) else { return };
         let wait = poll_wait(now, vm, &self.limits, |class| self.learned.run_time(class));
@@ -197,7 +200,7 @@
         let ran = now.since(attempt.since);
         let expected = match run_time(&attempt.class) {
             _ if attempt.service => limits.max_poll_interval,
-            // What already runs longer than usual is asked about after a part of that excess.
+            // A task that is overdue is polled after a quarter of the excess.
             Some(usual) => usual.saturating_sub(ran).max(ran.saturating_sub(usual) / 4),
             None => ran / 4,
         };
@@ -208,7 +211,7 @@
     wait.max(limits.min_poll_interval)
 }
 
-fn adopted(now: Time, running: &RunningTask) -> VmAttempt {
+fn adopted_attempt(now: Time, running: &RunningTask) -> VmAttempt {
     VmAttempt {
         class: running.class.clone(),
         service: running.service,
@@ -217,7 +220,7 @@
         phase: Phase::Running,
         start: None,
         unconfirmed: false,
-        ran: true,
+        has_run: true,
         checkpoint: true,
         call_in_flight: false,
         next_call_at: now,
--- a/crates/tasks/src/racks/start.rs
+++ b/crates/tasks/src/racks/start.rs
@@ -1,4 +1,4 @@
-//! Starts and stops asked for by the jobs' owners.
+//! Starts and stops requested by the jobs' owners.
 
 use {
     super::{
@@ -14,12 +14,11 @@
 };
 
 impl RackTable {
-    /// Starts an attempt in the room reserved for it, or finds out what became of it.
+    /// Starts an attempt in its reservation, or resolves its state.
     ///
-    /// Only the reservation made for this very attempt lets it start. A start that comes late or
-    /// doubled finds none; starting it regardless could run an attempt that its job's owner has
-    /// long given up and repeated elsewhere. The VM is told to stop it instead, which also makes
-    /// it refuse any start of it that is still on its way, and its answer says what happened.
+    /// A late or duplicated start finds no reservation. Starting it anyway could run an attempt
+    /// that its job's owner has given up and restarted elsewhere. A stop call resolves its state
+    /// instead, and makes the VM refuse any start still in transit.
     pub(super) fn on_start(
         &mut self,
         now: Time,
@@ -28,7 +27,7 @@
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) {
-        // An adopted attempt's room isn't known to be lent until its job's owner says so.
+        // An adopted attempt isn't known to be over quota until its job's owner says so.
         let known = self.vms.get_mut(&start.vm).and_then(|vm| vm.attempts.get_mut(&start.of));
         if let Some(attempt) = known {
             attempt.over_quota = start.over_quota;
@@ -53,7 +52,7 @@
         }
     }
 
-    /// Stops an attempt, or finds out what became of it.
+    /// Stops an attempt, or resolves its state.
     pub(super) fn on_stop(
         &mut self,
         now: Time,
@@ -93,15 +92,14 @@
         }
     }
 
-    /// The end is journalled by the job's owner.
+    /// Handles the acknowledgement of an end.
     pub(super) fn on_ack(&mut self, vm: &VmId, of: &TaskFence) {
         if let Some(closed) = self.vms.get_mut(vm).and_then(|vm| vm.closed.get_mut(of)) {
             closed.acked = true;
         }
     }
 
-    /// Answers a question about an attempt if the answer is at hand. Returns whether the VM has
-    /// to be asked.
+    /// Reports the attempt's state if it is known. Returns whether the VM has to be queried.
     fn answer_if_known(
         &mut self,
         now: Time,
@@ -133,12 +131,13 @@
             self.report_ends(now, id, out);
             return false;
         }
-        // Until a report says what runs here, nothing can be said, and nothing may be stopped.
+        // Until the first fresh report the attempt may run unknown to this owner, and must not be
+        // stopped.
         vm.is_fresh() && !vm.unresponsive
     }
 
-    /// A VM that isn't on the list, or not yet: its attempts are lost once no lease granted by an
-    /// earlier owner can last.
+    /// Handles an attempt on a VM that isn't listed. It is lost once every lease granted by an
+    /// earlier owner must have lapsed.
     fn answer_unknown_vm(
         &mut self,
         now: Time,
@@ -207,7 +206,7 @@
         self.call_due(now, &start.vm, auth, out);
     }
 
-    /// Asks a VM for the fate of an attempt that isn't known to run there, by stopping it.
+    /// Queries a VM for the state of an attempt that isn't known to run there, by stopping it.
     fn resolve_outcome(
         &mut self,
         now: Time,
@@ -222,7 +221,7 @@
         self.call_due(now, id, auth, out);
     }
 
-    /// Makes the calls for starts and stops that are due, first ones and repeated ones.
+    /// Sends the starts and stops that are due, including retries.
     pub(super) fn call_due(
         &mut self,
         now: Time,
@@ -232,8 +231,8 @@
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
         let (shard, unresponsive) = (vm.shard, vm.unresponsive);
-        // An unreachable VM is only polled: each start on its way would prolong the time after
-        // which its attempts are known to be lost.
+        // An unreachable VM is only polled: a start in transit would postpone the time at which its
+        // attempts are known to be lost.
         if unresponsive {
             return;
         }
@@ -287,8 +286,8 @@
     }
 }
 
-/// An attempt of which only the fate is asked for. It holds no room: a fresh report doesn't list
-/// it, and no start of it is on its way.
+/// An attempt with unknown state. It reserves nothing: a fresh report doesn't list it, and no start
+/// is in transit.
 fn unresolved_attempt(now: Time, class: &ClassName, service: bool, checkpoint: bool) -> VmAttempt {
     VmAttempt {
         class: class.clone(),
@@ -298,7 +297,7 @@
         phase: Phase::Stopping,
         start: None,
         unconfirmed: false,
-        ran: false,
+        has_run: false,
         checkpoint,
         call_in_flight: false,
         next_call_at: now,
--- a/crates/tasks/src/racks/vm.rs
+++ b/crates/tasks/src/racks/vm.rs
@@ -1,4 +1,4 @@
-//! What one VM holds: attempts, reservations, leases, health.
+//! State of one VM: attempts, reservations, leases and health.
 
 use {
     crate::msg::{AttemptEnd, ReservationId},
@@ -10,23 +10,23 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Where an attempt on a VM stands, as its rack's owner sees it.
+/// State of an attempt on a VM, as known to the rack's owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
-    /// The start was asked for and not yet answered.
+    /// The start isn't answered yet.
     Starting,
-    /// It runs.
+    /// Running.
     Running,
-    /// A replica takes no new requests and is stopped at the time.
+    /// The replica gets no new requests and is stopped at the given time.
     Draining {
         /// When.
         until: Time,
     },
-    /// A stop was asked for, also where only the attempt's fate is asked for.
+    /// Being stopped, also to resolve an unknown state.
     Stopping,
 }
 
-/// One attempt on a VM.
+/// An attempt on a VM.
 #[derive(Clone, Debug)]
 pub(super) struct VmAttempt {
     pub(super) class: ClassName,
@@ -34,27 +34,27 @@
     pub(super) over_quota: bool,
     pub(super) resources: Resources,
     pub(super) phase: Phase,
-    /// Kept until the start is answered, to ask again.
+    /// The start call, kept for retries until it is answered.
     pub(super) start: Option<Box<StartTask>>,
     /// A start may have reached the worker without an answer.
     pub(super) unconfirmed: bool,
     /// Whether it was ever known to run.
-    pub(super) ran: bool,
+    pub(super) has_run: bool,
     /// Whether a stop writes a checkpoint.
     pub(super) checkpoint: bool,
-    /// A start, stop or throttle is in progress.
+    /// Whether a start, stop or throttle call is in progress.
     pub(super) call_in_flight: bool,
-    /// When to call again.
+    /// When the next start or stop call is due.
     pub(super) next_call_at: Time,
-    /// Since when it runs, or was asked to.
+    /// When it started, or was requested to start.
     pub(super) since: Time,
     pub(super) used: Resources,
     pub(super) slowdown_permille: u32,
-    /// Since when it is throttled.
+    /// Since when it is throttled, if it is.
     pub(super) throttled_since: Option<Time>,
 }
 
-/// Room kept for an attempt that is being journalled.
+/// Capacity reserved for an attempt that is being journalled.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
     pub(super) task: TaskId,
@@ -65,30 +65,30 @@
     pub(super) until: Time,
 }
 
-/// An attempt that is over here. Kept until its end is journalled by the job's owner and no report
-/// can list it any more, so that a late report doesn't bring it back.
+/// An ended attempt. Kept until the job's owner has journalled the end and no report can list it
+/// any more, so that a late report doesn't revive it.
 #[derive(Clone, Debug)]
-pub(super) struct Closed {
+pub(super) struct ClosedAttempt {
     pub(super) how: AttemptEnd,
     pub(super) vm_quarantined: bool,
     pub(super) ran: Duration,
     pub(super) at: Time,
     pub(super) acked: bool,
     pub(super) send_at: Time,
-    /// How often it was told so far.
+    /// How often the end was reported.
     pub(super) send_count: u32,
 }
 
-/// How a VM has treated what it was given.
+/// Failure history of a VM.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Health {
-    pub(super) fails: u32,
+    pub(super) consecutive_failures: u32,
     pub(super) failed: SmallVec<[TaskId; 4]>,
     pub(super) quarantined: bool,
     pub(super) probe_at: Time,
 }
 
-/// One VM of an owned rack.
+/// A VM of an owned rack.
 #[derive(Clone, Debug)]
 pub(super) struct Vm {
     pub(super) record: VmRecord,
@@ -96,21 +96,21 @@
     pub(super) slot: u32,
     pub(super) listed: bool,
     pub(super) reports_draining: bool,
-    /// When the last report taken was asked for.
+    /// When the last accepted report was requested.
     pub(super) report_sent: Option<Time>,
-    /// Before this no report is fresh: calls of the previous owner may still arrive.
+    /// Reports requested earlier aren't fresh, since calls of the previous owner may still arrive.
     pub(super) fresh_from: Time,
     pub(super) observed: Resources,
-    /// What attempts and reservations hold.
+    /// Resources of attempts and reservations.
     pub(super) committed: Resources,
-    /// What of it isn't in `observed` yet.
+    /// The part of `committed` that `observed` doesn't include yet.
     pub(super) unobserved: Resources,
     pub(super) attempts: BTreeMap<TaskFence, VmAttempt>,
     pub(super) reservations: BTreeMap<ReservationId, Reservation>,
-    pub(super) closed: BTreeMap<TaskFence, Closed>,
-    /// No lease granted on this VM lasts longer.
+    pub(super) closed: BTreeMap<TaskFence, ClosedAttempt>,
+    /// The latest end of any lease granted on this VM.
     pub(super) lease_bound: Time,
-    /// A call got no answer: nothing is granted or renewed until it answers.
+    /// A call got no answer: nothing is granted or renewed until the next report.
     pub(super) unresponsive: bool,
     pub(super) lost: bool,
     pub(super) polling: bool,
@@ -118,9 +118,9 @@
     pub(super) renewing: bool,
     pub(super) renew_at: Time,
     pub(super) health: Health,
-    /// Room being freed that is meant for tasks which asked for it.
+    /// Capacity being freed for tasks that reclaimed it.
     pub(super) promised: Resources,
-    /// Whether job owners were told that it is leaving.
+    /// Whether the backend servers were reported since it is draining.
     pub(super) drain_reported: bool,
 }
 
@@ -157,28 +157,28 @@
         self.reports_draining || !self.listed || self.record.state == VmState::Leaving
     }
 
-    /// Whether a report younger than this owner's authority says what runs here.
+    /// Whether there is a report requested under this owner's authority.
     pub(super) fn is_fresh(&self) -> bool {
         self.report_sent.is_some_and(|sent| sent >= self.fresh_from)
     }
 
-    /// Whether new work may be granted, quarantine aside.
+    /// Whether new tasks may be placed here, apart from quarantine.
     pub(super) fn may_grant(&self, need_report: bool) -> bool {
         let known = self.is_fresh() || !need_report;
         known && !self.unresponsive && !self.lost && !self.is_draining()
     }
 
-    /// The room for new work: what neither commitments nor measurements take.
+    /// Free capacity, limited by both reservations and measurements.
     ///
-    /// Measurements lag, so what was granted since counts on top of them; and a task that uses
-    /// less than it was given may use it all at the next moment, so commitments count in full.
+    /// Measurements lag, so later grants are added to them. A task may use its full size at any
+    /// moment, so reservations count in full.
     pub(super) fn free_capacity(&self) -> Resources {
         let in_use = self.committed.max(&self.observed.plus(&self.unobserved));
         self.record.capacity.minus(&in_use)
     }
 
-    /// Whether one more replica of the class finds a slot. One replica of a class for each VM: a
-    /// second one would share the same backend server, and be lost with it.
+    /// Whether one more replica of the class fits. A VM runs at most one replica of a class: a
+    /// second one would share its backend server and be lost with it.
     pub(super) fn accepts_service(&self, class: &ClassName) -> bool {
         let replicas = self.services();
         let taken = replicas.clone().count();
@@ -192,8 +192,8 @@
         running.chain(reserved)
     }
 
-    /// Recounts what is held, after any change. A VM holds a few dozen attempts at most, and a
-    /// recount can't drift as running sums would.
+    /// Recomputes the resource sums after any change. A VM has a few dozen attempts at most, and
+    /// recomputed sums can't drift.
     pub(super) fn recount(&mut self) {
         let mut committed = Resources::default();
         let mut unobserved = Resources::default();
@@ -214,7 +214,7 @@
         self.unobserved = unobserved;
     }
 
-    /// Notes an end, unless it is known already. Returns whether it was new.
+    /// Records the end of an attempt. Returns false if it was known already.
     pub(super) fn close(
         &mut self,
         now: Time,
@@ -228,26 +228,33 @@
             return false;
         }
         let vm_quarantined = self.record_outcome(of, &how);
-        let closed =
-            Closed { how, vm_quarantined, ran, at: now, acked: false, send_at: now, send_count: 0 };
+        let closed = ClosedAttempt {
+            how,
+            vm_quarantined,
+            ran,
+            at: now,
+            acked: false,
+            send_at: now,
+            send_count: 0,
+        };
         self.closed.insert(of.clone(), closed);
         self.recount();
         true
     }
 
-    /// Counts failures in a row of distinct tasks, and says whether a failure here tells nothing
-    /// of the task.
+    /// Counts consecutive failures of distinct tasks. Returns whether a failure doesn't count
+    /// against the task.
     fn record_outcome(&mut self, of: &TaskFence, how: &AttemptEnd) -> bool {
         match how {
             AttemptEnd::Failed => {
                 if !self.health.failed.contains(&of.task) {
                     self.health.failed.push(of.task.clone());
-                    self.health.fails += 1;
+                    self.health.consecutive_failures += 1;
                 }
                 self.health.quarantined
             }
             AttemptEnd::Done => {
-                self.health.fails = 0;
+                self.health.consecutive_failures = 0;
                 self.health.failed.clear();
                 false
             }
@@ -255,7 +262,7 @@
         }
     }
 
-    /// When the attempts' leases must have lapsed, if no call succeeds until then.
+    /// Extends the time by which every lease must have lapsed.
     pub(super) fn extend_bound(&mut self, until: Time) {
         self.lease_bound = self.lease_bound.max(until);
     }
