--- a/crates/tasks/examples/measure.rs
+++ b/crates/tasks/examples/measure.rs
@@ -1,10 +1,10 @@
-//! Measures what the books decide: cost of a placement, delay of urgent starts, and what learning
-//! is worth under shifting interference.
+//! Measures the cost of a placement, the delay of urgent starts, and the effect of learning under
+//! changing interference.
 //!
 //! `cargo run --release -p egretlb-tasks --example measure [placement|urgent|interference]`
 //!
-//! The fleet is the tests' small stand-in in virtual time; only the cost of a placement is
-//! measured by the machine's clock. All seeds are fixed.
+//! Uses the tests' simulated cluster in virtual time; only the cost of a placement is in real time.
+//! All seeds are fixed.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -59,7 +59,7 @@
     }
 }
 
-fn want(index: u32, resources: Resources) -> TaskRequest {
+fn task_request(index: u32, resources: Resources) -> TaskRequest {
     TaskRequest {
         task: TaskId { job: "job".parse().unwrap(), index },
         attempt: Attempt(1),
@@ -75,40 +75,40 @@
     }
 }
 
-/// A book that owns all racks of so many VMs, half of them filled unevenly.
-fn filled(count: usize) -> (RackTable, Time) {
-    let mut book = RackTable::builder().seed(1).build();
+/// A table that owns all racks of `count` VMs with uneven load.
+fn loaded_table(count: usize) -> (RackTable, Time) {
+    let mut table = RackTable::builder().seed(1).build();
     let mut now = Time::from_secs(10);
     let mut out = Vec::new();
     for shard in 0..SHARD_COUNT {
         let owned = RackEvent::Owned { shard: ShardId(shard), epoch: Epoch(1), released: true };
-        book.step(now, owned, &Always, &mut out);
+        table.step(now, owned, &Always, &mut out);
     }
     let list = vms(count, 8, resources(30.0, 125.0, 0));
-    book.step(now, RackEvent::Vms { vms: list }, &Always, &mut out);
+    table.step(now, RackEvent::Vms { vms: list }, &Always, &mut out);
     for _ in 0..60 {
         now = now + Duration::from_millis(100);
-        book.step(now, RackEvent::Tick, &Always, &mut out);
+        table.step(now, RackEvent::Tick, &Always, &mut out);
         for effect in std::mem::take(&mut out) {
             if let RackEffect::CallWorker { ticket, call: WorkerCall::Report, .. } = effect {
                 let result = Ok(WorkerAnswer::Report(WorkerReport::default()));
                 let answered = RackEvent::WorkerAnswered { ticket, result };
-                book.step(now, answered, &Always, &mut out);
+                table.step(now, answered, &Always, &mut out);
             }
         }
     }
     for i in 0..(count as u32 * 4) {
         let size = resources(1.0 + f64::from(i % 5), 4.0 + f64::from(i % 7) * 3.0, 0);
-        ask(&mut book, now, vec![want(1_000_000 + i, size)]);
+        place(&mut table, now, vec![task_request(1_000_000 + i, size)]);
     }
-    (book, now)
+    (table, now)
 }
 
-fn ask(book: &mut RackTable, now: Time, requests: Vec<TaskRequest>) -> usize {
+fn place(table: &mut RackTable, now: Time, requests: Vec<TaskRequest>) -> usize {
     let mut out = Vec::new();
     let place = Place { shard: ShardId(0), round: Ticket(1), requests };
     let event = RackEvent::NodeMessage { from: NodeId(0), msg: NodeMsg::Place(place) };
-    book.step(now, event, &Always, &mut out);
+    table.step(now, event, &Always, &mut out);
     let granted = |effect: &RackEffect| match effect {
         RackEffect::SendToJob { msg: egretlb_tasks::msg::JobMsg::Placed(placed), .. } => {
             placed.granted.len()
@@ -122,17 +122,17 @@
     const PLACEMENTS: u32 = 4_000;
     println!("vms    us/placement  us/tick  granted");
     for count in [65, 1_300, 5_000] {
-        let (mut book, now) = filled(count);
+        let (mut table, now) = loaded_table(count);
         let begin = Instant::now();
         let mut granted = 0;
         for i in 0..PLACEMENTS {
-            granted += ask(&mut book, now, vec![want(i, resources(0.1, 0.2, 0))]);
+            granted += place(&mut table, now, vec![task_request(i, resources(0.1, 0.2, 0))]);
         }
         let each = begin.elapsed().as_secs_f64() * 1e6 / f64::from(PLACEMENTS);
         let begin = Instant::now();
         let mut out = Vec::new();
         for _ in 0..20 {
-            book.step(now, RackEvent::Tick, &Always, &mut out);
+            table.step(now, RackEvent::Tick, &Always, &mut out);
         }
         let tick = begin.elapsed().as_secs_f64() * 1e6 / 20.0;
         println!("{count:5}  {each:12.2}  {tick:7.0}  {granted}");
@@ -153,7 +153,7 @@
         classes: HashMap::from([("recall".parse().unwrap(), work)]),
         limits: Limits::default(),
         protections: Protections::default(),
-        cells: Vec::new(),
+        faults: Vec::new(),
         learning: true,
     });
     world.run(Duration::from_secs(10));
@@ -197,17 +197,17 @@
     }
 }
 
-/// How much a noisy task slows a replica down.
+/// Slowdown of a replica by one noisy task.
 const NOISE: f64 = 0.2;
 
-/// A replica slowed down more than this misses its target, in thousandths of its time alone.
+/// A replica with a larger slowdown misses its target.
 const TARGET: f64 = 1.3;
 
-fn suffering(noisy: &str) -> HashMap<ClassName, Behaviour> {
+fn behaviours(noisy: &str) -> HashMap<ClassName, Behaviour> {
     let of = |noise: f64, work: u64, cores: f64| Behaviour {
         work: Duration::from_secs(work),
         used: resources(cores, 2.0, 0),
-        suffers: HashMap::from([(noisy.parse().unwrap(), noise)]),
+        slowdown_by: HashMap::from([(noisy.parse().unwrap(), noise)]),
     };
     HashMap::from([
         ("checks".parse().unwrap(), of(NOISE, 0, 2.0)),
@@ -216,11 +216,11 @@
     ])
 }
 
-/// Steps of two seconds: a quarter of an hour.
+/// Number of steps of two seconds: a quarter of an hour.
 const STEPS: u32 = 450;
 
-/// A quarter of an hour of batch work at two thirds of the capacity beside a service. Halfway
-/// through, the class that disturbs the service changes.
+/// Runs batch tasks at two thirds of the capacity beside a service for a quarter of an hour.
+/// Halfway through, the class that slows the service changes.
 fn interference(name: &str, count: usize, capacity: Resources, learning: bool) {
     let task = resources(2.0, 4.0, 0);
     let run_time = Duration::from_secs(60);
@@ -234,10 +234,10 @@
         nodes: 8,
         vms: vms(count, 8, capacity),
         document: document(classes),
-        classes: suffering("titles"),
+        classes: behaviours("titles"),
         limits: Limits::default(),
         protections: Protections::default(),
-        cells: Vec::new(),
+        faults: Vec::new(),
         learning,
     });
     world.run(Duration::from_secs(10));
@@ -246,7 +246,7 @@
     let mut quarters = [(0_u64, 0_u64); 4];
     for step in 0..STEPS {
         if step == STEPS / 2 {
-            world.options.classes = suffering("gazette");
+            world.options.classes = behaviours("gazette");
         }
         let class = if step % 2 == 0 { "titles" } else { "gazette" };
         world.submit(spec(&format!("{class}{step}"), class, tasks_a_step));
@@ -277,7 +277,8 @@
     assert!(world.checker.violations.is_empty(), "{:?}", world.checker.violations.first());
 }
 
-/// Tells the service's load of the last two seconds by how slow its replicas are.
+/// Reports the service's load of the last two seconds, derived from the slowdown of its replicas.
+/// Returns the late requests and all requests.
 fn service_load(world: &mut World) -> (u64, u64) {
     const REQUESTS: u32 = 40;
     const OPEN: u32 = 90;
--- a/crates/tasks/tests/job_life.rs
+++ b/crates/tasks/tests/job_life.rs
@@ -1,4 +1,5 @@
-//! The life of jobs and tasks: repeated submissions, bad tasks, bad workers, what never fits.
+//! Jobs and tasks: repeated submissions, failing tasks, failing workers, tasks too large for any
+//! VM.
 
 mod support;
 
@@ -23,7 +24,7 @@
         classes: HashMap::from([("night".parse().unwrap(), Behaviour::default())]),
         limits: WorldOptions::quick_limits(),
         protections: Protections::default(),
-        cells: Vec::new(),
+        faults: Vec::new(),
         learning: true,
     });
     world.run(SECOND * 3);
@@ -34,8 +35,8 @@
     world.status(&job.parse().unwrap()).unwrap().counts
 }
 
-// A submitter whose answer was lost submits again, and another one uses the same id by mistake.
-// The first must not run its job twice; the second must learn that nothing of its own runs.
+// Guards against running a repeated submission twice, and against accepting another job under its
+// id.
 #[test]
 fn submission_is_idempotent() {
     let mut world = world(1);
@@ -49,7 +50,7 @@
     assert_eq!(world.checker.starts, 4);
 }
 
-// A task fails wherever it runs. Without a limit it would be started for ever.
+// Guards against restarting a task that always fails.
 #[test]
 fn bad_task_is_parked() {
     let mut world = world(2);
@@ -66,8 +67,7 @@
     assert!(world.job_alarms.iter().any(|(_, alarm)| parked(alarm)));
 }
 
-// A worker fails everything at once, and being always empty it attracts the whole queue. Without
-// quarantine a batch is parked task by task within a minute.
+// Guards against a faulty worker that fails the whole queue.
 #[test]
 fn bad_worker_is_quarantined() {
     let mut world = world(3);
@@ -77,7 +77,7 @@
     assert_eq!(counts(&mut world, "titles").done, 80);
     let quarantined = |alarm: &RackAlarm| matches!(alarm, RackAlarm::Quarantined { .. });
     assert!(world.rack_alarms.iter().any(|(_, alarm)| quarantined(alarm)));
-    // Mended, it comes back by a probe.
+    // A repaired worker leaves quarantine by a probe.
     world.workers.get_mut(&"vm0".parse().unwrap()).unwrap().fails_all = false;
     world.submit(spec("recalls", 60));
     world.run(SECOND * 60);
@@ -86,10 +86,9 @@
     assert!(world.rack_alarms.iter().any(|(_, alarm)| over(alarm)));
 }
 
-// A job asks for more than any VM has. Its submitter is told at once where the sizes of the VMs
-// are known, and soon where they aren't known yet; it never waits in vain.
+// Guards against a job that waits forever since no VM is large enough for it.
 #[test]
-fn impossible_job_is_told() {
+fn impossible_job_is_refused() {
     let mut world = world(4);
     let mut early = spec("early", 2);
     early.resources = Some(resources(64.0, 1.0, 0));
@@ -103,8 +102,8 @@
     assert_eq!(world.reply(call), Some(&JobReply::Refused(JobRefusal::NeverFits)));
 }
 
-// A wave of cancellations comes while everything runs. All is stopped, nothing starts any more,
-// and other jobs go on.
+// Guards against tasks that start or keep running after a mass cancellation, and other jobs that
+// stop.
 #[test]
 fn cancel_wave_stops_all() {
     let mut world = world(5);
--- a/crates/tasks/tests/learning.rs
+++ b/crates/tasks/tests/learning.rs
@@ -1,4 +1,4 @@
-//! Sizes and interference learned from late reports.
+//! Sizes and interference learned from reports.
 
 mod support;
 
@@ -30,8 +30,7 @@
     }
 }
 
-// A class declares a quarter of what it uses. Trusting the declaration would overrun VMs; the
-// first measurement that exceeds it must count at once.
+// Guards against overcommitting VMs with a class that declares too little.
 #[test]
 fn too_small_declaration_counts_at_once() {
     let mut sizes = SizeTable::default();
@@ -41,8 +40,8 @@
     assert_eq!(sizes.committed_size(&class("titles"), &declared), resources(4.0, 1.0, 1));
 }
 
-// A class declares four times what it uses. Room is won back, but only after many tasks, with a
-// margin, and never below a floor, since a task held to too little fails for no fault of its own.
+// Guards against wasted capacity of a class that declares too much, and against shrinking its
+// reservation too soon or too far.
 #[test]
 fn too_large_declaration_shrinks_slowly() {
     let mut sizes = SizeTable::default();
@@ -57,9 +56,7 @@
     assert_eq!(sizes.run_time(&class("titles")), Some(Duration::from_secs(60)));
 }
 
-// The tasks of a class use all they are given, as a batch does that takes every processor it can.
-// If each peak were given with a margin on top, the class would grow by a fifth with each
-// generation until a task fills a VM, and the batch starves.
+// Guards against reservations that grow without bound for a class that uses all it gets.
 #[test]
 fn greedy_tasks_stay_as_declared() {
     let mut sizes = SizeTable::default();
@@ -72,10 +69,9 @@
     assert_eq!(sizes.committed_size(&class("titles"), &declared), declared);
 }
 
-// Two classes always run beside a service, in changing numbers, and one of them disturbs it. The
-// reports don't say which; moving the wrong one would cost evictions and help nobody.
+// Guards against attributing interference to a harmless class that always runs beside the cause.
 #[test]
-fn blame_settles_on_the_cause() {
+fn interference_is_attributed_to_cause() {
     let mut table = InterferenceModel::default();
     let mut now = Time::from_secs(1);
     for round in 0..200_u32 {
@@ -91,13 +87,13 @@
     assert!((0.15..0.25).contains(&titles), "{titles}");
     assert!(gazette < 0.03, "{gazette}");
     assert!(table.is_harmless(&class("checks"), &class("gazette")));
-    // An hour later, without any report of the pair, little of it is still believed.
+    // Three hours without a sample of the pair: the weight has decayed.
     table.observe(now + Duration::from_secs(3 * 3_600), &[]);
     let faded = table.pair_slowdown(&class("checks"), &class("titles"));
     assert!(faded < titles / 10.0, "{faded}");
 }
 
-// One report is no knowledge: a single slow moment would keep two classes apart for long.
+// Guards against separating two classes after a single slow report.
 #[test]
 fn few_samples_count_little() {
     let mut table = InterferenceModel::default();
--- a/crates/tasks/tests/node_room.rs
+++ b/crates/tasks/tests/node_room.rs
@@ -1,4 +1,4 @@
-//! What an owner of jobs makes of the room that nodes tell it.
+//! A job owner's use of the capacity that nodes report.
 
 use {
     egretlb_tasks::{
@@ -43,8 +43,8 @@
     ConfigDocument { classes: vec![class], ..ConfigDocument::default() }
 }
 
-/// The questions for room among the effects.
-fn places(effects: &[JobEffect]) -> Vec<Place> {
+/// The placement requests among the effects.
+fn place_requests(effects: &[JobEffect]) -> Vec<Place> {
     let place = |effect: &JobEffect| match effect {
         JobEffect::SendToNode { msg: NodeMsg::Place(place), .. } => Some(place.clone()),
         _ => None,
@@ -52,33 +52,31 @@
     effects.iter().filter_map(place).collect()
 }
 
-/// The room of a node that hears of its first VM a second after it took its racks over.
-fn room(now: Time) -> NodeCapacity {
-    let mut room = NodeCapacity::default();
+/// Capacity of a node that learns of its first VM one second after it took racks over.
+fn capacity_at(now: Time) -> NodeCapacity {
+    let mut capacity = NodeCapacity::default();
     if now >= Time::from_secs(1) {
-        room.vms = 1;
-        room.add_size(&task_size());
+        capacity.vms = 1;
+        capacity.add_size(&task_size());
     }
-    room
+    capacity
 }
 
-// A scheduler has just taken over the racks and has heard of none of their VMs yet when a job's
-// owner asks it for room. If the owner takes that for "no VM is large enough", the job waits until
-// the room is told anew: a recall batch or an urgent watch job starts 20 s late after each
-// takeover, and so did every service of a freshly started system.
+// Guards against taking a node that doesn't know its VMs yet for one without large enough VMs,
+// which delays jobs by 20 s after each succession.
 #[test]
-fn asks_again_soon() {
+fn capacity_is_queried_again_soon() {
     let job = "recall-1".parse().expect("a valid name");
     let shard = shard_of_job(&job);
-    let mut book = JobTable::builder().build();
+    let mut table = JobTable::builder().build();
     let mut out = Vec::new();
-    let mut step = |book: &mut JobTable, now, event| {
-        book.step(now, event, &Always, &mut out);
+    let mut step = |table: &mut JobTable, now, event| {
+        table.step(now, event, &Always, &mut out);
         std::mem::take(&mut out)
     };
-    step(&mut book, Time::ZERO, JobEvent::Config { document: Arc::new(config()) });
-    step(&mut book, Time::ZERO, JobEvent::Nodes { nodes: vec![NODE] });
-    step(&mut book, Time::ZERO, JobEvent::Owned { shard, epoch: Epoch(1) });
+    step(&mut table, Time::ZERO, JobEvent::Config { document: Arc::new(config()) });
+    step(&mut table, Time::ZERO, JobEvent::Nodes { nodes: vec![NODE] });
+    step(&mut table, Time::ZERO, JobEvent::Owned { shard, epoch: Epoch(1) });
     let spec = JobSpec {
         job,
         class: "merge".parse().expect("a valid name"),
@@ -86,31 +84,31 @@
         command: "merge".into(),
         resources: None,
     };
-    step(&mut book, Time::ZERO, JobEvent::Submit { call: CallId(1), spec });
+    step(&mut table, Time::ZERO, JobEvent::Submit { call: CallId(1), spec });
 
-    let mut asked_at = Vec::new();
+    let mut requested_at = Vec::new();
     for tick in 0..50 {
         let now = Time::from_millis(100 * tick);
-        let effects = step(&mut book, now, JobEvent::Tick);
+        let effects = step(&mut table, now, JobEvent::Tick);
         for effect in &effects {
             if let JobEffect::Journal { ticket, .. } = effect {
-                step(&mut book, now, JobEvent::Journaled { ticket: *ticket });
+                step(&mut table, now, JobEvent::Journaled { ticket: *ticket });
             }
         }
-        for place in places(&effects) {
+        for place in place_requests(&effects) {
             if !place.requests.is_empty() {
-                asked_at.push(now);
+                requested_at.push(now);
             }
             let placed = Placed {
                 round: place.round,
                 granted: Vec::new(),
-                refused: place.requests.iter().map(|want| want.task.clone()).collect(),
+                refused: place.requests.iter().map(|request| request.task.clone()).collect(),
                 reclaiming: 0,
-                capacity: room(now),
+                capacity: capacity_at(now),
                 usage: Vec::new(),
             };
-            step(&mut book, now, JobEvent::Message { from: NODE, msg: JobMsg::Placed(placed) });
+            step(&mut table, now, JobEvent::Message { from: NODE, msg: JobMsg::Placed(placed) });
         }
     }
-    assert!(asked_at.len() >= 2, "asked only at {asked_at:?}");
+    assert!(requested_at.len() >= 2, "asked only at {requested_at:?}");
 }
--- a/crates/tasks/tests/pressure.rs
+++ b/crates/tasks/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! A service misses its target: throttle first, evict later, and not more than the budget.
+//! Protection of services: throttling first, then eviction within the budget.
 
 mod support;
 
@@ -14,10 +14,10 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Two VMs, each with one replica, both filled with batch work that disturbs it.
+/// Two VMs, each with one replica and batch tasks that slow it down.
 fn world() -> World {
-    let suffers = HashMap::from([("night".parse().unwrap(), 0.4)]);
-    let checks = Behaviour { suffers, ..Behaviour::default() };
+    let slowdown_by = HashMap::from([("night".parse().unwrap(), 0.4)]);
+    let checks = Behaviour { slowdown_by, ..Behaviour::default() };
     let night = Behaviour { work: SECOND * 3_600, ..Behaviour::default() };
     let classes = vec![
         latency_class("checks", resources(1.0, 1.0, 0), true),
@@ -34,7 +34,7 @@
         ]),
         limits: Limits { max_poll_interval: SECOND * 3, ..Limits::default() },
         protections: Protections::default(),
-        cells: Vec::new(),
+        faults: Vec::new(),
         learning: true,
     });
     world.run(SECOND * 8);
@@ -43,7 +43,7 @@
     world
 }
 
-fn told(world: &mut World, seconds: u32, late: u32) {
+fn report_load(world: &mut World, seconds: u32, late: u32) {
     for _ in 0..seconds / 2 {
         let load = ClassLoad {
             period: SECOND * 2,
@@ -70,39 +70,40 @@
     times(world, |alarm| matches!(alarm, RackAlarm::Evicting { .. }))
 }
 
-// Noisy batch work makes surveyors wait. Evicting it at once would lose an hour's reconciliation
-// for one slow moment; never evicting it would let callers wait all night.
+// Guards against evicting a task before throttling it, and against exceeding the eviction budget.
 #[test]
 fn throttle_comes_before_eviction() {
     let mut world = world();
     let begin = world.now;
-    told(&mut world, 16, 30);
+    report_load(&mut world, 16, 30);
     assert!(!throttles(&world).is_empty());
     assert_eq!(evictions(&world), []);
-    told(&mut world, 240, 30);
+    report_load(&mut world, 240, 30);
     let first = evictions(&world)[0];
-    assert!(first.since(throttles(&world)[0]) >= SECOND * 20, "a trial first");
-    assert!(first.since(begin) >= SECOND * 50, "a minimum run first");
-    // One a minute at least for each node that has any batch work, and no more with so little.
+    assert!(
+        first.since(throttles(&world)[0]) >= SECOND * 20,
+        "evicted before the throttle took effect"
+    );
+    assert!(first.since(begin) >= SECOND * 50, "evicted before the minimum run time");
+    // The budget allows at least one eviction per minute on each node with batch tasks.
     let minutes = world.now.since(begin).as_secs() as usize / 60 + 1;
     assert!(evictions(&world).len() <= 2 * minutes, "{:?}", evictions(&world));
     world.finish();
     assert!(world.checker.violations.iter().all(|text| text.contains("isn't over")));
 }
 
-// The target is met again. A throttle lifted at the first good sign would bring the noise back
-// with the next measurement, and one never lifted would cost the batch its target.
+// Guards against lifting a throttle too soon, and against never lifting it.
 #[test]
-fn throttle_is_lifted_after_calm() {
+fn throttle_is_lifted_after_delay() {
     let mut world = world();
-    told(&mut world, 16, 30);
+    report_load(&mut world, 16, 30);
     let throttled = |world: &World| {
         let runs = world.workers.values().flat_map(|worker| worker.running.values());
         runs.filter(|run| run.throttle < 1.0).count()
     };
     assert!(throttled(&world) > 0);
-    told(&mut world, 30, 0);
+    report_load(&mut world, 30, 0);
     assert!(throttled(&world) > 0, "kept for a while");
-    told(&mut world, 60, 0);
+    report_load(&mut world, 60, 0);
     assert_eq!(throttled(&world), 0);
 }
--- a/crates/tasks/tests/protections.rs
+++ b/crates/tasks/tests/protections.rs
@@ -1,4 +1,4 @@
-//! Each protection switched off, to show that the checker notices, and on again in the same run.
+//! Turns each protection off, to show that the checker detects its absence, and on again.
 
 mod support;
 
@@ -6,12 +6,12 @@
     egretlb_tasks::{Limits, Protections},
     std::{collections::HashMap, time::Duration},
     support::{
-        Behaviour, Cell, Fault, Step, World, WorldOptions, batch_class, document, resources,
-        run_cells_with, run_many, scenario::spec, vms,
+        Behaviour, Fault, InjectedFault, Step, World, WorldOptions, batch_class, document,
+        resources, run_many, run_with_protections, scenario::spec, vms,
     },
 };
 
-const ON: Protections = Protections {
+const ALL_ON: Protections = Protections {
     journal_before_start: true,
     wait_for_lease: true,
     reservation_per_start: true,
@@ -23,101 +23,100 @@
     authority: true,
 };
 
-fn cell(step: Step, fault: Fault, after: u8) -> Cell {
-    Cell { step, fault, after }
+fn injected_fault(step: Step, fault: Fault, after: u8) -> InjectedFault {
+    InjectedFault { step, fault, after }
 }
 
-/// Runs the scenario with the protection off and on, with the faults at several moments. With it
-/// off at least one of the runs must break an invariant in the expected way; with it on, none.
-fn shows(off: Protections, variants: &[Vec<Cell>], expected: &str) {
+/// Runs the scenario with the protection off and on, with the faults at several times. Off, at
+/// least one run must break an invariant in the expected way; on, none may.
+fn detects(unprotected: Protections, variants: &[Vec<InjectedFault>], expected: &str) {
     let run = |i: usize, protections: Protections| {
-        run_cells_with(i as u64, &variants[i], protections).violations
+        run_with_protections(i as u64, &variants[i], protections).violations
     };
-    let without = run_many(variants.len(), |i| run(i, off)).concat();
+    let without = run_many(variants.len(), |i| run(i, unprotected)).concat();
     println!("off: {} violations in {} runs: {:?}", without.len(), variants.len(), without.first());
     assert!(without.iter().any(|text| text.contains(expected)), "not noticed: {without:?}");
-    let with = run_many(variants.len(), |i| run(i, ON)).concat();
+    let with = run_many(variants.len(), |i| run(i, ALL_ON)).concat();
     assert_eq!(with, Vec::<String>::new());
 }
 
-/// One fault at a step, the first to the sixth time that the step is taken.
-fn at(step: Step, fault: Fault) -> Vec<Vec<Cell>> {
-    (0..6).map(|after| vec![cell(step, fault, after)]).collect()
+/// One fault, at the first to the sixth time that the step is taken.
+fn at(step: Step, fault: Fault) -> Vec<Vec<InjectedFault>> {
+    (0..6).map(|after| vec![injected_fault(step, fault, after)]).collect()
 }
 
-// The owner of a job dies after it asked for a start and before the journal has it. Its successor
-// reads nothing of the attempt and starts the task again; a batch runs twice.
+// Guards against a start that isn't journalled: a successor would start the task a second time.
 #[test]
 fn start_waits_for_journal() {
-    let off = Protections { journal_before_start: false, ..ON };
-    shows(off, &at(Step::AppendStarting, Fault::KillJobOwner), "after it was done");
+    let unprotected = Protections { journal_before_start: false, ..ALL_ON };
+    detects(unprotected, &at(Step::AppendStarting, Fault::KillJobOwner), "after it was done");
 }
 
-// A start's request is lost and its VM counts as lost at once. The VM runs the task after all,
-// while a second attempt starts elsewhere.
+// Guards against restarting the tasks of an unreachable VM that still runs them.
 #[test]
-fn lost_vm_is_outwaited() {
-    let off = Protections { wait_for_lease: false, ..ON };
-    shows(off, &at(Step::StartCall, Fault::Lose), "runs on");
+fn lost_vm_waits_for_leases() {
+    let unprotected = Protections { wait_for_lease: false, ..ALL_ON };
+    detects(unprotected, &at(Step::StartCall, Fault::Lose), "runs on");
 }
 
-// A start's answer is lost and the start is taken for one that never happened.
+// Guards against taking an unanswered start for one that never happened.
 #[test]
-fn doubt_is_resolved() {
-    let off = Protections { resolve_unconfirmed: false, ..ON };
-    shows(off, &at(Step::StartAnswer, Fault::Lose), "runs on");
+fn unconfirmed_start_is_resolved() {
+    let unprotected = Protections { resolve_unconfirmed: false, ..ALL_ON };
+    detects(unprotected, &at(Step::StartAnswer, Fault::Lose), "runs on");
 }
 
-// The room of a VM isn't checked; its tasks are slowed down or killed for want of memory.
+// Guards against overcommitting a VM.
 #[test]
-fn room_is_checked() {
-    let off = Protections { capacity_check: false, ..ON };
-    shows(off, &at(Step::AppendSubmission, Fault::KillJobOwner), "is given");
+fn capacity_is_checked() {
+    let unprotected = Protections { capacity_check: false, ..ALL_ON };
+    detects(unprotected, &at(Step::AppendSubmission, Fault::KillJobOwner), "is given");
 }
 
-// The end of an earlier attempt is told again, late, while the next attempt runs. Taken for the
-// end of that one, it queues a task that runs.
+// Guards against a late report of an earlier attempt's end that queues a running task.
 #[test]
 fn outcome_names_its_attempt() {
-    let off = Protections { fence_outcomes: false, ..ON };
+    let unprotected = Protections { fence_outcomes: false, ..ALL_ON };
     let mut variants = at(Step::StartMessage, Fault::PauseRackOwner);
     variants.extend(at(Step::AckMessage, Fault::PauseJobOwner));
     variants.extend(at(Step::StartMessage, Fault::DelayLong));
     variants.extend(at(Step::EndedMessage, Fault::Duplicate));
-    shows(off, &variants, "runs on");
+    detects(unprotected, &variants, "runs on");
 }
 
-// A submission is acknowledged before it is in the journal, and its owner is cut off. The caller
-// believes that the job is safe, and nobody knows of it any more.
+// Guards against losing an accepted job whose owner fails before the submission is journalled.
 #[test]
 fn submission_waits_for_journal() {
-    let off = Protections { journal_before_ack: false, ..ON };
-    shows(
-        off,
+    let unprotected = Protections { journal_before_ack: false, ..ALL_ON };
+    detects(
+        unprotected,
         &at(Step::AppendSubmission, Fault::CutJobOwnerFromLog),
         "was accepted and isn't over",
     );
 }
 
-// The owner of a job is paused past its authority, wakes, and acknowledges a submission that its
-// successor never read.
+// Guards against an owner past its authority that accepts a job unknown to its successor.
 #[test]
 fn acknowledgement_needs_authority() {
-    let off = Protections { authority: false, ..ON };
-    shows(off, &at(Step::AppendSubmission, Fault::PauseJobOwner), "was accepted and isn't over");
+    let unprotected = Protections { authority: false, ..ALL_ON };
+    detects(
+        unprotected,
+        &at(Step::AppendSubmission, Fault::PauseJobOwner),
+        "was accepted and isn't over",
+    );
 }
 
-// A start message is held up for half a minute. Meanwhile its VM was cut off, the attempt was
-// given up, its task repeated elsewhere, and the VM has come back. The old message arrives.
+// Guards against a start message that arrives after its attempt was given up and restarted
+// elsewhere.
 #[test]
 fn late_start_finds_no_reservation() {
-    let off = Protections { reservation_per_start: false, ..ON };
+    let unprotected = Protections { reservation_per_start: false, ..ALL_ON };
     let variant = |i: u8| {
-        let late = cell(Step::StartMessage, Fault::DelayHalfAMinute, i / 6);
-        vec![late, cell(Step::StartCall, Fault::VmCut, i % 6)]
+        let late = injected_fault(Step::StartMessage, Fault::DelayHalfAMinute, i / 6);
+        vec![late, injected_fault(Step::StartCall, Fault::VmCut, i % 6)]
     };
-    let variants: Vec<Vec<Cell>> = (0..36).map(variant).collect();
-    shows(off, &variants, "after it was done");
+    let variants: Vec<Vec<InjectedFault>> = (0..36).map(variant).collect();
+    detects(unprotected, &variants, "after it was done");
 }
 
 fn full_world(protections: Protections) -> World {
@@ -131,17 +130,16 @@
         classes: HashMap::from([("night".parse().unwrap(), night)]),
         limits: Limits { lease: Duration::from_secs(20), ..WorldOptions::quick_limits() },
         protections,
-        cells: Vec::new(),
+        faults: Vec::new(),
         learning: true,
     })
 }
 
-// The owner of some racks dies while their VMs are full and more work waits. Its successor knows
-// of nothing on the VMs yet; granting room at once would put twice the work on them.
+// Guards against a new owner that overcommits VMs before it knows what they run.
 #[test]
 fn successor_waits_for_report() {
     for (on, expected) in [(false, true), (true, false)] {
-        let mut world = full_world(Protections { report_before_grant: on, ..ON });
+        let mut world = full_world(Protections { report_before_grant: on, ..ALL_ON });
         world.run(Duration::from_secs(3));
         world.submit(spec("titles", 18));
         world.submit(spec("recalls", 18));
--- a/crates/tasks/tests/services.rs
+++ b/crates/tasks/tests/services.rs
@@ -1,4 +1,4 @@
-//! Replicas of services follow measured load, and survive what VMs do.
+//! Service replicas: scaling with load, and replacement of lost ones.
 
 mod support;
 
@@ -28,7 +28,7 @@
         classes: HashMap::from([(class(), Behaviour::default())]),
         limits: Limits { drain: SECOND * 2, ..WorldOptions::quick_limits() },
         protections: Protections::default(),
-        cells: Vec::new(),
+        faults: Vec::new(),
         learning: true,
     });
     world.run(SECOND * 8);
@@ -43,7 +43,7 @@
     world.workers.values().filter(runs).map(at).collect()
 }
 
-fn told(world: &mut World, seconds: u32, load: ClassLoad) {
+fn report_load(world: &mut World, seconds: u32, load: ClassLoad) {
     for _ in 0..seconds / 5 {
         world.load(&class(), load);
         world.run(SECOND * 5);
@@ -56,8 +56,7 @@
     ClassLoad { period: SECOND * 5, arrived, within_target, late, refused: 0, open_permille }
 }
 
-// A service has to survive the loss of a data centre: with its replicas in one of them, a power
-// cut there would leave surveyors without any answer.
+// Guards against a loss of all replicas with one data centre.
 #[test]
 fn replicas_are_spread() {
     let world = world();
@@ -67,22 +66,20 @@
     assert_eq!(centres.len(), 2);
 }
 
-// Load grows, the target is missed, then load falls. Too few replicas make callers wait; a number
-// that follows each measurement down again would miss the next burst.
+// Guards against too few replicas under load, and against scaling down with each measurement.
 #[test]
 fn number_follows_load() {
     let mut world = world();
-    told(&mut world, 30, load(900, 100, 16));
+    report_load(&mut world, 30, load(900, 100, 16));
     let grown = replicas(&world).len();
     assert!(grown >= 4, "{grown}");
-    told(&mut world, 60, load(1_000, 0, 4));
+    report_load(&mut world, 60, load(1_000, 0, 4));
     assert_eq!(replicas(&world).len(), grown, "kept for a while");
-    told(&mut world, 1_800, load(1_000, 0, 4));
+    report_load(&mut world, 1_800, load(1_000, 0, 4));
     assert_eq!(replicas(&world).len(), 2, "one at a time, down to the least");
 }
 
-// A replica's VM dies, another one leaves. Each is replaced; callers see one replica fewer for the
-// time of a start, never none.
+// Guards against a service without replicas while one is replaced, after a VM died or drains.
 #[test]
 fn lost_replica_is_replaced() {
     let mut world = world();
@@ -103,7 +100,7 @@
     assert_eq!(world.checker.violations, Vec::<String>::new());
 }
 
-// A class is removed from the configuration. Its replicas would go on holding room for ever.
+// Guards against replicas of a removed class that keep running.
 #[test]
 fn removed_class_is_stopped() {
     let mut world = world();
--- a/crates/tasks/tests/support/checker.rs
+++ b/crates/tasks/tests/support/checker.rs
@@ -1,21 +1,21 @@
-//! Checks the history of a run against what must always hold.
+//! Checks the invariants of a run.
 
 use {
     egretlb_types::{JobId, Resources, TaskId, Time, VmId, worker::TaskFence},
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Collects what workers did and callers were told, and notes each violation.
+/// Records what workers did and what callers were answered, and each violation.
 #[derive(Debug, Default)]
 pub struct Checker {
     pub violations: Vec<String>,
     running: BTreeMap<TaskId, Vec<(VmId, TaskFence)>>,
-    /// Where each completion happened.
+    /// The VMs where each task completed.
     done: BTreeMap<TaskId, Vec<VmId>>,
-    /// The last checkpoint written for each task, and where.
+    /// The last checkpoint of each task, and the VM that wrote it.
     checkpoints: BTreeMap<TaskId, (String, VmId)>,
-    /// VMs that died or were cut off: what they alone knew may be lost.
-    harmed: BTreeSet<VmId>,
+    /// VMs that died or were cut off; their unreported results may be lost.
+    failed_vms: BTreeSet<VmId>,
     pub accepted: BTreeSet<JobId>,
     pub starts: u64,
     /// When each task first started.
@@ -44,7 +44,7 @@
         }
         if let Some((last, at)) = self.checkpoints.get(&of.task)
             && Some(last.as_str()) != checkpoint
-            && !self.harmed.contains(at)
+            && !self.failed_vms.contains(at)
         {
             let text = format!("{} resumes from {checkpoint:?}, last was {last}", of.task);
             self.violation(now, text);
@@ -55,7 +55,7 @@
     }
 
     fn done_is_lost(&self, task: &TaskId) -> bool {
-        self.done.get(task).is_some_and(|at| at.iter().all(|vm| self.harmed.contains(vm)))
+        self.done.get(task).is_some_and(|at| at.iter().all(|vm| self.failed_vms.contains(vm)))
     }
 
     pub fn ended(&mut self, vm: &VmId, of: &TaskFence) {
@@ -85,8 +85,8 @@
         }
     }
 
-    pub fn vm_harmed(&mut self, vm: &VmId) {
-        self.harmed.insert(vm.clone());
+    pub fn vm_failed(&mut self, vm: &VmId) {
+        self.failed_vms.insert(vm.clone());
     }
 
     pub fn is_done(&self, task: &TaskId) -> bool {
@@ -97,17 +97,20 @@
         self.running.get(task).is_some_and(|running| !running.is_empty())
     }
 
-    /// Notes what was told of a job in the end.
+    /// Checks the final reported state of a job.
     pub fn final_state(&mut self, now: Time, job: &JobId, over: bool, done: u32, tasks: u32) {
         if !over {
             self.violation(now, format!("{job} was accepted and isn't over"));
             return;
         }
         let task = |index| TaskId { job: job.clone(), index };
-        let really = (0..tasks).filter(|index| self.is_done(&task(*index))).count() as u32;
-        // A completion whose VM was lost before it told may be missing from the count.
-        if done > really {
-            self.violation(now, format!("{job} is told to have {done} tasks done, has {really}"));
+        let done_at_workers = (0..tasks).filter(|index| self.is_done(&task(*index))).count() as u32;
+        // A completion on a VM that failed before it reported may be missing from the count.
+        if done > done_at_workers {
+            self.violation(
+                now,
+                format!("{job} is reported with {done} tasks done, has {done_at_workers}"),
+            );
         }
         for index in 0..tasks {
             if self.runs(&task(index)) {
--- a/crates/tasks/tests/support/faults.rs
+++ b/crates/tasks/tests/support/faults.rs
@@ -1,4 +1,4 @@
-//! The steps of the protocol at which a fault can strike, and the faults.
+//! The faults, and the protocol steps at which they are injected.
 
 use {
     egretlb_tasks::{
@@ -8,7 +8,7 @@
     egretlb_types::TaskId,
 };
 
-/// A step: a message or an append at the moment at which it is sent.
+/// A step: a message, call or append as it is sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, bolero::generator::TypeGenerator)]
 pub enum Step {
     AppendSubmission,
@@ -52,7 +52,7 @@
     ];
 }
 
-/// What strikes.
+/// A fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, bolero::generator::TypeGenerator)]
 pub enum Fault {
     KillJobOwner,
@@ -102,16 +102,16 @@
     ];
 }
 
-/// A fault that waits for a step to be taken for the `after`-th time.
+/// A fault injected when the step is taken after `after` earlier times.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, bolero::generator::TypeGenerator)]
-pub struct Cell {
+pub struct InjectedFault {
     pub step: Step,
     pub fault: Fault,
     #[generator(0..4)]
     pub after: u8,
 }
 
-/// The step that a message to a rack's owner is.
+/// The step of a message to a rack's owner.
 pub fn step_of_rack(msg: &RackMsg) -> Step {
     match msg {
         RackMsg::Start(_) => Step::StartMessage,
@@ -120,7 +120,7 @@
     }
 }
 
-/// The step that a message to a job's owner is, with the task that it is about.
+/// The step of a message to a job's owner, and its task.
 pub fn step_of_job(msg: &JobMsg) -> (Step, Option<TaskId>) {
     match msg {
         JobMsg::Placed(placed) => {
@@ -133,7 +133,7 @@
     }
 }
 
-/// The step that a question for room is.
+/// The step of a placement request.
 pub fn step_of_node(msg: &NodeMsg) -> Option<Step> {
     match msg {
         NodeMsg::Place(place) if !place.requests.is_empty() => Some(Step::Place),
@@ -141,7 +141,7 @@
     }
 }
 
-/// The step that a worker's call is.
+/// The step of a worker call.
 pub fn step_of_call(call: &WorkerCall) -> Step {
     match call {
         WorkerCall::Start(_) => Step::StartCall,
@@ -151,7 +151,7 @@
     }
 }
 
-/// The step that an append is.
+/// The step of an append.
 pub fn step_of_entry(entry: &JobEntry) -> Option<Step> {
     match entry {
         JobEntry::Submitted { .. } => Some(Step::AppendSubmission),
--- a/crates/tasks/tests/support/mod.rs
+++ b/crates/tasks/tests/support/mod.rs
@@ -1,6 +1,7 @@
-//! A small fleet in virtual time: nodes with both books, fake workers, a log, a lossy network.
+//! A small simulated cluster in virtual time: nodes with both tables, fake workers, a log and a
+//! lossy network.
 //!
-//! Everything is an item in one queue ordered by time, so a run is the same for the same seed.
+//! All events go through one queue ordered by time, so a run is deterministic for a seed.
 #![allow(dead_code, unused_imports, reason = "each test file uses a part")]
 
 pub mod checker;
@@ -12,9 +13,9 @@
 
 pub use {
     checker::Checker,
-    faults::{Cell, Fault, Step},
+    faults::{Fault, InjectedFault, Step},
     platform::{batch_class, document, latency_class, resources, team, vms},
-    scenario::{run_cells, run_cells_with, run_many},
+    scenario::{run_many, run_with_faults, run_with_protections},
     worker::{Behaviour, FakeWorker},
     world::{World, WorldOptions},
 };
--- a/crates/tasks/tests/support/platform.rs
+++ b/crates/tasks/tests/support/platform.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// VMs of one size, `per_rack` to a rack, racks spread over four data centres.
+/// VMs of one size, `per_rack` per rack; racks alternate over four data centres.
 pub fn vms(count: usize, per_rack: usize, capacity: Resources) -> Vec<VmRecord> {
     let record = |i: usize| {
         let rack = i / per_rack;
--- a/crates/tasks/tests/support/scenario.rs
+++ b/crates/tasks/tests/support/scenario.rs
@@ -1,8 +1,8 @@
-//! The scenario that all faults strike: jobs start, run, are evicted, cancelled and end.
+//! The scenario of the fault tests: jobs start, run, are evicted, cancelled and end.
 
 use {
     super::{
-        faults::Cell,
+        faults::InjectedFault,
         platform::{batch_class, document, resources, vms},
         worker::Behaviour,
         world::{World, WorldOptions},
@@ -15,7 +15,7 @@
     },
 };
 
-/// Worlds run at once. They share nothing; more would only crowd the machine.
+/// Number of worlds that run concurrently.
 const THREADS: usize = 4;
 
 pub fn spec(job: &str, tasks: u32) -> JobSpec {
@@ -28,19 +28,23 @@
     }
 }
 
-/// What one run came to.
+/// Result of a run.
 pub struct Outcome {
     pub violations: Vec<String>,
-    pub struck: u32,
+    pub faults_injected: u32,
     pub starts: u64,
     pub evictions: u64,
 }
 
-pub fn run_cells(seed: u64, cells: &[Cell]) -> Outcome {
-    run_cells_with(seed, cells, Protections::default())
+pub fn run_with_faults(seed: u64, faults: &[InjectedFault]) -> Outcome {
+    run_with_protections(seed, faults, Protections::default())
 }
 
-pub fn run_cells_with(seed: u64, cells: &[Cell], protections: Protections) -> Outcome {
+pub fn run_with_protections(
+    seed: u64,
+    faults: &[InjectedFault],
+    protections: Protections,
+) -> Outcome {
     let classes = vec![batch_class("night", resources(1.0, 1.0, 0), Duration::from_secs(4), false)];
     let behaviour = HashMap::from([("night".parse().unwrap(), Behaviour::default())]);
     let mut world = World::new(WorldOptions {
@@ -51,10 +55,10 @@
         classes: behaviour,
         limits: WorldOptions::quick_limits(),
         protections,
-        cells: cells.to_vec(),
+        faults: faults.to_vec(),
         learning: true,
     });
-    // Clocks of workers are off by the bound that is allowed for, both ways.
+    // Worker clocks drift by the allowed bound in both directions.
     for (i, worker) in world.workers.values_mut().enumerate() {
         worker.rate_permille = [985, 1_000, 1_015][i % 3];
     }
@@ -63,7 +67,7 @@
     world.submit(spec("recalls", 6));
     world.leave("vm1", Duration::from_secs(2));
     world.run(Duration::from_secs(1));
-    // A caller whose answer was lost submits again.
+    // A caller without an answer submits again.
     world.submit(spec("titles", 10));
     world.run(Duration::from_millis(1_500));
     world.submit(spec("gazette", 12));
@@ -75,13 +79,13 @@
     world.finish();
     Outcome {
         violations: world.checker.violations,
-        struck: world.struck,
+        faults_injected: world.faults_injected,
         starts: world.checker.starts,
         evictions: world.checker.evictions,
     }
 }
 
-/// Runs `count` worlds, a few at once, and returns what each came to, in order.
+/// Runs `count` worlds concurrently and returns their results in order.
 pub fn run_many<T: Send>(count: usize, run: impl Fn(usize) -> T + Sync) -> Vec<T> {
     let next = AtomicUsize::new(0);
     let work = || {
--- a/crates/tasks/tests/support/worker.rs
+++ b/crates/tasks/tests/support/worker.rs
@@ -1,4 +1,4 @@
-//! A fake worker: runs tasks under leases, keeps ends, answers by its published messages.
+//! A fake worker: runs tasks under leases, keeps their ends, and answers the worker API.
 
 use {
     super::checker::Checker,
@@ -16,37 +16,37 @@
     },
 };
 
-/// The command of a task that fails wherever it runs.
+/// Command of a task that fails on every VM.
 pub const BROKEN: &str = "broken";
 
-/// What a class really does, as against its declaration.
+/// Actual behaviour of a class, which may differ from its declaration.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
-    /// Work of one task.
+    /// Work per task.
     pub work: Duration,
-    /// What a task really uses.
+    /// Actual use of a task.
     pub used: Resources,
-    /// How much one task of each class slows one of this class down.
-    pub suffers: HashMap<ClassName, f64>,
+    /// Slowdown of a task of this class by one task of each other class.
+    pub slowdown_by: HashMap<ClassName, f64>,
 }
 
 impl Default for Behaviour {
     fn default() -> Self {
         let used =
             Resources { cpu: MilliCores(800), memory: Megabytes(500), ..Resources::default() };
-        Behaviour { work: Duration::from_secs(4), used, suffers: HashMap::new() }
+        Behaviour { work: Duration::from_secs(4), used, slowdown_by: HashMap::new() }
     }
 }
 
-/// One running task.
+/// A running task.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub start: StartTask,
     pub lease_until: Time,
-    pub begun: Time,
-    /// Progress in milliseconds of work, and when it was last counted.
-    pub progress: f64,
-    pub counted: Time,
+    pub started_at: Time,
+    /// Completed work in milliseconds, and when it was last updated.
+    pub progress_ms: f64,
+    pub progress_at: Time,
     pub throttle: f64,
 }
 
@@ -65,13 +65,13 @@
     pub cut_until: Time,
     pub fails_all: bool,
     pub running: BTreeMap<TaskId, Run>,
-    /// Runs that ended, by fence; a stop that is repeated gets the same answer.
+    /// Ended attempts. A repeated stop gets the same answer.
     ends: BTreeMap<TaskFence, End>,
     fences: BTreeMap<TaskId, Fence>,
-    never: Vec<TaskFence>,
-    /// The clock's rate against true time, in thousandths.
+    stopped_before_start: Vec<TaskFence>,
+    /// Clock rate relative to true time, in thousandths.
     pub rate_permille: u64,
-    /// Done since the start, for throughput.
+    /// Number of completed tasks.
     pub done: u64,
 }
 
@@ -85,7 +85,7 @@
             running: BTreeMap::new(),
             ends: BTreeMap::new(),
             fences: BTreeMap::new(),
-            never: Vec::new(),
+            stopped_before_start: Vec::new(),
             rate_permille: 1_000,
             done: 0,
         }
@@ -95,7 +95,7 @@
         Duration::from_millis(u64::from(lease_ms) * 1_000 / self.rate_permille)
     }
 
-    /// The slowdown of a task among its neighbours, 1.0 for none.
+    /// Slowdown of a task among its neighbours; 1.0 is none.
     pub fn slowdown(&self, class: &ClassName, classes: &HashMap<ClassName, Behaviour>) -> f64 {
         let Some(behaviour) = classes.get(class) else { return 1.0 };
         let mut sum = 1.0;
@@ -107,12 +107,13 @@
                     continue;
                 }
             }
-            sum += behaviour.suffers.get(&run.start.class).copied().unwrap_or(0.0) * run.throttle;
+            sum +=
+                behaviour.slowdown_by.get(&run.start.class).copied().unwrap_or(0.0) * run.throttle;
         }
         sum
     }
 
-    /// Lets time pass: work is done, leases lapse.
+    /// Advances tasks to the given time and ends those that are done, failed or past their lease.
     pub fn advance(
         &mut self,
         now: Time,
@@ -130,14 +131,14 @@
         for (id, speed) in speeds {
             let Some(run) = self.running.get_mut(&id) else { continue };
             let until = now.min(run.lease_until);
-            run.progress += until.since(run.counted).as_secs_f64() * 1_000.0 * speed;
-            run.counted = until.max(run.counted);
+            run.progress_ms += until.since(run.progress_at).as_secs_f64() * 1_000.0 * speed;
+            run.progress_at = until.max(run.progress_at);
             let work = classes.get(&run.start.class).map_or(4_000.0, |b| b.work.as_millis() as f64);
             let fails = self.fails_all || run.start.command == BROKEN;
-            let failed = fails && until.since(run.begun) >= Duration::from_millis(300);
+            let failed = fails && until.since(run.started_at) >= Duration::from_millis(300);
             let end = if failed {
                 Some(TaskEnd::Failed)
-            } else if !run.start.service && run.progress >= work {
+            } else if !run.start.service && run.progress_ms >= work {
                 Some(TaskEnd::Done)
             } else {
                 (now >= run.lease_until).then_some(TaskEnd::LeaseLapsed)
@@ -164,13 +165,13 @@
         }
         checker.ended(&self.record.vm, &of);
         let peak = classes.get(&run.start.class).map_or(run.start.resources, |b| b.used);
-        self.ends.insert(of, End { end: Ok(end), ran: now.since(run.begun), peak });
+        self.ends.insert(of, End { end: Ok(end), ran: now.since(run.started_at), peak });
     }
 
-    /// Everything on the VM is gone.
+    /// Loses everything on the VM.
     pub fn die(&mut self, checker: &mut Checker) {
         self.alive = false;
-        checker.vm_harmed(&self.record.vm);
+        checker.vm_failed(&self.record.vm);
         for (id, run) in std::mem::take(&mut self.running) {
             checker.ended(&self.record.vm, &TaskFence { task: id, fence: run.start.fence });
         }
@@ -216,21 +217,21 @@
             return StartAnswer::AlreadyEnded;
         }
         let seen = self.fences.get(&start.task).copied().unwrap_or_default();
-        if seen > start.fence || self.never.contains(&of) {
+        if seen > start.fence || self.stopped_before_start.contains(&of) {
             return StartAnswer::StaleFence;
         }
         if self.running.get(&start.task).is_some_and(|run| run.start.fence == start.fence) {
             return StartAnswer::Started;
         }
         self.fences.insert(start.task.clone(), start.fence);
-        let progress = start.checkpoint.as_deref().and_then(|cp| cp.rsplit_once(':'));
-        let progress = progress.and_then(|(_, ms)| ms.parse().ok()).unwrap_or(0.0);
+        let progress_ms = start.checkpoint.as_deref().and_then(|cp| cp.rsplit_once(':'));
+        let progress_ms = progress_ms.and_then(|(_, ms)| ms.parse().ok()).unwrap_or(0.0);
         let run = Run {
             start: start.clone(),
             lease_until: now + self.lease(start.lease_ms),
-            begun: now,
-            progress,
-            counted: now,
+            started_at: now,
+            progress_ms,
+            progress_at: now,
             throttle: 1.0,
         };
         self.running.insert(start.task.clone(), run);
@@ -258,14 +259,14 @@
         }
         let runs = self.running.get(&of.task).is_some_and(|run| run.start.fence == of.fence);
         if !runs {
-            self.never.push(of.clone());
+            self.stopped_before_start.push(of.clone());
             return StopAnswer::NeverRan;
         }
         let Some(run) = self.running.remove(&of.task) else { return StopAnswer::NeverRan };
-        let cp = checkpoint.then(|| format!("{}@{}:{:.0}", of.task, of.fence, run.progress));
+        let cp = checkpoint.then(|| format!("{}@{}:{:.0}", of.task, of.fence, run.progress_ms));
         checker.stopped(&self.record.vm, of, cp.as_deref());
         let end =
-            End { end: Err(cp.clone()), ran: now.since(run.begun), peak: run.start.resources };
+            End { end: Err(cp.clone()), ran: now.since(run.started_at), peak: run.start.resources };
         self.ends.insert(of.clone(), end);
         StopAnswer::Stopped { checkpoint: cp.as_deref().map(|cp| cp.into()) }
     }
--- a/crates/tasks/tests/support/world/control.rs
+++ b/crates/tasks/tests/support/world/control.rs
@@ -1,4 +1,4 @@
-//! The log: who owns what, and the journals.
+//! The log: shard ownership and journals.
 
 use super::*;
 
@@ -14,23 +14,23 @@
             if node.alive && now >= node.paused_until && now >= node.cut_until {
                 node.read_at = now;
                 node.held_until = now + AUTHORITY;
-                self.take_view(n);
+                self.drop_lost_shards(n);
                 if now >= self.list_stale_until {
                     let vms = self.list.clone();
                     self.step_rack(n, RackEvent::Vms { vms });
                 }
             }
         }
-        let fresh: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].alive && now.since(self.nodes[*n].read_at) < GONE_AFTER)
+        let live: Vec<usize> = (0..self.nodes.len())
+            .filter(|n| self.nodes[*n].alive && now.since(self.nodes[*n].read_at) < FAILED_AFTER)
             .collect();
         for shard in 0..SHARD_COUNT {
-            self.succeed(ShardId(shard), &fresh);
+            self.assign_owner(ShardId(shard), &live);
         }
     }
 
-    /// Ends the shards that the node no longer owns.
-    pub(super) fn take_view(&mut self, n: usize) {
+    /// Drops the shards that the node no longer owns.
+    pub(super) fn drop_lost_shards(&mut self, n: usize) {
         let lost: Vec<ShardId> = self.nodes[n]
             .view
             .iter()
@@ -49,11 +49,11 @@
         self.step_job(n, JobEvent::Nodes { nodes });
     }
 
-    pub(super) fn succeed(&mut self, shard: ShardId, fresh: &[usize]) {
+    pub(super) fn assign_owner(&mut self, shard: ShardId, live: &[usize]) {
         let now = self.now;
         let owner = self.owners[shard.0 as usize];
-        if !fresh.contains(&owner.node) {
-            let best = fresh.iter().max_by_key(|n| rendezvous_score(shard, NodeId(**n as u64)));
+        if !live.contains(&owner.node) {
+            let best = live.iter().max_by_key(|n| rendezvous_score(shard, NodeId(**n as u64)));
             let Some(best) = best else { return };
             let epoch = owner.epoch.next();
             let claim = Owner { node: *best, epoch, claimed: now, settled: false };
@@ -67,14 +67,14 @@
         }
         self.owners[shard.0 as usize].settled = true;
         let n = owner.node;
-        let kept = self.log.entry(shard).or_default();
-        kept.epoch = owner.epoch;
+        let shard_log = self.log.entry(shard).or_default();
+        shard_log.epoch = owner.epoch;
         let node = &mut self.nodes[n];
-        node.jobs.restore(shard, std::mem::take(&mut kept.snapshot));
-        for entry in kept.entries.drain(..) {
+        node.jobs.restore(shard, std::mem::take(&mut shard_log.snapshot));
+        for entry in shard_log.entries.drain(..) {
             node.jobs.replay(shard, &entry);
         }
-        kept.snapshot = node.jobs.snapshot(shard);
+        shard_log.snapshot = node.jobs.snapshot(shard);
         node.view.insert(shard, owner.epoch);
         let epoch = owner.epoch;
         self.step_job(n, JobEvent::Owned { shard, epoch });
@@ -83,7 +83,7 @@
         self.step_rack(n, RackEvent::Vms { vms });
     }
 
-    /// Appends what waits in a node's journal, in order.
+    /// Appends a node's pending journal entries in order.
     pub(super) fn flush(&mut self, n: usize) {
         self.push(Duration::from_millis(40), Item::Flush(n));
         if self.now < self.log_down_until || self.now < self.nodes[n].cut_until {
@@ -92,12 +92,12 @@
         let late = self.now < self.log_late_until;
         self.appended += u64::from(!self.nodes[n].journal.is_empty());
         while let Some((shard, epoch, entry, ticket)) = self.nodes[n].journal.pop_front() {
-            let kept = self.log.entry(shard).or_default();
-            if epoch >= kept.epoch {
-                kept.entries.push(entry);
+            let shard_log = self.log.entry(shard).or_default();
+            if epoch >= shard_log.epoch {
+                shard_log.entries.push(entry);
             }
-            let least = if late { 1_000 } else { 5 };
-            let delay = self.jitter(least, least + 15);
+            let min = if late { 1_000 } else { 5 };
+            let delay = self.jitter(min, min + 15);
             self.push(delay, Item::Job(n, JobEvent::Journaled { ticket }));
         }
     }
--- a/crates/tasks/tests/support/world/strike.rs
+++ b/crates/tasks/tests/support/world/inject.rs
@@ -1,10 +1,10 @@
-//! What faults do when their step is taken.
+//! Fault injection.
 
 use super::*;
 
 impl World {
-    /// Gives the faults their chance at a step, and says what becomes of the message.
-    pub(super) fn hook(
+    /// Injects the faults that are due at a step, and returns what happens to the message.
+    pub(super) fn on_step(
         &mut self,
         step: Step,
         node: Option<usize>,
@@ -20,25 +20,25 @@
             }
             None => Fate::Deliver,
         };
-        for i in 0..self.cells.len() {
-            let (cell, fired) = &mut self.cells[i];
-            if *fired || cell.step != step {
+        for i in 0..self.faults.len() {
+            let (injected_fault, fired) = &mut self.faults[i];
+            if *fired || injected_fault.step != step {
                 continue;
             }
-            if cell.after > 0 {
-                cell.after -= 1;
+            if injected_fault.after > 0 {
+                injected_fault.after -= 1;
                 continue;
             }
             *fired = true;
-            self.struck += 1;
-            let fault = cell.fault;
-            let struck = self.strike(fault, step, node, shard, vm, job);
-            fate = if struck == Fate::Deliver { fate } else { struck };
+            self.faults_injected += 1;
+            let fault = injected_fault.fault;
+            let injected_fate = self.inject(fault, step, node, shard, vm, job);
+            fate = if injected_fate == Fate::Deliver { fate } else { injected_fate };
         }
         fate
     }
 
-    pub(super) fn strike(
+    pub(super) fn inject(
         &mut self,
         fault: Fault,
         step: Step,
@@ -98,7 +98,7 @@
     }
 
     pub(super) fn cut(&mut self, vm: &VmId) {
-        self.checker.vm_harmed(vm);
+        self.checker.vm_failed(vm);
         if let Some(worker) = self.workers.get_mut(vm) {
             worker.cut_until = self.now + Duration::from_secs(25);
         }
--- a/crates/tasks/tests/support/world/mod.rs
+++ b/crates/tasks/tests/support/world/mod.rs
@@ -1,14 +1,15 @@
-//! The queue of everything that happens, and what the faults do to it.
+//! Discrete-event simulation of nodes, workers, log and network.
 
 mod control;
+mod inject;
 mod perform;
-mod strike;
 
 use {
     super::{
         checker::Checker,
         faults::{
-            Cell, Fault, Step, step_of_call, step_of_entry, step_of_job, step_of_node, step_of_rack,
+            Fault, InjectedFault, Step, step_of_call, step_of_entry, step_of_job, step_of_node,
+            step_of_rack,
         },
         worker::{Behaviour, FakeWorker},
     },
@@ -30,11 +31,11 @@
     },
 };
 
-/// How long an owner may act after a read of the control stream.
+/// How long an owner holds authority after a read of the control stream.
 const AUTHORITY: Duration = Duration::from_secs(3);
-/// When a node that hasn't read counts as gone, and is succeeded.
-const GONE_AFTER: Duration = Duration::from_millis(1_500);
-/// When a call without an answer is given up.
+/// A node that hasn't read for this long is replaced.
+const FAILED_AFTER: Duration = Duration::from_millis(1_500);
+/// Timeout of a worker call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 const TICK: Duration = Duration::from_millis(100);
 
@@ -46,12 +47,12 @@
     pub classes: HashMap<ClassName, Behaviour>,
     pub limits: Limits,
     pub protections: Protections,
-    pub cells: Vec<Cell>,
+    pub faults: Vec<InjectedFault>,
     pub learning: bool,
 }
 
 impl WorldOptions {
-    /// Limits shortened so that leases lapse within a test's few seconds.
+    /// Short limits, so that leases lapse within a test's few seconds.
     pub fn quick_limits() -> Limits {
         Limits {
             lease: Duration::from_secs(6),
@@ -74,15 +75,15 @@
     cut_until: Time,
     jobs: JobTable,
     racks: RackTable,
-    /// What this node believes it owns.
+    /// The shards that this node believes it owns.
     view: BTreeMap<ShardId, Epoch>,
     held_until: Time,
     read_at: Time,
-    /// Entries on their way to the log, with the epochs under which they were made.
+    /// Entries in transit to the log, with the epochs under which they were made.
     journal: VecDeque<(ShardId, Epoch, JobEntry, Ticket)>,
 }
 
-/// Shares what a node believes with its books.
+/// Authority as this node knows it.
 struct View<'a>(&'a BTreeMap<ShardId, Epoch>, Time);
 
 impl Authority for View<'_> {
@@ -136,7 +137,7 @@
     pub replies: Vec<(Time, CallId, JobReply)>,
     pub rack_alarms: Vec<(Time, RackAlarm)>,
     pub job_alarms: Vec<(Time, egretlb_tasks::JobAlarm)>,
-    pub struck: u32,
+    pub faults_injected: u32,
     rng: SmallRng,
     queue: BTreeMap<(Time, u64), Item>,
     seq: u64,
@@ -148,14 +149,14 @@
     reports_late_until: Time,
     list_stale_until: Time,
     list: Vec<VmRecord>,
-    cells: Vec<(Cell, bool)>,
-    lose_next: HashMap<Step2, u32>,
+    faults: Vec<(InjectedFault, bool)>,
+    lose_next: HashMap<StepNumber, u32>,
     next_call: u64,
     jobs: Vec<JobSpec>,
     pub appended: u64,
 }
 
-type Step2 = u8;
+type StepNumber = u8;
 
 impl World {
     pub fn new(options: WorldOptions) -> Self {
@@ -172,14 +173,14 @@
             now: Time::from_secs(100),
             owners: (0..SHARD_COUNT).map(owner).collect(),
             list: options.vms.clone(),
-            cells: options.cells.iter().map(|cell| (*cell, false)).collect(),
+            faults: options.faults.iter().map(|injected_fault| (*injected_fault, false)).collect(),
             options,
             workers,
             checker: Checker::default(),
             replies: Vec::new(),
             rack_alarms: Vec::new(),
             job_alarms: Vec::new(),
-            struck: 0,
+            faults_injected: 0,
             rng,
             queue: BTreeMap::new(),
             seq: 0,
@@ -207,7 +208,7 @@
         world
     }
 
-    /// Puts a configuration in force at every node.
+    /// Puts a configuration into force at every node.
     pub fn configure(&mut self, document: ConfigDocument) {
         let document = Arc::new(document);
         for i in 0..self.nodes.len() {
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Lets time pass until everybody settles, counted from now.
+    /// Runs the simulation for the given time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(entry) = self.queue.first_entry() {
@@ -227,7 +228,7 @@
             }
             let ((at, _), item) = entry.remove_entry();
             self.now = at;
-            self.take(item);
+            self.handle_item(item);
         }
         self.now = end;
     }
@@ -274,7 +275,7 @@
         self.push(after, Item::Leave(vm.parse().unwrap()));
     }
 
-    /// Reports take half a second for a while.
+    /// Delays reports by half a second during the given time.
     pub fn delay_reports(&mut self, span: Duration) {
         self.reports_late_until = self.now + span;
     }
@@ -285,11 +286,11 @@
         self.push(Duration::from_secs(5), Item::Unlist(vm.clone()));
     }
 
-    pub fn room(&self, node: usize) -> Vec<egretlb_tasks::VmSummary> {
+    pub fn vm_summaries(&self, node: usize) -> Vec<egretlb_tasks::VmSummary> {
         self.nodes[node].racks.summary()
     }
 
-    /// Tells the checker the final state of each accepted job.
+    /// Reports the final state of each accepted job to the checker.
     pub fn finish(&mut self) {
         for worker in self.workers.values_mut() {
             worker.advance(self.now, &self.options.classes, &mut self.checker);
@@ -320,11 +321,11 @@
         self.queue.insert((self.now + after, self.seq), item);
     }
 
-    fn jitter(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_micros(self.rng.random_range(least * 1_000..=most * 1_000))
+    fn jitter(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_micros(self.rng.random_range(min * 1_000..=max * 1_000))
     }
 
-    fn take(&mut self, item: Item) {
+    fn handle_item(&mut self, item: Item) {
         let target = match &item {
             Item::Tick(n) | Item::Job(n, _) | Item::Rack(n, _) | Item::Flush(n) => Some(*n),
             Item::Perform(n, ..) => Some(*n),
--- a/crates/tasks/tests/support/world/perform.rs
+++ b/crates/tasks/tests/support/world/perform.rs
@@ -1,4 +1,4 @@
-//! What nodes' effects do: messages, calls of workers, answers.
+//! Performs effects: messages, worker calls and answers.
 
 use {
     super::super::faults::{step_of_call, step_of_entry, step_of_job, step_of_node, step_of_rack},
@@ -6,8 +6,13 @@
 };
 
 impl World {
-    /// Whether the node can go on performing effects now; if not, they are kept for later.
-    pub(super) fn frozen(&mut self, n: usize, jobs: &[JobEffect], racks: &[RackEffect]) -> bool {
+    /// Postpones the effects of a paused node. Returns whether the node is paused or dead.
+    pub(super) fn postpone_if_paused(
+        &mut self,
+        n: usize,
+        jobs: &[JobEffect],
+        racks: &[RackEffect],
+    ) -> bool {
         let node = &self.nodes[n];
         if node.alive && self.now < node.paused_until {
             let after = node.paused_until.since(self.now);
@@ -18,7 +23,7 @@
 
     pub(super) fn perform_jobs(&mut self, n: usize, effects: Vec<JobEffect>) {
         for (i, effect) in effects.iter().enumerate() {
-            if self.frozen(n, &effects[i..], &[]) {
+            if self.postpone_if_paused(n, &effects[i..], &[]) {
                 return;
             }
             self.perform_job(n, effect.clone());
@@ -31,7 +36,7 @@
                 let epoch = self.nodes[n].view.get(&shard).copied().unwrap_or_default();
                 if let Some(step) = step_of_entry(&entry) {
                     let task = entry.job().clone();
-                    self.hook(step, Some(n), Some(shard), None, Some(&task));
+                    self.on_step(step, Some(n), Some(shard), None, Some(&task));
                 }
                 self.nodes[n].journal.push_back((shard, epoch, entry, ticket));
             }
@@ -59,7 +64,7 @@
 
     pub(super) fn perform_racks(&mut self, n: usize, effects: Vec<RackEffect>) {
         for (i, effect) in effects.iter().enumerate() {
-            if self.frozen(n, &[], &effects[i..]) {
+            if self.postpone_if_paused(n, &[], &effects[i..]) {
                 return;
             }
             self.perform_rack(n, effect.clone());
@@ -100,28 +105,29 @@
             Guard::Before(until) => self.now < until,
             Guard::Authority(shard) => {
                 let view = View(&node.view, node.held_until);
-                let off = !self.options.protections.authority;
-                off || view.epoch_if_held(self.now, shard).is_some()
+                let unprotected = !self.options.protections.authority;
+                unprotected || view.epoch_if_held(self.now, shard).is_some()
             }
         };
         if !passes {
             return self.answer(n, Duration::ZERO, ticket, Err(CallError::NotSent));
         }
         let rack = self.options.vms.iter().find(|r| r.vm == vm).map(|r| shard_of_rack(&r.rack));
-        let asked = self.hook(step_of_call(&call), Some(n), rack, Some(&vm), None);
-        // The answer to the same call, as a step of its own.
-        let told = match call {
-            WorkerCall::Start(_) => self.hook(Step::StartAnswer, Some(n), rack, Some(&vm), None),
-            WorkerCall::Stop(_) => self.hook(Step::StopAnswer, Some(n), rack, Some(&vm), None),
+        let call_fate = self.on_step(step_of_call(&call), Some(n), rack, Some(&vm), None);
+        // The answer is a step of its own.
+        let answer_fate = match call {
+            WorkerCall::Start(_) => self.on_step(Step::StartAnswer, Some(n), rack, Some(&vm), None),
+            WorkerCall::Stop(_) => self.on_step(Step::StopAnswer, Some(n), rack, Some(&vm), None),
             _ => Fate::Deliver,
         };
         let delay = self.jitter(1, 5);
         let late_report = matches!(call, WorkerCall::Report) && self.now < self.reports_late_until;
-        let (after, fate) = match (asked, told) {
+        let (after, fate) = match (call_fate, answer_fate) {
             (Fate::Lose, _) => {
                 return self.answer(n, CALL_TIMEOUT, ticket, Err(CallError::Unknown));
             }
-            // Taken up by the worker long after the caller has given it up, within a call's life.
+            // The worker gets it long after the caller's timeout, but within the maximum call
+            // delay.
             (Fate::Late | Fate::VeryLate, _) => (Duration::from_millis(950), CallFate::AnswerLost),
             (_, Fate::Lose) => (delay, CallFate::AnswerLost),
             (_, Fate::Late | Fate::VeryLate) => (delay, CallFate::AnswerLate),
@@ -153,7 +159,7 @@
         fate: CallFate,
     ) {
         let now = self.now;
-        // A start must see whether its task has ended elsewhere by now.
+        // A start must be checked against tasks that have ended elsewhere by now.
         if matches!(call, WorkerCall::Start(_)) {
             for worker in self.workers.values_mut() {
                 worker.advance(now, &self.options.classes, &mut self.checker);
@@ -184,7 +190,7 @@
         item: Item,
     ) {
         let fate = match step {
-            Some(step) => self.hook(step, Some(n), shard, vm.as_ref(), None),
+            Some(step) => self.on_step(step, Some(n), shard, vm.as_ref(), None),
             None => Fate::Deliver,
         };
         let delay = self.jitter(1, 10);
--- a/crates/tasks/tests/thin_path.rs
+++ b/crates/tasks/tests/thin_path.rs
@@ -1,4 +1,4 @@
-//! One job from its submission to its end.
+//! A job without faults, from submission to end.
 
 mod support;
 
@@ -19,7 +19,7 @@
         classes: behaviour,
         limits: Limits { max_call_delay: Duration::from_secs(1), ..Limits::default() },
         protections: Protections::default(),
-        cells: Vec::new(),
+        faults: Vec::new(),
         learning: true,
     })
 }
--- a/crates/tasks/tests/urgent_quota.rs
+++ b/crates/tasks/tests/urgent_quota.rs
@@ -1,4 +1,4 @@
-//! Quotas, lending, and taking lent room back for urgent work.
+//! Quotas, and reclaiming capacity of teams over quota.
 
 mod support;
 
@@ -16,7 +16,8 @@
     class
 }
 
-/// Two teams with half of 18 cores each: `bulk` floods, `urgent` comes later.
+/// Two teams with a quota of 9 of 18 cores each: `big` submits `bulk` jobs first, `small` a
+/// `recall` job later.
 fn world(learning: bool) -> World {
     let bulk = of_team(batch_class("bulk", resources(1.0, 1.0, 0), SECOND * 300, false), "big");
     let urgent = of_team(batch_class("recall", resources(1.0, 1.0, 0), SECOND * 4, true), "small");
@@ -35,7 +36,7 @@
         ]),
         limits: Limits { min_run_time: SECOND * 5, ..WorldOptions::quick_limits() },
         protections: Protections::default(),
-        cells: Vec::new(),
+        faults: Vec::new(),
         learning,
     });
     world.run(SECOND * 3);
@@ -52,10 +53,9 @@
     }
 }
 
-// One team's batch holds the whole cluster, half of it lent. Another team's urgent work comes. If
-// lent room weren't taken back it would wait for minutes; a recall notice would come too late.
+// Guards against urgent jobs that wait for minutes behind a team over its quota.
 #[test]
-fn lent_room_is_taken_back() {
+fn over_quota_capacity_is_reclaimed() {
     let mut world = world(true);
     for i in 0..10 {
         world.submit(job(&format!("bulk{i}"), "bulk", 2));
