--- a/crates/tasks/src/learn/sizes.rs
+++ b/crates/tasks/src/learn/sizes.rs
@@ -25,7 +25,7 @@
 
 /// Share of the learned peak that is kept per ended task. The peak follows a class that uses less
 /// within some hundred tasks.
-const PEAK_DECAY_PERMILLE: u64 = 990;
+const PEAK_RETAINED_PERMILLE: u64 = 990;
 
 /// Weight of a new run time in the moving average.
 const RUN_TIME_WEIGHT_PERMILLE: u64 = 100;
@@ -72,7 +72,7 @@
     /// Records the end of a task.
     pub fn record_end(&mut self, class: &ClassName, peak: &Resources, ran: Duration, end: TaskEnd) {
         let size = self.entry(class);
-        size.peak = scale(&size.peak, PEAK_DECAY_PERMILLE).max(peak);
+        size.peak = scale(&size.peak, PEAK_RETAINED_PERMILLE).max(peak);
         if end != TaskEnd::Done {
             // The run time of a failed task isn't representative.
             return;
