--- a/crates/tasks/src/lib.rs
+++ b/crates/tasks/src/lib.rs
@@ -1,11 +1,12 @@
-//! Jobs and tasks: leases, placement, eviction, quotas and recovery, as two reducers.
+//! Jobs and tasks: leases, placement, eviction, quotas and recovery, as two state machines without
+//! I/O.
 //!
-//! [`JobBook`] knows where each task may run and journals it; [`RackBook`] knows what each VM
-//! holds and journals nothing, since a successor learns it from the VMs' reports. They meet only
-//! through the messages of [`msg`], which may be lost, doubled, delayed and reordered.
+//! [`JobTable`] journals where each task may run. [`RackTable`] tracks what each VM runs and
+//! journals nothing: a successor rebuilds it from the VMs' reports. They communicate only through
+//! the messages of [`msg`], which may be lost, duplicated, delayed and reordered.
 //!
-//! The trade-off: two owners cost a start two more messages than one owner would, but no fact is
-//! ever handed over between owners, so no message has to be confirmed for a fact to be true.
+//! Two owners cost two more messages per start than one would, but no state is handed over between
+//! them, so no handover has to be confirmed.
 
 mod jobs;
 mod learn;
@@ -15,14 +16,14 @@
 
 pub use crate::{
     jobs::{
-        CallId, JobAlarm, JobBook, JobBookBuilder, JobCounts, JobEffect, JobEntry, JobEvent,
-        JobRefusal, JobReply, JobSnapshot, JobSpec, JobStatus, TaskRecord, TaskResult,
+        CallId, JobAlarm, JobCounts, JobEffect, JobEntry, JobEvent, JobRefusal, JobReply,
+        JobSnapshot, JobSpec, JobStatus, JobTable, JobTableBuilder, TaskRecord, TaskResult,
         job_shard_of_task, service_job,
     },
-    learn::{InterferenceTable, Learned, SizeTable},
+    learn::{ClassStatistics, InterferenceModel, SizeTable},
     limits::{Limits, Protections},
     racks::{
-        Backend, CallError, Guard, RackAlarm, RackBook, RackBookBuilder, RackEffect, RackEvent,
+        Backend, CallError, Guard, RackAlarm, RackEffect, RackEvent, RackTable, RackTableBuilder,
         VmSummary, WorkerAnswer, WorkerCall,
     },
 };
--- a/crates/tasks/src/racks/mod.rs
+++ b/crates/tasks/src/racks/mod.rs
@@ -1,16 +1,16 @@
-//! The book of what VMs hold, for the rack shards that a node owns.
+//! Table of VMs and their attempts, for the rack shards that a node owns.
 //!
-//! It alone talks to its racks' VMs: it reserves room, passes starts and stops on, renews the
-//! leases of all that runs there, polls reports, and tells the jobs' owners how attempts ended.
-//! It journals nothing: a successor adopts what the VMs report, and grants nothing on a VM before
-//! it has a report that no call of the predecessor can make untrue.
+//! It alone calls its racks' VMs: it makes reservations, forwards starts and stops, renews leases,
+//! polls reports, and reports ends to the jobs' owners. It journals nothing: a successor adopts
+//! what the VMs report, and grants nothing on a VM before it has a report that no call of the
+//! predecessor can change.
 
 mod answers;
 mod api;
+mod eviction;
 mod index;
 mod lease;
 mod place;
-mod pressure;
 mod report;
 mod start;
 mod vm;
@@ -23,16 +23,16 @@
 use {
     crate::{
         jobs::job_shard_of_task,
-        learn::Learned,
+        learn::ClassStatistics,
         limits::{Limits, Protections},
-        msg::{JobMsg, NodeMsg, NodeRoom, RackMsg, ReservationId},
+        msg::{JobMsg, NodeCapacity, NodeMsg, RackMsg, ReservationId},
     },
     egretlb_types::{
         Authority, ClassName, ConfigDocument, Epoch, Resources, ShardId, TaskId, TeamName, Ticket,
         Time, VmId, VmRecord, shard_of_rack, worker::TaskFence,
     },
-    index::RoomIndex,
-    pressure::Pressure,
+    eviction::EvictionState,
+    index::CapacityIndex,
     rand::{SeedableRng, rngs::SmallRng},
     smallvec::SmallVec,
     std::{
@@ -43,27 +43,27 @@
     vm::Vm,
 };
 
-/// What is kept of one owned shard.
+/// State of an owned shard.
 #[derive(Clone, Copy, Debug)]
 struct RackShard {
     epoch: Epoch,
     owned_at: Time,
     released: bool,
-    /// When authority was last seen to be held; renewals go on for a while after it.
-    held_at: Time,
+    /// When authority was last held; renewals go on for a limited time after it.
+    authority_seen_at: Time,
 }
 
-/// A call of a worker that isn't answered yet.
+/// A worker call in progress.
 #[derive(Clone, Debug)]
 struct Call {
     vm: VmId,
     sent: Time,
-    about: About,
+    kind: CallKind,
 }
 
-/// What a call is about.
+/// The kind of a call, with its attempt.
 #[derive(Clone, Debug)]
-enum About {
+enum CallKind {
     Start(TaskFence),
     Renew,
     Stop(TaskFence),
@@ -71,106 +71,106 @@
     Report,
 }
 
-/// Builds a [`RackBook`].
+/// Builds a [`RackTable`].
 #[derive(Debug, Default)]
-pub struct RackBookBuilder {
+pub struct RackTableBuilder {
     limits: Limits,
     protections: Protections,
     seed: u64,
     learning: bool,
 }
 
-impl RackBookBuilder {
-    /// Other limits than the default ones.
+impl RackTableBuilder {
+    /// Overrides the default limits.
     pub fn limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Switches protections off, in tests.
+    /// Disables protections, in tests.
     pub fn protections(mut self, protections: Protections) -> Self {
         self.protections = protections;
         self
     }
 
-    /// The seed of the book's random choices.
+    /// Seed of the random placement choices.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Whether sizes and interference are learned. Off only for a baseline to measure against.
-    pub fn learning(mut self, on: bool) -> Self {
-        self.learning = on;
+    /// Whether sizes and interference are learned. Disabled only as a baseline to compare with.
+    pub fn learning(mut self, enabled: bool) -> Self {
+        self.learning = enabled;
         self
     }
 
-    /// The book, without any shards.
-    pub fn build(self) -> RackBook {
-        RackBook {
+    /// Builds a table without any shards.
+    pub fn build(self) -> RackTable {
+        RackTable {
             limits: self.limits,
             protections: self.protections,
             rng: SmallRng::seed_from_u64(self.seed),
-            learned: Learned::new(self.learning),
+            learned: ClassStatistics::new(self.learning),
             document: Arc::default(),
             shards: BTreeMap::new(),
-            list: Arc::default(),
+            vm_list: Arc::default(),
             vms: BTreeMap::new(),
             slots: Vec::new(),
             free_slots: Vec::new(),
-            index: RoomIndex::default(),
+            index: CapacityIndex::default(),
             placed: HashMap::new(),
             calls: HashMap::new(),
             next_ticket: Ticket(0),
             backends_changed: BTreeSet::new(),
-            pressure: Pressure::default(),
+            eviction: EvictionState::default(),
             usage: BTreeMap::new(),
-            room: NodeRoom::default(),
-            sum_up_at: Time::ZERO,
+            capacity: NodeCapacity::default(),
+            next_totals_at: Time::ZERO,
             quarantined: BTreeSet::new(),
         }
     }
 }
 
-/// The book of what VMs hold: room, leases, attempts, health.
+/// Table of VMs: free capacity, leases, attempts and health.
 #[derive(Debug)]
-pub struct RackBook {
+pub struct RackTable {
     limits: Limits,
     protections: Protections,
     rng: SmallRng,
-    learned: Learned,
+    learned: ClassStatistics,
     document: Arc<ConfigDocument>,
     shards: BTreeMap<ShardId, RackShard>,
-    list: Arc<Vec<VmRecord>>,
+    vm_list: Arc<Vec<VmRecord>>,
     vms: BTreeMap<VmId, Vm>,
-    /// The VM of each slot of the index.
+    /// VM by slot of the capacity index.
     slots: Vec<VmId>,
     free_slots: Vec<u32>,
-    index: RoomIndex,
-    /// The reservation of each task that has one, so that a doubled question gets one answer.
+    index: CapacityIndex,
+    /// The reservation of each task that has one, so that a repeated request gets the same grant.
     placed: HashMap<TaskId, (VmId, ReservationId)>,
     calls: HashMap<Ticket, Call>,
     next_ticket: Ticket,
     backends_changed: BTreeSet<ShardId>,
-    pressure: Pressure,
-    /// What each team's batch work holds, as last summed up.
+    eviction: EvictionState,
+    /// Resources held by each team's batch tasks, as of the last update.
     usage: BTreeMap<TeamName, Resources>,
-    /// The room of all VMs, as last summed up.
-    room: NodeRoom,
-    sum_up_at: Time,
+    /// Capacity of all VMs, as of the last update.
+    capacity: NodeCapacity,
+    next_totals_at: Time,
     quarantined: BTreeSet<VmId>,
 }
 
-/// How often room and use are summed up over all VMs.
-const SUM_UP_EVERY: Duration = Duration::from_millis(500);
+/// Interval between updates of the capacity and usage totals.
+const TOTALS_INTERVAL: Duration = Duration::from_millis(500);
 
-impl RackBook {
-    /// A builder with learning on.
-    pub fn builder() -> RackBookBuilder {
-        RackBookBuilder { learning: true, ..RackBookBuilder::default() }
+impl RackTable {
+    /// Creates a builder with learning enabled.
+    pub fn builder() -> RackTableBuilder {
+        RackTableBuilder { learning: true, ..RackTableBuilder::default() }
     }
 
-    /// Takes in one event and puts what is to be done into `out`.
+    /// Handles one event and appends its effects to `out`.
     pub fn step(
         &mut self,
         now: Time,
@@ -178,21 +178,23 @@
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) {
-        self.note_authority(now, auth);
+        self.record_authority(now, auth);
         match event {
-            RackEvent::Owned { shard, epoch, released } => self.own(now, shard, epoch, released),
-            RackEvent::Lost { shard } => self.lose(shard),
+            RackEvent::Owned { shard, epoch, released } => {
+                self.acquire_shard(now, shard, epoch, released)
+            }
+            RackEvent::Lost { shard } => self.drop_shard(shard),
             RackEvent::Config { document } => self.document = document,
             RackEvent::Tick => self.tick(now, auth, out),
             RackEvent::Vms { vms } => {
-                self.list = Arc::new(vms);
-                self.take_list(now);
+                self.vm_list = Arc::new(vms);
+                self.apply_vm_list(now);
             }
             RackEvent::NodeMessage { from: _, msg: NodeMsg::Place(place) } => {
                 self.place(now, place, auth, out);
             }
-            RackEvent::NodeMessage { from: _, msg: NodeMsg::Pressure { class, missing } } => {
-                self.pressure.note(now, class, missing);
+            RackEvent::NodeMessage { from: _, msg: NodeMsg::TargetStatus { class, missed } } => {
+                self.eviction.record_target(now, class, missed);
             }
             RackEvent::RackMessage { shard, msg } => match msg {
                 RackMsg::Start(start) => self.on_start(now, shard, start, auth, out),
@@ -213,38 +215,38 @@
             self.poll(now, id, out);
             self.renew(now, id, out);
             self.call_due(now, id, auth, out);
-            self.drain_leaving(now, id, out);
-            self.tell_ends(now, id, out);
+            self.drain_vm(now, id, out);
+            self.report_ends(now, id, out);
         }
-        if now >= self.sum_up_at {
-            self.sum_up_at = now + SUM_UP_EVERY;
-            self.sum_up();
+        if now >= self.next_totals_at {
+            self.next_totals_at = now + TOTALS_INTERVAL;
+            self.update_totals();
         }
-        self.relieve(now, auth, out);
-        self.tell_backends(out);
+        self.protect_services(now, auth, out);
+        self.report_backends(out);
     }
 
-    fn note_authority(&mut self, now: Time, auth: &dyn Authority) {
-        for (shard, kept) in &mut self.shards {
-            if auth.epoch_if_held(now, *shard) == Some(kept.epoch) {
-                kept.held_at = now;
+    fn record_authority(&mut self, now: Time, auth: &dyn Authority) {
+        for (shard, state) in &mut self.shards {
+            if auth.epoch_if_held(now, *shard) == Some(state.epoch) {
+                state.authority_seen_at = now;
             }
         }
     }
 
-    /// Whether unsafe steps are allowed for the shard now.
-    fn holds(&self, now: Time, shard: ShardId, auth: &dyn Authority) -> bool {
-        let Some(kept) = self.shards.get(&shard) else { return false };
-        !self.protections.authority || auth.epoch_if_held(now, shard) == Some(kept.epoch)
+    /// Whether this node holds authority for the shard.
+    fn has_authority(&self, now: Time, shard: ShardId, auth: &dyn Authority) -> bool {
+        let Some(state) = self.shards.get(&shard) else { return false };
+        !self.protections.authority || auth.epoch_if_held(now, shard) == Some(state.epoch)
     }
 
-    fn own(&mut self, now: Time, shard: ShardId, epoch: Epoch, released: bool) {
-        let kept = RackShard { epoch, owned_at: now, released, held_at: now };
-        self.shards.insert(shard, kept);
-        self.take_list(now);
+    fn acquire_shard(&mut self, now: Time, shard: ShardId, epoch: Epoch, released: bool) {
+        let state = RackShard { epoch, owned_at: now, released, authority_seen_at: now };
+        self.shards.insert(shard, state);
+        self.apply_vm_list(now);
     }
 
-    fn lose(&mut self, shard: ShardId) {
+    fn drop_shard(&mut self, shard: ShardId) {
         self.shards.remove(&shard);
         let gone: Vec<VmId> = self
             .vms
@@ -258,15 +260,15 @@
         self.calls.retain(|_, call| !gone.contains(&call.vm));
     }
 
-    fn take_list(&mut self, now: Time) {
+    fn apply_vm_list(&mut self, now: Time) {
         for vm in self.vms.values_mut() {
             vm.listed = false;
         }
-        let list = Arc::clone(&self.list);
-        for record in list.iter() {
+        let vm_list = Arc::clone(&self.vm_list);
+        for record in vm_list.iter() {
             let shard = shard_of_rack(&record.rack);
             if self.shards.contains_key(&shard) {
-                self.take_record(now, shard, record);
+                self.apply_vm_record(now, shard, record);
             }
         }
         let gone: Vec<VmId> = self
@@ -282,7 +284,7 @@
         ids.iter().for_each(|id| self.reindex(id));
     }
 
-    fn take_record(&mut self, now: Time, shard: ShardId, record: &VmRecord) {
+    fn apply_vm_record(&mut self, now: Time, shard: ShardId, record: &VmRecord) {
         if let Some(vm) = self.vms.get_mut(&record.vm) {
             vm.listed = true;
             if vm.record != *record {
@@ -299,7 +301,7 @@
         }
         let mut vm = Vm::new(record.clone(), shard, slot, now);
         let owned_at = self.shards[&shard].owned_at;
-        vm.fresh_from = owned_at + self.limits.call_life;
+        vm.fresh_from = owned_at + self.limits.max_call_delay;
         vm.lease_bound = self.inherited_bound(shard);
         self.vms.insert(record.vm.clone(), vm);
     }
@@ -313,7 +315,7 @@
         self.placed.retain(|_, (at, _)| at != id);
     }
 
-    /// Puts the VM where its room now belongs in the index.
+    /// Updates the VM's resource sums and its place in the capacity index.
     fn reindex(&mut self, id: &VmId) {
         let Some(vm) = self.vms.get_mut(id) else { return };
         vm.recount();
@@ -322,15 +324,16 @@
         } else {
             self.quarantined.remove(id);
         }
-        let open = vm.may_grant(self.protections.report_before_grant) && !vm.health.quarantined;
+        let accepts_tasks =
+            vm.may_grant(self.protections.report_before_grant) && !vm.health.quarantined;
         let checked = self.protections.capacity_check;
-        let room = if checked { vm.room() } else { vm.record.capacity };
-        self.index.set(vm.slot, open.then_some(&room));
+        let free = if checked { vm.free_capacity() } else { vm.record.capacity };
+        self.index.set(vm.slot, accepts_tasks.then_some(&free));
     }
 
-    fn ticket(&mut self, now: Time, vm: &VmId, about: About) -> Ticket {
+    fn ticket(&mut self, now: Time, vm: &VmId, kind: CallKind) -> Ticket {
         self.next_ticket = self.next_ticket.next();
-        self.calls.insert(self.next_ticket, Call { vm: vm.clone(), sent: now, about });
+        self.calls.insert(self.next_ticket, Call { vm: vm.clone(), sent: now, kind });
         self.next_ticket
     }
 
@@ -338,30 +341,30 @@
         &mut self,
         now: Time,
         id: &VmId,
-        about: About,
+        kind: CallKind,
         call: WorkerCall,
         guard: Guard,
         out: &mut Vec<RackEffect>,
     ) {
         let addr = self.vms[id].record.addr.clone();
-        let ticket = self.ticket(now, id, about);
+        let ticket = self.ticket(now, id, kind);
         out.push(RackEffect::CallWorker { vm: id.clone(), addr, ticket, call, guard });
     }
 
-    /// What the node's VMs can hold.
-    fn count_room(&self) -> NodeRoom {
-        let mut room = NodeRoom::default();
+    /// Sums the capacity of the node's VMs.
+    fn node_capacity(&self) -> NodeCapacity {
+        let mut capacity = NodeCapacity::default();
         for vm in self.vms.values() {
-            room.add_size(&vm.record.capacity);
+            capacity.add_size(&vm.record.capacity);
             if vm.may_grant(self.protections.report_before_grant) {
-                room.vms += 1;
-                room.free = room.free.plus(&vm.room());
+                capacity.vms += 1;
+                capacity.free = capacity.free.plus(&vm.free_capacity());
             }
         }
-        room
+        capacity
     }
 
-    /// What each VM holds, for a state dump.
+    /// State of each VM, for a state dump.
     pub fn summary(&self) -> Vec<VmSummary> {
         let summary = |vm: &Vm| VmSummary {
             vm: vm.record.vm.clone(),
@@ -375,20 +378,23 @@
         self.vms.values().map(summary).collect()
     }
 
-    fn tell_backends(&mut self, out: &mut Vec<RackEffect>) {
+    fn report_backends(&mut self, out: &mut Vec<RackEffect>) {
         for shard in std::mem::take(&mut self.backends_changed) {
             let backends = self.backends(shard);
             out.push(RackEffect::Backends { shard, backends });
         }
     }
 
-    /// The VMs of a shard that answer requests now.
+    /// The VMs of a shard that serve requests now.
     pub fn backends(&self, shard: ShardId) -> Vec<Backend> {
-        let serves = |vm: &&Vm| vm.shard == shard && !vm.is_leaving() && !vm.lost;
+        let serves = |vm: &&Vm| vm.shard == shard && !vm.is_draining() && !vm.lost;
         let backend = |vm: &Vm| {
-            let running =
-                vm.attempts.values().filter(|on| on.service && on.phase == vm::Phase::Running);
-            let classes: SmallVec<[ClassName; 4]> = running.map(|on| on.class.clone()).collect();
+            let running = vm
+                .attempts
+                .values()
+                .filter(|attempt| attempt.service && attempt.phase == vm::Phase::Running);
+            let classes: SmallVec<[ClassName; 4]> =
+                running.map(|attempt| attempt.class.clone()).collect();
             Backend {
                 vm: vm.record.vm.clone(),
                 addr: vm.record.addr.clone(),
--- a/crates/tasks/tests/thin_path.rs
+++ b/crates/tasks/tests/thin_path.rs
@@ -1,4 +1,4 @@
-//! One job from its submission to its end.
+//! A job without faults, from submission to end.
 
 mod support;
 
@@ -17,9 +17,9 @@
         vms: vms(6, 2, resources(4.0, 8.0, 0)),
         document: document(classes),
         classes: behaviour,
-        limits: Limits { call_life: Duration::from_secs(1), ..Limits::default() },
+        limits: Limits { max_call_delay: Duration::from_secs(1), ..Limits::default() },
         protections: Protections::default(),
-        cells: Vec::new(),
+        faults: Vec::new(),
         learning: true,
     })
 }
