--- a/crates/log/src/journal/batch.rs
+++ b/crates/log/src/journal/batch.rs
@@ -1,17 +1,17 @@
-//! The record of a journal: a batch of entries with its writer and number.
+//! The record format of a journal: a batch of entries with its writer and sequence number.
 
 use {
     egretlb_types::{Epoch, NodeId, Seq, ShardId},
     serde::{Deserialize, Serialize},
 };
 
-/// The layout of [`JournalBatch`]; a reader skips batches of a layout that it doesn't know.
-const LAYOUT: u8 = 1;
+/// Format version of [`JournalBatch`]; a reader skips batches of other versions.
+const FORMAT_VERSION: u8 = 1;
 
-/// What an entry is to its shard.
+/// The kind of an entry.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub enum EntryKind {
-    /// The shard's whole state; everything earlier of the epoch is superseded.
+    /// The shard's whole state; supersedes all earlier entries of the epoch.
     Snapshot,
     /// One change since the snapshot.
     Change,
@@ -22,36 +22,36 @@
 pub struct JournalEntry {
     /// The shard.
     pub shard: ShardId,
-    /// The epoch under which its owner wrote the entry.
+    /// The epoch of the owner that wrote the entry.
     pub epoch: Epoch,
-    /// Snapshot or change.
+    /// Whether it is a snapshot or a change.
     pub kind: EntryKind,
-    /// The shard's own encoding.
+    /// The snapshot or change, encoded by the shard's owner.
     pub body: Vec<u8>,
 }
 
 /// One append: entries of any number of shards.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct JournalBatch {
-    /// The only process that writes this journal.
+    /// The node that writes this journal.
     pub writer: NodeId,
-    /// The number of the batch; an append repeated after a lost answer carries the same.
+    /// The sequence number; a repeated append carries the same number.
     pub seq: Seq,
-    /// The entries, in the order in which they were decided.
+    /// The entries, in the order in which they were pushed.
     pub entries: Vec<JournalEntry>,
 }
 
 impl JournalBatch {
-    /// The batch as the bytes of a record.
+    /// Encodes the batch as a record.
     pub fn encode(&self) -> Vec<u8> {
-        let buf = vec![LAYOUT];
-        // Writing to a growing buffer can't fail for types without maps of unknown length.
+        let buf = vec![FORMAT_VERSION];
+        // Encoding into a growable buffer fails only for sequences of unknown length.
         postcard::to_extend(self, buf).unwrap_or_default()
     }
 
-    /// Reads a record; `None` for one of another layout or a broken one.
+    /// Decodes a record; `None` if it has another format version or is malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let (layout, rest) = bytes.split_first()?;
-        (*layout == LAYOUT).then(|| postcard::from_bytes(rest).ok())?
+        let (version, rest) = bytes.split_first()?;
+        (*version == FORMAT_VERSION).then(|| postcard::from_bytes(rest).ok())?
     }
 }
--- a/crates/log/src/journal/mod.rs
+++ b/crates/log/src/journal/mod.rs
@@ -1,4 +1,4 @@
-//! The journal of a node: what it appends, how it groups it, and how a successor reads it.
+//! The journal of a node: its record format, writer and reader.
 
 mod batch;
 mod reader;
--- a/crates/log/src/journal/reader.rs
+++ b/crates/log/src/journal/reader.rs
@@ -1,4 +1,4 @@
-//! Reading the journal of a predecessor.
+//! Reads the journal of a predecessor.
 
 use {
     crate::{
@@ -9,21 +9,21 @@
     std::{collections::BTreeMap, fmt},
 };
 
-/// A change read back: the body of one entry.
+/// The body of one change entry.
 pub type Change = Vec<u8>;
 
-/// What to do after a page.
+/// The next step after a read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadStep {
     /// Read on from [`JournalReader::next`].
     More,
-    /// The end was reached: [`JournalReader::recovered`] may be asked.
+    /// The end was reached: [`JournalReader::recovered`] is complete.
     End,
-    /// The log didn't answer; read again from [`JournalReader::next`] after a while.
+    /// The log is unavailable; retry from [`JournalReader::next`] later.
     Unavailable,
 }
 
-/// What the predecessor left of a shard.
+/// A shard's state as recovered from its predecessor's journal.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Recovered {
     /// The body of the newest snapshot.
@@ -39,9 +39,9 @@
     NoSnapshot {
         /// The shard.
         shard: ShardId,
-        /// The epoch that was looked for.
+        /// The requested epoch.
         epoch: Epoch,
-        /// Whether records of the journal had expired before they were read.
+        /// Whether records of the journal had expired.
         expired: bool,
     },
 }
@@ -60,11 +60,10 @@
 
 impl std::error::Error for RecoverError {}
 
-/// The fold of one node's journal.
+/// Replays one node's journal.
 ///
-/// A record that was appended twice after a lost answer is dropped the second time, or a change
-/// would be applied twice. Since a writer has one append under way at a time, every number up to
-/// the last one folded has been seen: a late copy is recognised however late it comes.
+/// Drops duplicate records, which repeated appends leave behind. A writer has one append in
+/// flight at a time, so a record whose sequence number isn't above the last one is a duplicate.
 #[derive(Clone, Debug)]
 pub struct JournalReader {
     writer: NodeId,
@@ -78,7 +77,7 @@
 }
 
 impl JournalReader {
-    /// A reader of the journal of `writer` that keeps the shards of `wanted` under their epochs.
+    /// Creates a reader of the journal of `writer` for the given shards and epochs.
     pub fn new(writer: NodeId, wanted: impl IntoIterator<Item = (ShardId, Epoch)>) -> Self {
         JournalReader {
             writer,
@@ -92,35 +91,35 @@
         }
     }
 
-    /// Begins at `start`, before which the writer said that nothing is needed.
+    /// Starts at `start` rather than at the beginning of the journal.
     pub fn starting_at(mut self, start: Offset) -> Self {
         self.next = start;
         self
     }
 
-    /// For tests of the checker only: applies records that were appended twice a second time.
+    /// For tests only: applies duplicate records.
     #[doc(hidden)]
     pub fn without_dedupe(mut self) -> Self {
         self.dedupe = false;
         self
     }
 
-    /// Where to read.
+    /// The offset of the next read.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Whose journal is read.
+    /// The node whose journal is read.
     pub fn writer(&self) -> NodeId {
         self.writer
     }
 
-    /// How many records couldn't be read; worth an alarm if there are any.
+    /// Number of records that are malformed or from another writer; normally zero.
     pub fn unreadable(&self) -> u64 {
         self.unreadable
     }
 
-    /// Folds the answer to a read from [`JournalReader::next`].
+    /// Applies the outcome of a read from [`JournalReader::next`].
     pub fn fold(&mut self, outcome: ReadOutcome) -> ReadStep {
         match outcome {
             ReadOutcome::Unavailable => ReadStep::Unavailable,
@@ -131,7 +130,7 @@
             }
             ReadOutcome::Page { records, next, end } => {
                 for record in records {
-                    self.fold_record(&record);
+                    self.apply_record(&record);
                 }
                 self.next = next;
                 if end { ReadStep::End } else { ReadStep::More }
@@ -139,13 +138,13 @@
         }
     }
 
-    /// What was left of the shard by the owner of the epoch.
+    /// The shard's state as written by the owner of the epoch.
     pub fn recovered(&self, shard: ShardId, epoch: Epoch) -> Result<&Recovered, RecoverError> {
-        let missing = RecoverError::NoSnapshot { shard, epoch, expired: self.expired };
-        self.shards.get(&(shard, epoch)).ok_or(missing)
+        let no_snapshot = RecoverError::NoSnapshot { shard, epoch, expired: self.expired };
+        self.shards.get(&(shard, epoch)).ok_or(no_snapshot)
     }
 
-    fn fold_record(&mut self, record: &Record) {
+    fn apply_record(&mut self, record: &Record) {
         let Some(batch) = JournalBatch::decode(&record.bytes) else {
             self.unreadable += 1;
             return;
@@ -154,16 +153,16 @@
             self.unreadable += 1;
             return;
         }
-        if self.dedupe && self.last_seq.is_some_and(|seen| batch.seq <= seen) {
+        if self.dedupe && self.last_seq.is_some_and(|last| batch.seq <= last) {
             return;
         }
         self.last_seq = Some(batch.seq);
         for entry in batch.entries {
-            self.fold_entry(entry);
+            self.apply_entry(entry);
         }
     }
 
-    fn fold_entry(&mut self, entry: JournalEntry) {
+    fn apply_entry(&mut self, entry: JournalEntry) {
         let key = (entry.shard, entry.epoch);
         if !self.wanted.contains(&key) {
             return;
@@ -173,8 +172,8 @@
                 let recovered = Recovered { snapshot: entry.body, changes: Vec::new() };
                 self.shards.insert(key, recovered);
             }
-            // A change without a snapshot before it was written before a snapshot that has
-            // expired; a later snapshot supersedes it, and without one the shard is lost.
+            // Without a preceding snapshot the snapshot has expired: a later one supersedes this
+            // change, or the shard can't be recovered.
             EntryKind::Change => {
                 if let Some(recovered) = self.shards.get_mut(&key) {
                     recovered.changes.push(entry.body);
--- a/crates/log/src/journal/upkeep.rs
+++ b/crates/log/src/journal/upkeep.rs
@@ -1,123 +1,129 @@
-//! When a shard's snapshot must be written again.
+//! Schedules the snapshots of the shards in a node's journal.
 //!
-//! Without it a shard that changes seldom loses its snapshot to the log's retention, and a busy
-//! one makes its successor read a journal without bound. One would notice only at the next
-//! succession, when it is too late.
+//! A snapshot is renewed before the log's retention expires it, and after enough changes that a
+//! successor reads a bounded journal.
 
 use {
     egretlb_types::{NodeId, Offset, ShardId, Time, rendezvous_score},
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// A shard is asked for its snapshot again if none came this long after it was asked.
-const ASK_AGAIN: Duration = Duration::from_secs(10);
+/// How long to wait for a requested snapshot before it is requested again.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// At most this many shards are asked for at one time: a snapshot is larger than a change, and
-/// all shards of a node that were taken over together would fall due together.
-const ASKED_AT_ONCE: usize = 2;
+/// Maximum number of outstanding snapshot requests; staggers shards that were taken over together.
+const MAX_OUTSTANDING_REQUESTS: usize = 2;
 
-/// A journal is at least this long before its length alone asks for a snapshot, in bytes.
-const LENGTH_FLOOR: u64 = 256 * 1024;
+/// Bytes of changes below which their size doesn't make a snapshot due.
+const MIN_CHANGES_BYTES: u64 = 256 * 1024;
 
-/// The journal since the snapshot may be this many times as long as the snapshot: the work of
-/// writing snapshots is then at most this fraction of all that is written.
-const LENGTH_FACTOR: u64 = 4;
+/// Maximum ratio of changes to snapshot size; bounds the share of snapshots in the journal.
+const MAX_CHANGES_RATIO: u64 = 4;
 
-/// The whole journal may grow by this much over a snapshot, whichever shards it is about, in
-/// bytes: a successor reads from the oldest snapshot on. At 250 starts a second over 17 owners it
-/// is some 15 minutes of journal.
-const JOURNAL_MAX: u64 = 4 * 1024 * 1024;
+/// Maximum number of bytes that a node appends after a snapshot, for all its shards: a successor
+/// reads from the oldest snapshot on.
+const MAX_JOURNAL_GROWTH_BYTES: u64 = 4 * 1024 * 1024;
 
 #[derive(Clone, Debug)]
-struct ShardUpkeep {
-    snapshot_at: Offset,
-    written_before: u64,
+struct ShardSnapshot {
+    snapshot_offset: Offset,
+    journal_bytes_before: u64,
     snapshot_sent: Time,
     snapshot_len: u64,
     changes_len: u64,
-    asked: Option<Time>,
+    requested_at: Option<Time>,
 }
 
-/// Follows what is durable of each shard in this node's journal.
+/// Tracks the latest durable snapshot of each shard and the changes after it.
 #[derive(Clone, Debug)]
-pub(crate) struct Upkeep {
+pub(crate) struct SnapshotSchedule {
     node: NodeId,
     retention: Duration,
-    written: u64,
-    shards: BTreeMap<ShardId, ShardUpkeep>,
+    journal_bytes: u64,
+    shards: BTreeMap<ShardId, ShardSnapshot>,
 }
 
-impl Upkeep {
+impl SnapshotSchedule {
     pub(crate) fn new(node: NodeId, retention: Duration) -> Self {
-        Upkeep { node, retention, written: 0, shards: BTreeMap::new() }
+        SnapshotSchedule { node, retention, journal_bytes: 0, shards: BTreeMap::new() }
     }
 
-    /// A record is durable.
-    pub(crate) fn wrote(&mut self, len: usize) {
-        self.written += len as u64;
+    /// Counts a durable record of `len` bytes.
+    pub(crate) fn record_durable(&mut self, len: usize) {
+        self.journal_bytes += len as u64;
     }
 
-    /// A snapshot first sent at `sent` is durable in the record at `at`. The log counts retention
-    /// from the append, which wasn't earlier.
-    pub(crate) fn snapshot(&mut self, shard: ShardId, sent: Time, at: Offset, len: usize) {
-        let fresh = ShardUpkeep {
-            snapshot_at: at,
-            written_before: self.written,
+    /// Records a durable snapshot that was first sent at `sent`, the earliest time from which
+    /// the log may count its retention.
+    pub(crate) fn snapshot_durable(
+        &mut self,
+        shard: ShardId,
+        sent: Time,
+        offset: Offset,
+        len: usize,
+    ) {
+        let snapshot = ShardSnapshot {
+            snapshot_offset: offset,
+            journal_bytes_before: self.journal_bytes,
             snapshot_sent: sent,
             snapshot_len: len as u64,
             changes_len: 0,
-            asked: None,
+            requested_at: None,
         };
-        self.shards.insert(shard, fresh);
+        self.shards.insert(shard, snapshot);
     }
 
-    pub(crate) fn change(&mut self, shard: ShardId, len: usize) {
-        if let Some(upkeep) = self.shards.get_mut(&shard) {
-            upkeep.changes_len += len as u64;
+    pub(crate) fn change_durable(&mut self, shard: ShardId, len: usize) {
+        if let Some(snapshot) = self.shards.get_mut(&shard) {
+            snapshot.changes_len += len as u64;
         }
     }
 
-    /// The oldest record that a successor needs.
+    /// The offset of the oldest record that a successor needs.
     pub(crate) fn live_from(&self) -> Option<Offset> {
-        self.shards.values().map(|upkeep| upkeep.snapshot_at).min()
+        self.shards.values().map(|snapshot| snapshot.snapshot_offset).min()
     }
 
     pub(crate) fn forget(&mut self, shard: ShardId) {
         self.shards.remove(&shard);
     }
 
-    /// A quarter of the retention, less up to a quarter of that by shard, so that shards taken
-    /// over together don't fall due together. Three quarters are left for an outage of the log.
-    fn due_after(&self, shard: ShardId) -> Duration {
-        let full = self.retention / 4;
+    /// A quarter of the retention, less up to a quarter of that, which spreads the shards over
+    /// time. The rest of the retention allows for an outage of the log.
+    fn max_age(&self, shard: ShardId) -> Duration {
+        let quarter = self.retention / 4;
         let spread = (rendezvous_score(shard, self.node) % 1024) as u32;
-        full - (full / 4) * spread / 1024
+        quarter - (quarter / 4) * spread / 1024
     }
 
-    fn is_due(&self, now: Time, shard: ShardId, upkeep: &ShardUpkeep) -> bool {
-        let length_limit = LENGTH_FLOOR.max(upkeep.snapshot_len * LENGTH_FACTOR);
-        now.since(upkeep.snapshot_sent) >= self.due_after(shard)
-            || upkeep.changes_len > length_limit
-            || self.written - upkeep.written_before > JOURNAL_MAX
+    fn is_due(&self, now: Time, shard: ShardId, snapshot: &ShardSnapshot) -> bool {
+        let max_changes_len = MIN_CHANGES_BYTES.max(snapshot.snapshot_len * MAX_CHANGES_RATIO);
+        now.since(snapshot.snapshot_sent) >= self.max_age(shard)
+            || snapshot.changes_len > max_changes_len
+            || self.journal_bytes - snapshot.journal_bytes_before > MAX_JOURNAL_GROWTH_BYTES
     }
 
-    /// The shards whose snapshot should be pushed now; each is named once until it is asked again.
+    /// Returns the shards whose snapshot should be pushed now, and marks them as requested.
     pub(crate) fn due(&mut self, now: Time) -> Vec<ShardId> {
-        let outstanding = |u: &ShardUpkeep| u.asked.is_some_and(|at| now.since(at) < ASK_AGAIN);
-        let asked = self.shards.values().filter(|u| outstanding(u)).count();
+        let outstanding =
+            |s: &ShardSnapshot| s.requested_at.is_some_and(|at| now.since(at) < REQUEST_TIMEOUT);
+        let outstanding_count = self.shards.values().filter(|s| outstanding(s)).count();
         let mut due: Vec<(Option<Time>, ShardId)> = self
             .shards
             .iter()
-            .filter(|(shard, u)| !outstanding(u) && self.is_due(now, **shard, u))
-            .map(|(shard, u)| (u.asked, *shard))
+            .filter(|(shard, s)| !outstanding(s) && self.is_due(now, **shard, s))
+            .map(|(shard, s)| (s.requested_at, *shard))
             .collect();
-        // One that was asked for in vain must not keep the others from their turn.
+        // Shards not yet requested come first, so that retries don't starve them.
         due.sort();
-        let due: Vec<ShardId> =
-            due.into_iter().map(|(_, s)| s).take(ASKED_AT_ONCE.saturating_sub(asked)).collect();
+        let due: Vec<ShardId> = due
+            .into_iter()
+            .map(|(_, shard)| shard)
+            .take(MAX_OUTSTANDING_REQUESTS.saturating_sub(outstanding_count))
+            .collect();
         for shard in &due {
-            if let Some(upkeep) = self.shards.get_mut(shard) {
-                upkeep.asked = Some(now);
+            if let Some(snapshot) = self.shards.get_mut(shard) {
+                snapshot.requested_at = Some(now);
             }
         }
         due
--- a/crates/log/src/journal/writer.rs
+++ b/crates/log/src/journal/writer.rs
@@ -1,10 +1,10 @@
-//! Group commit: the reducer that turns entries into few appends.
+//! Group commit: a reducer that batches entries into few appends.
 
 use {
     crate::{
         journal::{
             batch::{EntryKind, JournalBatch, JournalEntry},
-            upkeep::Upkeep,
+            upkeep::SnapshotSchedule,
         },
         service::AppendOutcome,
     },
@@ -14,10 +14,10 @@
     std::{collections::VecDeque, fmt, time::Duration},
 };
 
-/// Bytes that an entry takes in a batch beside its body, at most.
-const ENTRY_OVERHEAD: usize = 24;
+/// Maximum number of encoded bytes of an entry in addition to its body.
+const MAX_ENTRY_OVERHEAD_BYTES: usize = 24;
 
-/// How a journal is written.
+/// Options of a [`JournalWriter`].
 #[derive(Clone, Debug)]
 pub struct WriterOptions {
     node: NodeId,
@@ -32,17 +32,16 @@
 }
 
 impl WriterOptions {
-    /// The defaults for the journal of `node`; `seed` spreads the retries of different nodes.
+    /// The defaults for the journal of `node`; `seed` randomizes the retry delays.
     pub fn new(node: NodeId, seed: u64) -> Self {
         WriterOptions {
             node,
             seed,
-            // 17 writers at 10 appends a second are 170, under the 200 that a log of several
-            // hundred appends a second can spare for one system.
+            // 17 writers then make at most 170 appends a second.
             flush_interval: Duration::from_millis(100),
             batch_bytes: 256 * 1024,
             entry_bytes: 4 * 1024 * 1024,
-            // What a node may hold while the log is down, within its 128 MB.
+            // Bounds the memory in use while the log is down.
             pending_bytes: 8 * 1024 * 1024,
             backoff: Duration::from_millis(200),
             backoff_max: Duration::from_secs(5),
@@ -50,48 +49,48 @@
         }
     }
 
-    /// The shortest time between two appends.
+    /// Sets the minimum time between two appends.
     pub fn flush_interval(mut self, interval: Duration) -> Self {
         self.flush_interval = interval;
         self
     }
 
-    /// The most bytes of entries in one append, unless a single entry is larger.
+    /// Sets the maximum number of bytes in one append, unless a single entry is larger.
     pub fn batch_bytes(mut self, bytes: usize) -> Self {
         self.batch_bytes = bytes;
         self
     }
 
-    /// The largest body of one entry.
+    /// Sets the maximum body size of an entry, in bytes.
     pub fn entry_bytes(mut self, bytes: usize) -> Self {
         self.entry_bytes = bytes;
         self
     }
 
-    /// The most bytes of entries that wait for the log, including those on their way.
+    /// Sets the maximum number of bytes in queued and in-flight entries.
     pub fn pending_bytes(mut self, bytes: usize) -> Self {
         self.pending_bytes = bytes;
         self
     }
 
-    /// How long the log keeps a record at least.
+    /// Sets the minimum retention time of the log.
     pub fn retention(mut self, retention: Duration) -> Self {
         self.retention = retention;
         self
     }
 }
 
-/// Why an entry wasn't taken.
+/// Why an entry was rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PushError {
-    /// Too much waits for the log already.
+    /// The queue is delay.
     Full {
-        /// The most bytes that may wait.
+        /// Maximum number of queued and in-flight bytes.
         limit: usize,
     },
     /// The entry's body is too large.
     TooLarge {
-        /// The most bytes that a body may have.
+        /// Maximum number of bytes in a body.
         limit: usize,
     },
 }
@@ -116,27 +115,27 @@
 /// An append to be made to the node's journal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct JournalAppend {
-    /// The number to give back with the answer.
+    /// The sequence number to pass to [`JournalWriter::answered`].
     pub seq: Seq,
     /// The record.
     pub bytes: Vec<u8>,
 }
 
-/// What an answer of the log settled.
+/// The result of an append's outcome.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Answered {
-    /// The tickets whose entries are durable now, in the order of the pushes.
+    /// Tickets of the entries that became durable, in push order.
     pub durable: SmallVec<[Ticket; 8]>,
 }
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct QueuedEntry {
     entry: JournalEntry,
     ticket: Ticket,
 }
 
 #[derive(Clone, Debug)]
-struct Durable {
+struct InFlightEntry {
     shard: ShardId,
     kind: EntryKind,
     len: usize,
@@ -147,37 +146,36 @@
 struct InFlight {
     seq: Seq,
     bytes: Vec<u8>,
-    entries: Vec<Durable>,
+    entries: Vec<InFlightEntry>,
     first_sent: Time,
     failures: u32,
-    /// When to append again; `None` while an answer is awaited.
+    /// When to retry; `None` while awaiting a response.
     retry_at: Option<Time>,
 }
 
 /// The writer of one node's journal.
 ///
-/// An entry that arrives while nothing is under way leaves at once; under load entries gather for
-/// the flush interval. Only one append is under way at a time, so that the order of the records
-/// is the order of the batches, and a log that comes back from an outage meets one append of each
-/// writer, not its backlog.
+/// An entry pushed while the writer is idle is appended immediately; under load, entries are
+/// batched for the flush interval. At most one append is in flight, which preserves the order of
+/// batches and limits the load on a log that recovers from an outage.
 #[derive(Clone, Debug)]
 pub struct JournalWriter {
     options: WriterOptions,
     rng: SmallRng,
     next_seq: Seq,
-    queue: VecDeque<Pending>,
+    queue: VecDeque<QueuedEntry>,
     held_bytes: usize,
     in_flight: Option<InFlight>,
     last_sent: Option<Time>,
-    upkeep: Upkeep,
+    snapshots: SnapshotSchedule,
 }
 
 impl JournalWriter {
-    /// A writer for a journal that has no records yet.
+    /// Creates a writer for an empty journal.
     pub fn new(options: WriterOptions) -> Self {
         JournalWriter {
             rng: SmallRng::seed_from_u64(options.seed),
-            upkeep: Upkeep::new(options.node, options.retention),
+            snapshots: SnapshotSchedule::new(options.node, options.retention),
             next_seq: Seq(1),
             queue: VecDeque::new(),
             held_bytes: 0,
@@ -187,30 +185,31 @@
         }
     }
 
-    /// Takes an entry; its ticket comes back from [`JournalWriter::answered`] once it is durable.
+    /// Queues an entry. [`JournalWriter::answered`] returns its ticket once it is durable.
     ///
-    /// The bound keeps an hour without the log from filling the node's memory. Who is refused
-    /// must refuse its own caller, truthfully: nothing was recorded.
+    /// # Errors
+    ///
+    /// The entry or the queue is too large; nothing was recorded.
     pub fn push(&mut self, entry: JournalEntry, ticket: Ticket) -> Result<(), PushError> {
         let len = entry.body.len();
         if len > self.options.entry_bytes {
             return Err(PushError::TooLarge { limit: self.options.entry_bytes });
         }
-        if self.held_bytes + len + ENTRY_OVERHEAD > self.options.pending_bytes {
+        if self.held_bytes + len + MAX_ENTRY_OVERHEAD_BYTES > self.options.pending_bytes {
             return Err(PushError::Full { limit: self.options.pending_bytes });
         }
-        self.held_bytes += len + ENTRY_OVERHEAD;
-        self.queue.push_back(Pending { entry, ticket });
+        self.held_bytes += len + MAX_ENTRY_OVERHEAD_BYTES;
+        self.queue.push_back(QueuedEntry { entry, ticket });
         Ok(())
     }
 
-    /// The append to make now, if there is one.
+    /// Returns the append to make now, if any.
     pub fn poll(&mut self, now: Time) -> Option<JournalAppend> {
         if self.in_flight.is_some() {
-            return self.poll_again(now);
+            return self.poll_retry(now);
         }
-        let too_soon = |sent: Time| now < sent + self.options.flush_interval;
-        if self.queue.is_empty() || self.last_sent.is_some_and(too_soon) {
+        let within_interval = |sent: Time| now < sent + self.options.flush_interval;
+        if self.queue.is_empty() || self.last_sent.is_some_and(within_interval) {
             return None;
         }
         let batch = self.take_batch(now);
@@ -218,7 +217,7 @@
         Some(batch)
     }
 
-    /// When [`JournalWriter::poll`] may next have something, if nothing else happens before.
+    /// When to call [`JournalWriter::poll`] next, unless an entry or a response arrives earlier.
     pub fn wake_at(&self) -> Option<Time> {
         match &self.in_flight {
             Some(in_flight) => in_flight.retry_at,
@@ -227,13 +226,13 @@
         }
     }
 
-    /// Takes the log's answer to the append `seq`. An answer to an earlier append is ignored.
+    /// Handles the outcome of the append `seq`. The outcome of an earlier append is ignored.
     pub fn answered(&mut self, now: Time, seq: Seq, outcome: AppendOutcome) -> Answered {
         let Some(mut in_flight) = self.in_flight.take_if(|f| f.seq == seq) else {
             return Answered::default();
         };
-        if let AppendOutcome::Appended(at) = outcome {
-            return self.settle(&in_flight, at);
+        if let AppendOutcome::Appended(offset) = outcome {
+            return self.complete(&in_flight, offset);
         }
         in_flight.retry_at = Some(now + self.backoff(in_flight.failures));
         in_flight.failures += 1;
@@ -241,33 +240,33 @@
         Answered::default()
     }
 
-    /// The shards that should push a snapshot now, a few at a time.
+    /// Shards that should push a snapshot now, a few at a time.
     pub fn snapshots_due(&mut self, now: Time) -> Vec<ShardId> {
-        self.upkeep.due(now)
+        self.snapshots.due(now)
     }
 
-    /// The shard isn't this node's any more: its snapshot need not be kept alive.
+    /// Stops requesting snapshots of a shard that this node no longer owns.
     pub fn forget(&mut self, shard: ShardId) {
-        self.upkeep.forget(shard);
+        self.snapshots.forget(shard);
     }
 
-    /// The oldest record of the journal that a successor of this node needs: the oldest among the
-    /// newest snapshots of its shards. `None` while it has no shard.
+    /// The oldest record that a successor needs: the oldest of the latest snapshots of this
+    /// node's shards. `None` while it has no shard.
     pub fn live_from(&self) -> Option<Offset> {
-        self.upkeep.live_from()
+        self.snapshots.live_from()
     }
 
-    /// Whether appends fail now: how often in a row the append under way has failed.
+    /// Number of failures of the append in flight.
     pub fn failures(&self) -> u32 {
         self.in_flight.as_ref().map_or(0, |f| f.failures)
     }
 
-    /// Bytes of entries that wait for the log or are on their way.
+    /// Bytes of queued and in-flight entries.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 
-    fn poll_again(&mut self, now: Time) -> Option<JournalAppend> {
+    fn poll_retry(&mut self, now: Time) -> Option<JournalAppend> {
         let in_flight = self.in_flight.as_mut()?;
         if in_flight.retry_at.is_none_or(|at| now < at) {
             return None;
@@ -279,16 +278,16 @@
 
     fn take_batch(&mut self, now: Time) -> JournalAppend {
         let mut entries = Vec::new();
-        let mut durable = Vec::new();
+        let mut sent_entries = Vec::new();
         let mut len = 0;
         while let Some(pending) = self.queue.pop_front() {
-            let entry_len = pending.entry.body.len() + ENTRY_OVERHEAD;
+            let entry_len = pending.entry.body.len() + MAX_ENTRY_OVERHEAD_BYTES;
             if !entries.is_empty() && len + entry_len > self.options.batch_bytes {
                 self.queue.push_front(pending);
                 break;
             }
             len += entry_len;
-            durable.push(Durable {
+            sent_entries.push(InFlightEntry {
                 shard: pending.entry.shard,
                 kind: pending.entry.kind,
                 len: pending.entry.body.len(),
@@ -302,7 +301,7 @@
         self.in_flight = Some(InFlight {
             seq,
             bytes: bytes.clone(),
-            entries: durable,
+            entries: sent_entries,
             first_sent: now,
             failures: 0,
             retry_at: None,
@@ -310,27 +309,32 @@
         JournalAppend { seq, bytes }
     }
 
-    fn settle(&mut self, in_flight: &InFlight, at: Offset) -> Answered {
+    fn complete(&mut self, in_flight: &InFlight, offset: Offset) -> Answered {
         let mut answered = Answered::default();
-        self.upkeep.wrote(in_flight.bytes.len());
+        self.snapshots.record_durable(in_flight.bytes.len());
         for entry in &in_flight.entries {
             match entry.kind {
                 EntryKind::Snapshot => {
-                    self.upkeep.snapshot(entry.shard, in_flight.first_sent, at, entry.len);
+                    self.snapshots.snapshot_durable(
+                        entry.shard,
+                        in_flight.first_sent,
+                        offset,
+                        entry.len,
+                    );
                 }
-                EntryKind::Change => self.upkeep.change(entry.shard, entry.len),
+                EntryKind::Change => self.snapshots.change_durable(entry.shard, entry.len),
             }
-            self.held_bytes -= entry.len + ENTRY_OVERHEAD;
+            self.held_bytes -= entry.len + MAX_ENTRY_OVERHEAD_BYTES;
             answered.durable.push(entry.ticket);
         }
         answered
     }
 
-    /// Doubles with each failure, and lies at random in the upper half, so that 17 writers don't
-    /// return to a recovering log at the same moment.
+    /// Exponential backoff with jitter in the upper half, so that writers don't retry at the same
+    /// time.
     fn backoff(&mut self, failures: u32) -> Duration {
-        let full = self.options.backoff * 2_u32.saturating_pow(failures.min(16));
-        let full = full.min(self.options.backoff_max);
-        full / 2 + (full / 2).mul_f64(self.rng.random::<f64>())
+        let delay = self.options.backoff * 2_u32.saturating_pow(failures.min(16));
+        let delay = delay.min(self.options.backoff_max);
+        delay / 2 + (delay / 2).mul_f64(self.rng.random::<f64>())
     }
 }
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,14 +1,14 @@
-//! The log service at its border, and the journals kept in it.
+//! The interface to the platform's log service, and the journals stored in it.
 //!
-//! The platform's log is the only place where anything lasts. It takes a few hundred appends a
-//! second, forgets old records, has outages, and may lose the answer to an append that took
-//! effect. This crate turns that into types that can't be overlooked ([`AppendOutcome`],
-//! [`ReadOutcome`]), and into a journal for each writing process: group commit on the way in
-//! ([`JournalWriter`]), a fold that drops repeated records on the way out ([`JournalReader`]).
+//! The platform's log is the only durable storage. It accepts a few hundred appends a second,
+//! expires old records, has outages, and may lose the response to an append that took effect.
+//! [`AppendOutcome`] and [`ReadOutcome`] make these cases explicit. Each scheduler writes one
+//! journal: [`JournalWriter`] groups entries into few appends (group commit), [`JournalReader`]
+//! replays them and drops repeated records.
 //!
-//! The trade-off: one stream for each writer bounds the number of appends by writers times flush
-//! rate, whatever the load; in return a successor reads all of its predecessor's journal, not
-//! only the shards that it took over.
+//! One stream for each writer bounds the append rate by writers times flush rate, whatever the
+//! load. In return a successor reads its predecessor's whole journal, not only the shards that
+//! it took over.
 
 mod journal;
 mod service;
--- a/crates/log/src/service.rs
+++ b/crates/log/src/service.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's log service.
+//! The interface to the platform's log service.
 
 use {
     crate::stream::StreamName,
@@ -10,11 +10,11 @@
 /// Why an append certainly had no effect.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub enum NotAppendedReason {
-    /// The log couldn't be reached: no byte of the record left this process.
+    /// The log couldn't be reached: no byte of the record was sent.
     Unreachable,
-    /// The log answered that it is down or that it takes no more appends now.
+    /// The log responded that it is down or overloaded.
     Refused,
-    /// The log answered that the record is too large for it.
+    /// The log responded that the record is too large.
     TooLarge,
 }
 
@@ -34,58 +34,58 @@
     }
 }
 
-/// What became of an append. There are three outcomes, not two: an answer may be lost after the
-/// append took effect, and a caller who takes that for a failure runs something twice.
+/// The outcome of an append. The response may be lost after the append took effect; treating
+/// that as a failure would run work twice.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum AppendOutcome {
     /// The record is in the stream at this offset.
     Appended(Offset),
     /// The record is not in the stream and won't be.
     NotAppended(NotAppendedReason),
-    /// The record may be in the stream, or may still get there later. Append it again: readers
-    /// drop the second one.
+    /// The record may be in the stream, or may still be added later. Append it again: readers
+    /// drop the duplicate.
     Unknown,
 }
 
 /// One record of a stream.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its place in the stream.
+    /// Its position in the stream.
     pub offset: Offset,
-    /// What was appended.
+    /// The appended bytes.
     pub bytes: Vec<u8>,
 }
 
-/// What a read gave.
+/// The outcome of a read.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ReadOutcome {
-    /// Records in the order of their offsets, beginning at the offset asked for.
+    /// Records in the order of their offsets, starting at the requested offset.
     Page {
-        /// The records; none if there is nothing after the offset asked for.
+        /// The records; empty if there are none at or after the requested offset.
         records: Vec<Record>,
-        /// Where to read on.
+        /// The offset of the next read.
         next: Offset,
         /// Whether the stream had no record at or after `next`.
         ///
-        /// The platform is assumed to have seen, for a read that says so, every append that was
-        /// acknowledged, or shown by another read, before this read was sent.
+        /// Such a read is assumed to be linearizable: it reflects every append that was
+        /// acknowledged, or returned by another read, before this read was sent.
         end: bool,
     },
-    /// The offset asked for has expired; the oldest record still kept is at `oldest`.
+    /// The requested offset has expired.
     Gone {
-        /// The oldest offset kept; the end of the stream if all has expired.
+        /// The oldest retained offset; the end of the stream if all records have expired.
         oldest: Offset,
     },
-    /// The log is down or out of reach.
+    /// The log is down or unreachable.
     Unavailable,
 }
 
-/// The platform's log service. Calls block; the runtime makes them on threads of their own and
-/// gives up on them in bounded time.
+/// The platform's log service. Calls block for a bounded time; the runtime makes them on
+/// separate threads.
 pub trait LogService: Send + Sync {
-    /// Appends one record to the stream, which exists from its first record on.
+    /// Appends one record to the stream; the first append creates it.
     fn append(&self, stream: &StreamName, record: &[u8]) -> AppendOutcome;
 
-    /// Reads records from the offset on. A stream without records is a page with `end`.
+    /// Reads records from the offset on. An empty stream gives an empty page with `end` set.
     fn read(&self, stream: &StreamName, from: Offset) -> ReadOutcome;
 }
--- a/crates/log/src/stream.rs
+++ b/crates/log/src/stream.rs
@@ -13,12 +13,12 @@
 pub struct StreamName(CompactString);
 
 impl StreamName {
-    /// The one stream that every process reads: members, shard owners, configuration.
+    /// The stream that every process reads: nodes, shard owners, configuration.
     pub fn control() -> Self {
         StreamName(CompactString::const_new("control"))
     }
 
-    /// The journal that `node` alone writes.
+    /// The journal of `node`, its only writer.
     pub fn journal(node: NodeId) -> Self {
         StreamName(format_compact!("journal-{node}"))
     }
--- a/crates/log/tests/group_commit.rs
+++ b/crates/log/tests/group_commit.rs
@@ -1,4 +1,4 @@
-//! Group commit: few appends under load, at once when idle, bounded and paced while the log is down.
+//! Group commit: batching under load, immediate appends when idle, backoff during outages.
 
 use {
     egretlb_log::{
@@ -24,13 +24,13 @@
     entry(EntryKind::Change, len)
 }
 
-fn entries(append: &JournalAppend) -> usize {
+fn entry_count(append: &JournalAppend) -> usize {
     JournalBatch::decode(&append.bytes).unwrap().entries.len()
 }
 
-/// An entry on an idle journal leaves at once; a submission waits for nothing but the log.
+/// An entry pushed to an idle journal is appended without waiting for the flush interval.
 #[test]
-fn idle_at_once() {
+fn appends_immediately_when_idle() {
     let mut writer = JournalWriter::new(options());
     let now = Time::from_secs(5);
     writer.push(change(10), Ticket(1)).unwrap();
@@ -38,11 +38,9 @@
     assert_eq!(writer.answered(now, append.seq, OK).durable.as_slice(), [Ticket(1)]);
 }
 
-/// 17 owners journal 750 entries a second between them, 250 starts of three entries each. If each
-/// entry were an append, the log would be past what it takes; as batches they stay under 200 a
-/// second whatever the load.
+/// The append rate must stay bounded however many entries are pushed, or the log is overloaded.
 #[test]
-fn load_gathers() {
+fn batches_entries_under_load() {
     for (per_second, writers) in [(44, 17), (440, 17), (4_400, 17)] {
         let mut writer = JournalWriter::new(options());
         let (mut appends, mut durable) = (0, 0);
@@ -65,30 +63,29 @@
     }
 }
 
-/// The answer to an append is lost. The same record with the same number goes out again, and its
-/// entries count as durable only once.
+/// After a lost response the same record is appended retry with the same sequence number, and its
+/// entries become durable only once.
 #[test]
-fn unknown_again() {
+fn repeats_append_with_unknown_outcome() {
     let mut writer = JournalWriter::new(options());
     writer.push(change(10), Ticket(1)).unwrap();
     let first = writer.poll(Time::ZERO).unwrap();
     assert!(writer.answered(Time::ZERO, first.seq, AppendOutcome::Unknown).durable.is_empty());
     writer.push(change(10), Ticket(2)).unwrap();
     assert_eq!(writer.poll(Time::from_millis(10)), None);
-    let at = writer.wake_at().unwrap();
-    let again = writer.poll(at).unwrap();
-    assert_eq!(again, first);
-    assert_eq!(writer.answered(at, again.seq, OK).durable.as_slice(), [Ticket(1)]);
-    assert!(writer.answered(at, again.seq, OK).durable.is_empty());
-    let next = writer.poll(at + Duration::from_millis(100)).unwrap();
-    assert_eq!(entries(&next), 1);
+    let retry_at = writer.wake_at().unwrap();
+    let retry = writer.poll(retry_at).unwrap();
+    assert_eq!(retry, first);
+    assert_eq!(writer.answered(retry_at, retry.seq, OK).durable.as_slice(), [Ticket(1)]);
+    assert!(writer.answered(retry_at, retry.seq, OK).durable.is_empty());
+    let next = writer.poll(retry_at + Duration::from_millis(100)).unwrap();
+    assert_eq!(entry_count(&next), 1);
 }
 
-/// The log is down for an hour and comes back. Meanwhile each writer tries at most every few
-/// seconds; entries beyond the bound are refused; and the backlog goes out in bounded batches, at
-/// most ten a second, so that 17 writers don't knock the log over again.
+/// During an outage of the log, retries back off and excess entries are rejected. Afterwards the
+/// backlog is appended in bounded batches, so that the log isn't overloaded retry.
 #[test]
-fn outage_is_paced() {
+fn backs_off_during_outage() {
     let mut writer = JournalWriter::new(options().pending_bytes(2_000_000));
     let (mut tries, mut refused) = (0, 0);
     let hour = 3_600_000;
@@ -121,18 +118,18 @@
     assert_eq!(writer.held_bytes(), 0);
 }
 
-/// One entry that no batch can hold is refused when it is pushed, not when it is too late.
+/// An entry that exceeds the size limit is rejected when it is pushed.
 #[test]
-fn too_large() {
+fn rejects_too_large_entry() {
     let mut writer = JournalWriter::new(options().entry_bytes(1_000));
     let refused = writer.push(change(1_001), Ticket(1));
     assert_eq!(refused, Err(PushError::TooLarge { limit: 1_000 }));
 }
 
-/// Snapshots are asked for well before the log forgets them, a few at a time, and for a shard
-/// whose journal has grown long. A shard that was given up isn't asked for.
+/// Snapshots are requested before the old ones expire, a few at a time, and for a shard with many
+/// changes. A shard that is no longer owned isn't requested.
 #[test]
-fn snapshots_in_time() {
+fn requests_snapshots_before_expiry() {
     let retention = Duration::from_secs(3_600);
     let mut writer = JournalWriter::new(options().retention(retention));
     let snapshot = |writer: &mut JournalWriter, now: Time, shard: ShardId| {
@@ -163,8 +160,8 @@
     assert!(oldest <= retention / 4 + Duration::from_secs(30));
     let now = Time::from_secs(20_001);
     for ticket in 0..30 {
-        let long = JournalEntry { shard: ShardId(4), ..change(10_000) };
-        writer.push(long, Ticket(ticket)).unwrap();
+        let large_change = JournalEntry { shard: ShardId(4), ..change(10_000) };
+        writer.push(large_change, Ticket(ticket)).unwrap();
     }
     let append = writer.poll(now).unwrap();
     writer.answered(now, append.seq, OK);
--- a/crates/log/tests/journal_read.rs
+++ b/crates/log/tests/journal_read.rs
@@ -1,4 +1,4 @@
-//! Reading a predecessor's journal: repeated, late, expired and broken records.
+//! Reading a predecessor's journal: duplicate, late, expired and malformed records.
 
 use {
     egretlb_log::{
@@ -41,10 +41,9 @@
     recovered.snapshot.iter().chain(recovered.changes.iter().flatten()).copied().collect()
 }
 
-/// An append whose answer was lost is in the stream twice, and a copy that was on its way for
-/// long comes after later records. A reader that took either would apply a change twice.
+/// A duplicate record, even one delayed past later records, must not apply a change twice.
 #[test]
-fn repeated_records() {
+fn drops_duplicate_records() {
     let first = batch(1, &[(EntryKind::Snapshot, 1, 10), (EntryKind::Change, 1, 11)]);
     let second = batch(2, &[(EntryKind::Change, 1, 12)]);
     let third = batch(3, &[(EntryKind::Change, 1, 13)]);
@@ -54,10 +53,10 @@
     assert_eq!(bodies(&reader), [10, 11, 12, 13]);
 }
 
-/// The newest snapshot replaces everything before it; entries of other epochs of the same shard,
-/// written when the node owned it earlier or too late, are left out.
+/// The latest snapshot replaces everything before it; entries of the shard's other epochs are
+/// ignored.
 #[test]
-fn newest_snapshot() {
+fn latest_snapshot_wins() {
     let stream = [
         batch(1, &[(EntryKind::Snapshot, 0, 1), (EntryKind::Change, 0, 2)]),
         batch(2, &[(EntryKind::Snapshot, 1, 10), (EntryKind::Change, 1, 11)]),
@@ -69,15 +68,15 @@
     assert_eq!(bodies(&reader), [20, 21]);
 }
 
-/// The beginning of the journal has expired. The shard is there if its snapshot was written again
-/// in time; if not, the error says that records expired, and what to do.
+/// After the beginning of the journal expired, a later snapshot still recovers the shard; without
+/// one the error reports the expiry and the remedy.
 #[test]
-fn expired_beginning() {
-    let kept = [batch(9, &[(EntryKind::Snapshot, 1, 30)])];
+fn reads_past_expired_records() {
+    let retained = [batch(9, &[(EntryKind::Snapshot, 1, 30)])];
     let mut reader = reader();
     assert_eq!(reader.fold(ReadOutcome::Gone { oldest: Offset(40) }), ReadStep::More);
     assert_eq!(reader.next(), Offset(40));
-    reader.fold(page(40, &kept));
+    reader.fold(page(40, &retained));
     assert_eq!(bodies(&reader), [30]);
 
     let only_changes = [batch(9, &[(EntryKind::Change, 1, 31)])];
@@ -89,10 +88,10 @@
     assert!(err.to_string().contains("lengthen the retention"));
 }
 
-/// Records that can't be read, or that another writer put there, are counted and left out; the
-/// log being away only means to read again.
+/// Malformed records and those of another writer are counted and skipped; an unavailable log is
+/// retried.
 #[test]
-fn foreign_records() {
+fn skips_unreadable_records() {
     let foreign = JournalBatch { writer: NodeId(8), seq: Seq(1), entries: Vec::new() }.encode();
     let stream = [vec![1, 255, 255], foreign, batch(1, &[(EntryKind::Snapshot, 1, 10)])];
     let mut reader = reader();
@@ -101,7 +100,7 @@
     assert_eq!((bodies(&reader), reader.unreadable()), (vec![10], 2));
 }
 
-/// Streams have the names that the platform's log accepts.
+/// Stream names are those that the platform's log accepts.
 #[test]
 fn stream_names() {
     assert_eq!(StreamName::control().as_str(), "control");
