--- a/crates/types/src/authority.rs
+++ b/crates/types/src/authority.rs
@@ -1,14 +1,14 @@
-//! Who may act for a shard.
+//! Authority to act for a shard.
 
 use crate::{
     ids::{Epoch, ShardId},
     time::Time,
 };
 
-/// Tells whether this process may act for a shard now.
+/// Whether this process may act for a shard now.
 ///
-/// Asked at the last moment before an unsafe step is handed to the runtime: a process that was
-/// paused in between must notice that its authority has lapsed.
+/// Checked right before an unsafe step is handed to the runtime, as the authority may have expired
+/// while the process was paused.
 pub trait Authority {
     /// The epoch under which this process may take unsafe steps for `shard` at `now`, or `None`.
     fn epoch_if_held(&self, now: Time, shard: ShardId) -> Option<Epoch>;
--- a/crates/types/src/class.rs
+++ b/crates/types/src/class.rs
@@ -1,4 +1,4 @@
-//! The operators' declarations, after checking: classes with their targets, and teams.
+//! The validated configuration: classes with their targets, and teams with their quotas.
 
 use {
     crate::{
@@ -10,33 +10,33 @@
     std::time::Duration,
 };
 
-/// The kind of a class and the target that egretlb has to meet for it.
+/// The kind of a class and its target.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ClassKind {
-    /// Requests that callers wait for.
+    /// Requests with a latency target.
     Latency {
-        /// The share of requests, in thousandths, to be answered within `target`: 990 is p99.
+        /// The percentile of the target in thousandths: 990 is p99.
         permille: u16,
-        /// The time within which they are to be answered.
+        /// The response time at that percentile.
         target: Duration,
-        /// Whether a request may run twice without harm. One that may not is run at most once.
+        /// Whether requests may run more than once. Others run at most once.
         idempotent: bool,
-        /// What one replica of the service takes, as declared.
+        /// Declared resources of one replica of the service.
         replica: Resources,
-        /// Whether replicas must survive the loss of one data centre.
+        /// Whether the service must survive the loss of one data centre.
         spread: bool,
     },
-    /// Tasks that must get done in time.
+    /// Tasks with a throughput target.
     Batch {
-        /// How many tasks are to be done within `period`.
+        /// Number of tasks to complete in each `period`.
         amount: u32,
-        /// The time in which they are to be done.
+        /// The time in which they must complete.
         period: Duration,
-        /// What one task takes, as declared; the first guess before anything is learned.
+        /// Declared resources of one task; the estimate until usage is observed.
         task: Resources,
-        /// How long one task runs, as declared.
+        /// Declared run time of one task.
         run_time: Duration,
-        /// Whether tasks of the class must start at once, ahead of other work.
+        /// Whether tasks of the class start ahead of other work.
         urgent: bool,
     },
 }
@@ -46,9 +46,9 @@
 pub struct ClassSpec {
     /// The class's name.
     pub name: ClassName,
-    /// The member that owns the class.
+    /// The organisation that owns the class.
     pub member: Organisation,
-    /// The team whose quota the class's work counts against.
+    /// The team whose quota is charged for the class's work.
     pub team: TeamName,
     /// The kind and the target.
     pub kind: ClassKind,
@@ -59,13 +59,13 @@
 pub struct TeamSpec {
     /// The team's name.
     pub name: TeamName,
-    /// The member that the team belongs to.
+    /// The organisation that the team belongs to.
     pub member: Organisation,
-    /// The most that the team's work may hold while others need the rest; unused quota is lent.
+    /// Maximum resources of the team's work under contention; unused quota is lent to others.
     pub quota: Resources,
 }
 
-/// A whole configuration. It is always replaced as a whole.
+/// A complete configuration; updates replace it as a whole.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ConfigDocument {
     /// All teams, by name.
@@ -75,12 +75,12 @@
 }
 
 impl ConfigDocument {
-    /// The class of the name, if there is one.
+    /// Returns the class with the given name.
     pub fn class(&self, name: &ClassName) -> Option<&ClassSpec> {
         self.classes.iter().find(|class| class.name == *name)
     }
 
-    /// The team of the name, if there is one.
+    /// Returns the team with the given name.
     pub fn team(&self, name: &TeamName) -> Option<&TeamSpec> {
         self.teams.iter().find(|team| team.name == *name)
     }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for names and numbers that identify something.
+//! Identifier types.
 
 use {
     compact_str::CompactString,
@@ -6,28 +6,26 @@
     std::{fmt, str::FromStr},
 };
 
-/// The longest name accepted for a VM, class, team, member, rack, data centre or job, in bytes.
-///
-/// Names travel in headers, log lines and metric labels; the bound keeps one name from filling
-/// any of them.
+/// Maximum length of the name of a VM, class, team, organisation, rack, data centre or job, in
+/// bytes. Names are used in headers, log lines and metric labels.
 pub const NAME_MAX_BYTES: usize = 64;
 
-/// The longest idempotency key accepted, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const KEY_MAX_BYTES: usize = 128;
 
-/// Why a text isn't a valid id.
+/// Why a text isn't a valid identifier.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ParseIdError {
-    /// Nothing was given.
+    /// The text is empty.
     Empty,
-    /// The text has more bytes than the limit.
+    /// The text is too long.
     TooLong {
-        /// The most bytes allowed.
+        /// Maximum number of bytes.
         limit: usize,
     },
-    /// A character outside the allowed set.
+    /// The text contains a character that isn't allowed.
     BadCharacter {
-        /// The first character that isn't allowed.
+        /// The first such character.
         character: char,
     },
     /// Not a number, or one out of range.
@@ -104,7 +102,7 @@
 }
 
 name_type!(
-    /// A VM of the platform: a worker, which is also the backend server for the services it runs.
+    /// A VM of the platform. It is a worker, and the backend server of the services it runs.
     VmId
 );
 name_type!(
@@ -112,24 +110,24 @@
     DataCentre
 );
 name_type!(
-    /// A rack of VMs; racks fail as one.
+    /// A rack of VMs; a failure domain.
     Rack
 );
 name_type!(
-    /// A firm of the co-operative; it owns classes and teams.
+    /// An organisation, which owns classes and teams.
     Organisation
 );
 name_type!(
-    /// A team of a member, which holds a quota.
+    /// A team of an organisation; it has a quota.
     TeamName
 );
 name_type!(
-    /// A class of work, to which an operator gives a target.
+    /// A class of work with a target.
     ClassName
 );
 name_type!(
-    /// A job: one submission of one or more tasks, named by its submitter so that submitting it
-    /// again is idempotent.
+    /// A job: one submission of one or more tasks. Its submitter chooses the name, which makes
+    /// submissions idempotent.
     JobId
 );
 
@@ -143,7 +141,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// The number that follows.
+            /// Returns the next number.
             pub fn next(self) -> Self {
                 $name(self.0 + 1)
             }
@@ -166,44 +164,44 @@
 }
 
 number_type!(
-    /// The place of a record in a stream of the log service. Offsets of a stream grow by one.
+    /// The position of a record in a stream of the log service; consecutive within a stream.
     Offset,
     u64
 );
 number_type!(
-    /// The number of a record among those of one writer; a record appended twice has one number.
+    /// Sequence number of a writer's record; duplicates of a record have the same number.
     Seq,
     u64
 );
 number_type!(
-    /// A part of the state space with one owner at a time.
+    /// A partition of the state, with one owner at a time.
     ShardId,
     u16
 );
 number_type!(
-    /// The term of one owner of a shard; grows with every claim.
+    /// The term of a shard's owner; grows with every claim.
     Epoch,
     u64
 );
 number_type!(
-    /// The number of a start of a task: the first start is attempt 1.
+    /// The number of a task's attempt, from 1.
     Attempt,
     u32
 );
 number_type!(
-    /// One incarnation of an egretlb process, drawn at random when it starts. VMs keep nothing, so
-    /// a restarted process is a new node.
+    /// One incarnation of an egretlb process, drawn at random when it starts. Processes keep no
+    /// local state, so a restarted process is a new node.
     NodeId,
     u64
 );
 
 number_type!(
-    /// Ties a journal entry or a call to its answer, within one reducer.
+    /// Correlates a journal entry or a call with its result, within one reducer.
     Ticket,
     u64
 );
 
-/// A task: one of the numbered tasks of a job.
+/// One of the numbered tasks of a job.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct TaskId {
     /// The job that the task belongs to.
@@ -228,15 +226,15 @@
     }
 }
 
-/// The fencing token of a task's start: a worker refuses a start whose token is lower than one it
-/// has seen for the task.
+/// The fencing token of a task's attempt: a worker rejects a start whose token is lower than the
+/// highest one it has received for the task.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct Fence {
-    /// The epoch of the shard's owner that decided the start.
+    /// The epoch of the shard's owner that issued the start.
     pub epoch: Epoch,
-    /// The attempt that it started.
+    /// The number of the attempt.
     pub attempt: Attempt,
 }
 
@@ -246,22 +244,22 @@
     }
 }
 
-/// A caller's `Idempotency-Key`, within one member.
+/// A caller's `Idempotency-Key`, scoped to one organisation.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RequestKey {
-    /// The member whose class the request is of; keys of two members never meet.
+    /// The organisation that owns the request's class.
     pub member: Organisation,
     /// The caller's text: printable ASCII, at most [`KEY_MAX_BYTES`].
     pub text: CompactString,
 }
 
 impl RequestKey {
-    /// Checks a caller's text: printable ASCII without blanks, 1 to [`KEY_MAX_BYTES`] bytes.
+    /// Validates a caller's text: printable ASCII without blanks, 1 to [`KEY_MAX_BYTES`] bytes.
     pub fn new(member: Organisation, text: &str) -> Result<Self, ParseIdError> {
         RequestKey::check(text).map(|text| RequestKey { member, text })
     }
 
-    /// Checks a caller's text alone, before its member is known.
+    /// Validates a caller's text when the organisation isn't known yet.
     pub fn check(text: &str) -> Result<CompactString, ParseIdError> {
         if text.is_empty() {
             return Err(ParseIdError::Empty);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,6 @@
 //! Ids, sizes, times and the messages of the platform's workers, shared by every egretlb crate.
 //!
-//! The crate holds data and a few total functions, no decisions: a reducer that needs a type of
-//! another reducer's border finds it here, so that the reducers don't depend on each other.
+//! Types that several reducers use are here, so that the reducers don't depend on each other.
 
 mod authority;
 mod class;
--- a/crates/types/src/load.rs
+++ b/crates/types/src/load.rs
@@ -1,4 +1,4 @@
-//! What an entry tells the owner of a service class of its load.
+//! The load of a service class, as entries report it to the class's owner.
 
 use {
     serde::{Deserialize, Serialize},
@@ -8,16 +8,16 @@
 /// One entry's measurements of one class over a period.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ClassLoad {
-    /// How long was measured.
+    /// Length of the period.
     pub period: Duration,
     /// Requests that arrived.
     pub arrived: u32,
     /// Requests answered within the class's target.
     pub within_target: u32,
-    /// Requests answered later than that.
+    /// Requests answered after the target.
     pub late: u32,
-    /// Requests refused without being run.
+    /// Requests rejected without being run.
     pub refused: u32,
-    /// Requests open at backend servers, averaged over the period, in thousandths.
+    /// Mean number of requests in flight at backend servers, in thousandths.
     pub open_permille: u32,
 }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told of its request.
+//! Request outcomes that callers receive.
 
 use {
     serde::{Deserialize, Serialize},
@@ -8,11 +8,11 @@
 /// Whether a request ran on a backend server; sent to callers as `Egretlb-Ran`.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub enum Ran {
-    /// It certainly didn't run: a caller may send it again.
+    /// It didn't run: any request may be retried.
     No,
-    /// It ran to its end.
+    /// It ran to completion.
     Yes,
-    /// It may have run: only an idempotent request may be sent again.
+    /// It may have run: only idempotent requests may be retried.
     Unknown,
 }
 
@@ -54,20 +54,19 @@
 /// Why a request was refused without being run.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub enum NotRunReason {
-    /// The class isn't in the configuration in force.
+    /// The class isn't in the current configuration.
     UnknownClass,
-    /// It couldn't have been answered within the class's target or the caller's deadline.
+    /// It couldn't be answered within the class's target or the caller's deadline.
     TooLate,
     /// The queue of the class is full.
     QueueFull,
     /// No backend server runs the class's service, or all of them are ejected.
     NoBackendServer,
-    /// The permit for a request key couldn't be had: its owner is out of reach or out of
-    /// authority.
+    /// No permit for the request key: its owner is unreachable or lacks authority.
     NoPermit,
-    /// The key is in use by another request that is still in progress.
+    /// Another request with the key is in progress.
     KeyInProgress,
-    /// The key came with another body before.
+    /// The key was used before with a different request body.
     KeyReused,
     /// The entry is shutting down.
     ShuttingDown,
@@ -98,23 +97,22 @@
     }
 }
 
-/// When a refused caller should come back, in whole seconds of at least one, as the header
-/// `Retry-After` has it.
+/// Value of the `Retry-After` header, in whole seconds, at least one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Serialize, Deserialize)]
 pub struct RetryAfter(u32);
 
 impl RetryAfter {
-    /// The longest wait told to a caller; a longer backlog is asked about again.
+    /// Maximum value, in seconds.
     pub const MAX_SECS: u32 = 600;
 
-    /// The wait rounded up to a whole second, between 1 s and [`RetryAfter::MAX_SECS`].
+    /// Rounds the wait up to a whole second, between 1 s and [`RetryAfter::MAX_SECS`].
     pub fn from_wait(wait: Duration) -> Self {
         let secs = wait.as_micros().div_ceil(1_000_000);
         let secs = u32::try_from(secs).unwrap_or(RetryAfter::MAX_SECS);
         RetryAfter(secs.clamp(1, RetryAfter::MAX_SECS))
     }
 
-    /// The wait in seconds.
+    /// The value in seconds.
     pub fn as_secs(self) -> u32 {
         self.0
     }
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -1,14 +1,14 @@
-//! What a VM holds and a task takes.
+//! Resources of VMs and tasks.
 
 use {
     serde::{Deserialize, Serialize},
     std::{fmt, str::FromStr},
 };
 
-/// Why a text isn't a size.
+/// A text isn't a valid size.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ParseSizeError {
-    /// What the size should look like.
+    /// The expected format.
     pub expected: &'static str,
 }
 
@@ -47,7 +47,7 @@
 }
 
 size_type!(
-    /// Processor time in thousandths of a core.
+    /// CPU time in thousandths of a core.
     MilliCores,
     "m",
     "thousandths of a core, like 1500m"
@@ -59,32 +59,34 @@
     "megabytes, like 2000MB"
 );
 size_type!(
-    /// A count of accelerators.
+    /// Number of accelerators.
     Accelerators,
     "",
     "a count, like 2"
 );
 
-/// What a VM holds or a task takes: a vector that must fit in every part.
+/// Resources of a VM or a task; a demand fits if each dimension does.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resources {
-    /// Processor time.
+    /// CPU time.
     pub cpu: MilliCores,
     /// Memory.
     pub memory: Megabytes,
-    /// Accelerators; whole ones only.
+    /// Accelerators, not divisible.
     #[serde(default)]
     pub accelerators: Accelerators,
 }
 
 impl Resources {
-    /// Whether `self` fits into `room` in every part.
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpu <= room.cpu && self.memory <= room.memory && self.accelerators <= room.accelerators
+    /// Whether `self` fits into `available` in every dimension.
+    pub fn fits(&self, available: &Resources) -> bool {
+        self.cpu <= available.cpu
+            && self.memory <= available.memory
+            && self.accelerators <= available.accelerators
     }
 
-    /// The sum, part by part, held at the largest number.
+    /// The sum in each dimension, saturating.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             cpu: MilliCores(self.cpu.0.saturating_add(other.cpu.0)),
@@ -93,7 +95,7 @@
         }
     }
 
-    /// What is left after `other` is taken, zero in each part that is exceeded.
+    /// The difference in each dimension, saturating at zero.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpu: MilliCores(self.cpu.0.saturating_sub(other.cpu.0)),
@@ -102,15 +104,15 @@
         }
     }
 
-    /// How many times `part` fits; the largest number if it takes nothing.
-    pub fn times(&self, part: &Resources) -> u32 {
-        let times = |room: u32, each: u32| room.checked_div(each).unwrap_or(u32::MAX);
-        times(self.cpu.0, part.cpu.0)
-            .min(times(self.memory.0, part.memory.0))
-            .min(times(self.accelerators.0, part.accelerators.0))
+    /// How many times `unit` fits into `self`; `u32::MAX` if `unit` is zero.
+    pub fn times(&self, unit: &Resources) -> u32 {
+        let quotient = |total: u32, unit: u32| total.checked_div(unit).unwrap_or(u32::MAX);
+        quotient(self.cpu.0, unit.cpu.0)
+            .min(quotient(self.memory.0, unit.memory.0))
+            .min(quotient(self.accelerators.0, unit.accelerators.0))
     }
 
-    /// The larger of the two in each part.
+    /// The maximum in each dimension.
     pub fn max(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.max(other.cpu),
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as the reducers see it.
+//! Monotonic time of the reducers.
 
 use {
     serde::{Deserialize, Serialize},
@@ -9,10 +9,9 @@
     },
 };
 
-/// A reading of one process's monotonic clock, in microseconds since a start of its choosing.
+/// A reading of one process's monotonic clock, in microseconds since an arbitrary start.
 ///
-/// Readings of two processes can't be compared: what crosses the network is a duration, never a
-/// `Time`.
+/// Readings of different processes aren't comparable; messages carry durations instead.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -43,7 +42,7 @@
         self.0
     }
 
-    /// How long ago `earlier` was, zero if it lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub const fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -52,8 +51,8 @@
 impl Add<Duration> for Time {
     type Output = Time;
 
-    fn add(self, span: Duration) -> Time {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Time {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Time(self.0.saturating_add(micros))
     }
 }
@@ -61,9 +60,9 @@
 impl Sub<Duration> for Time {
     type Output = Time;
 
-    /// The reading `span` earlier, the clock's start if that is nearer.
-    fn sub(self, span: Duration) -> Time {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    /// The reading `duration` earlier, saturating at the clock's start.
+    fn sub(self, duration: Duration) -> Time {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Time(self.0.saturating_sub(micros))
     }
 }
--- a/crates/types/src/vm.rs
+++ b/crates/types/src/vm.rs
@@ -9,13 +9,13 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What the platform says of a VM. The list lags: a VM may already be gone.
+/// A VM's state on the platform's list. The list lags: the VM may already be gone.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// It takes work.
+    /// It accepts work.
     Live,
-    /// It is going away: it gets nothing new.
+    /// It is draining: it gets no new work.
     Leaving,
 }
 
@@ -24,18 +24,18 @@
 pub struct VmRecord {
     /// The VM.
     pub vm: VmId,
-    /// Where the worker listens, as `ip:port`; also the address of its backend server.
+    /// The address of the worker and of its backend server, as `ip:port`.
     pub addr: CompactString,
     /// Its data centre.
     pub data_centre: DataCentre,
     /// Its rack.
     pub rack: Rack,
-    /// Live or leaving.
+    /// Whether it accepts work.
     pub state: VmState,
-    /// What it can hold.
+    /// Its total resources.
     pub capacity: Resources,
-    /// How many requests its backend server works on at once.
+    /// Maximum number of concurrent requests of its backend server.
     pub slots: u16,
-    /// How many connections its backend server accepts at once.
+    /// Maximum number of concurrent connections of its backend server.
     pub connections: u16,
 }
--- a/crates/types/src/worker.rs
+++ b/crates/types/src/worker.rs
@@ -1,4 +1,4 @@
-//! The messages of the platform's worker interface, as JSON over HTTP.
+//! Messages of the platform's worker interface, as JSON over HTTP.
 //!
 //! | call | body | answer |
 //! |---|---|---|
@@ -9,11 +9,11 @@
 //! | `GET /report` | none | 200 [`WorkerReport`] |
 //! | `* /serve/{class}/{path}` | the caller's | the service's, or the worker's own |
 //!
-//! The worker answers for what it runs: a task runs there from an accepted start until its end, a
-//! confirmed stop, or the lapse of its lease, whichever comes first.
+//! A task runs on a worker from an accepted start until its end, a confirmed stop, or the expiry
+//! of its lease, whichever comes first.
 //!
-//! A worker that doesn't hand a request on to a service answers 503 or 404 with the header
-//! [`DECLINED_HEADER`]. Without that header a 503 is a service's own answer, and may have run.
+//! A worker that declines a request responds with 503 or 404 and the header [`DECLINED_HEADER`].
+//! A 503 without that header comes from the service: the request may have run.
 
 use {
     crate::{
@@ -24,17 +24,17 @@
     serde::{Deserialize, Serialize},
 };
 
-/// On an answer that comes from the worker itself, since it didn't hand the request on to a service:
-/// the request certainly didn't run. The value says why.
+/// Header of a response with which the worker declines a request: the request didn't run. The
+/// value is the reason.
 pub const DECLINED_HEADER: &str = "worker-declined";
 
-/// The value of [`DECLINED_HEADER`] of a worker that is leaving.
+/// Value of [`DECLINED_HEADER`]: the worker is draining.
 pub const DECLINED_LEAVING: &str = "leaving";
 
-/// The value of [`DECLINED_HEADER`] of a worker without a free slot.
+/// Value of [`DECLINED_HEADER`]: the worker has no free slot.
 pub const DECLINED_BUSY: &str = "busy";
 
-/// The value of [`DECLINED_HEADER`] of a worker where no service of the class runs.
+/// Value of [`DECLINED_HEADER`]: the worker runs no service of the class.
 pub const DECLINED_NO_SERVICE: &str = "no-service";
 
 /// Starts a task under a lease.
@@ -44,17 +44,17 @@
     pub task: TaskId,
     /// The fencing token of this start.
     pub fence: Fence,
-    /// The class of the task; for a service, the class whose requests it answers.
+    /// The class of the task; for a service, the class of its requests.
     pub class: ClassName,
-    /// Whether the task answers requests until stopped, rather than running to an end.
+    /// Whether the task serves requests until it is stopped.
     pub service: bool,
-    /// What the task may use.
+    /// Resource limits of the task.
     pub resources: Resources,
-    /// How long the task may run without a renewal, in milliseconds from the receipt.
+    /// Length of the lease, in milliseconds from the receipt.
     pub lease_ms: u32,
     /// The checkpoint to resume from.
     pub checkpoint: Option<CompactString>,
-    /// What to run; opaque to egretlb.
+    /// The command to run; opaque to egretlb.
     pub command: CompactString,
 }
 
@@ -62,26 +62,26 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StartAnswer {
-    /// It runs now, or already ran under this fence.
+    /// The task runs under this fence.
     Started,
-    /// It ran under this fence and has ended.
+    /// The task ran under this fence and has ended.
     AlreadyEnded,
-    /// A higher fence was seen for the task.
+    /// The worker has received a higher fence for the task.
     StaleFence,
-    /// The worker has no room or is leaving; nothing was started.
+    /// The worker lacks capacity or is draining; nothing was started.
     Refused,
 }
 
 /// Renews the leases of running tasks.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RenewLeases {
-    /// The tasks with the fences they were started under.
+    /// The tasks with their fences.
     pub tasks: Vec<TaskFence>,
     /// The new length of each lease, in milliseconds from the receipt.
     pub lease_ms: u32,
 }
 
-/// A task and the fence of one start of it.
+/// A task and the fence of one of its attempts.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct TaskFence {
     /// The task.
@@ -93,11 +93,11 @@
 /// The worker's answer to [`RenewLeases`].
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RenewAnswer {
-    /// Those of the tasks that don't run here under their fence.
+    /// Tasks that don't run on the worker under the given fence.
     pub unknown: Vec<TaskFence>,
 }
 
-/// Stops a task, with a checkpoint if asked.
+/// Stops a task, optionally with a checkpoint.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct StopTask {
     /// The task and the fence it runs under.
@@ -110,28 +110,28 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopAnswer {
-    /// It doesn't run any more; the checkpoint if one was asked for and could be written.
+    /// The task was stopped.
     Stopped {
-        /// What to resume from.
+        /// The checkpoint, if one was requested and could be written.
         checkpoint: Option<CompactString>,
     },
-    /// It had ended by itself before.
+    /// The task had already ended.
     Ended {
         /// How it ended.
         end: TaskEnd,
     },
     /// The throttle was set.
     Throttled,
-    /// The worker has never run this task under this fence, and never will.
+    /// The worker has not run this task under this fence, and will not.
     NeverRan,
 }
 
-/// Limits a task's processor time.
+/// Limits a task's CPU time.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ThrottleTask {
     /// The task and the fence it runs under.
     pub of: TaskFence,
-    /// The share of its processor time that it may use, in thousandths; 1000 lifts the limit.
+    /// Maximum share of its CPU time, in thousandths; 1000 removes the limit.
     pub permille: u16,
 }
 
@@ -139,11 +139,11 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskEnd {
-    /// It did its work.
+    /// It succeeded.
     Done,
     /// It failed.
     Failed,
-    /// Its lease lapsed and the worker ended it.
+    /// Its lease expired and the worker ended it.
     LeaseLapsed,
 }
 
@@ -156,34 +156,34 @@
     pub class: ClassName,
     /// Whether it is a service.
     pub service: bool,
-    /// What it may use.
+    /// Its resource limits.
     pub resources: Resources,
-    /// What it used over the last report period; lags.
+    /// Resources used over the last report period; lags.
     pub used: Resources,
-    /// Slowdown against running alone, in thousandths: 1000 is none. Lags.
+    /// Slowdown compared with running alone, in thousandths: 1000 is none. Lags.
     pub slowdown_permille: u32,
 }
 
-/// One ended task in a [`WorkerReport`]; kept by the worker for a while.
+/// One recently ended task in a [`WorkerReport`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct EndedTask {
     /// The task and its fence.
     pub of: TaskFence,
     /// How it ended.
     pub end: TaskEnd,
-    /// How long it ran, in milliseconds.
+    /// Its run time in milliseconds.
     pub ran_ms: u64,
-    /// The most it used.
+    /// Its peak resource usage.
     pub peak: Resources,
 }
 
-/// What a worker says of itself.
+/// A worker's report of its state.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct WorkerReport {
-    /// Whether the worker itself says that it is leaving.
+    /// Whether the worker is draining.
     pub leaving: bool,
-    /// What runs.
+    /// Running tasks.
     pub running: Vec<RunningTask>,
-    /// What ended of late.
+    /// Recently ended tasks.
     pub ended: Vec<EndedTask>,
 }
