--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to one address over kept connections.
+//! HTTP client for one address, with persistent connections.
 
 use {
     bytes::Bytes,
@@ -11,27 +11,26 @@
     tokio::{net::TcpStream, time::timeout},
 };
 
-/// The largest answer that is read, in bytes. The store's pages are 1 MB, its reads by default 1 MiB.
+/// Maximum size of a response body.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// How long a connection may take to open. A cut-off peer doesn't answer at all, and the peers are a
-/// few milliseconds away; the first repetition of a lost opening packet comes after 1 s.
+/// How long a connect may take; less than the 1 s after which a lost SYN is sent again.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Unacknowledged bytes older than this break a connection.
+/// A connection fails when sent data stays unacknowledged for longer.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// When an idle connection is probed, and how often.
+/// How long a connection is idle before TCP keepalive probes start.
 const KEEPALIVE: Duration = Duration::from_secs(5);
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallError {
-    /// Nothing listens at the address: nothing was sent.
+    /// The connection was refused: nothing was sent.
     Refused,
     /// No connection could be opened: nothing was sent.
     NotSent,
-    /// Some of the request may have arrived; the connection broke or the time was up.
+    /// The connection broke or the call timed out; the request may have arrived.
     Lost,
 }
 
@@ -47,32 +46,32 @@
 
 impl std::error::Error for CallError {}
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// Calls to one address. A connection is used for one exchange at a time and kept afterwards; one
-/// whose exchange was given up is closed, so that a late answer can't be taken for another call's.
+/// Client for one address. Connections serve one call at a time and are reused. A connection
+/// whose call timed out is closed, so that a late response isn't matched to another call.
 #[derive(Clone, Debug)]
 pub struct Client {
     addr: SocketAddr,
     idle: Rc<RefCell<Vec<Connection>>>,
-    kept: usize,
+    max_idle: usize,
 }
 
 impl Client {
-    /// Calls to `addr`, of which at most `kept` connections stay open between calls.
-    pub fn new(addr: SocketAddr, kept: usize) -> Client {
-        Client { addr, idle: Rc::default(), kept }
+    /// Creates a client for `addr` that keeps at most `max_idle` idle connections.
+    pub fn new(addr: SocketAddr, max_idle: usize) -> Client {
+        Client { addr, idle: Rc::default(), max_idle }
     }
 
     /// The address.
@@ -80,11 +79,11 @@
         self.addr
     }
 
-    /// Sends a request and waits for its whole answer, at most for `limit`.
+    /// Sends a request and waits at most `limit` for the complete response.
     ///
     /// # Errors
     ///
-    /// Says whether something may have been sent.
+    /// The error tells whether the request may have been sent.
     pub async fn call(
         &self,
         method: Method,
@@ -112,29 +111,29 @@
 
     async fn exchange(&self, mut req: Request<Full<Bytes>>) -> Result<Answer, CallError> {
         loop {
-            let kept = self.idle.borrow_mut().pop();
-            let fresh = kept.is_none();
-            let mut conn = match kept {
+            let idle = self.idle.borrow_mut().pop();
+            let is_new = idle.is_none();
+            let mut conn = match idle {
                 Some(conn) => conn,
                 None => self.connect().await?,
             };
             if conn.is_closed() || conn.ready().await.is_err() {
-                if fresh {
+                if is_new {
                     return Err(CallError::NotSent);
                 }
                 continue;
             }
             match conn.try_send_request(req).await {
-                Ok(answer) => {
-                    let (parts, body) = answer.into_parts();
+                Ok(response) => {
+                    let (parts, body) = response.into_parts();
                     let body = Limited::new(body, MAX_ANSWER_BYTES);
                     let body = body.collect().await.map_err(|_| CallError::Lost)?.to_bytes();
-                    self.keep(conn);
+                    self.return_idle(conn);
                     return Ok(Answer { status: parts.status, headers: parts.headers, body });
                 }
-                // The peer had closed the kept connection before anything of the request was written.
+                // The peer closed the idle connection before any of the request was written.
                 Err(mut error) => match error.take_message() {
-                    Some(unsent) if !fresh => req = unsent,
+                    Some(unsent) if !is_new => req = unsent,
                     Some(_) => return Err(CallError::NotSent),
                     None => return Err(CallError::Lost),
                 },
@@ -142,15 +141,15 @@
         }
     }
 
-    fn keep(&self, conn: Connection) {
+    fn return_idle(&self, conn: Connection) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < self.kept && !conn.is_closed() {
+        if idle.len() < self.max_idle && !conn.is_closed() {
             idle.push(conn);
         }
     }
 
     async fn connect(&self) -> Result<Connection, CallError> {
-        let stream = open(self.addr).await?;
+        let stream = open_stream(self.addr).await?;
         let (conn, driver) =
             handshake(TokioIo::new(stream)).await.map_err(|_| CallError::NotSent)?;
         tokio::task::spawn_local(async move {
@@ -162,8 +161,8 @@
     }
 }
 
-/// Opens a connection.
-pub(crate) async fn open(addr: SocketAddr) -> Result<TcpStream, CallError> {
+/// Opens a TCP connection.
+pub(crate) async fn open_stream(addr: SocketAddr) -> Result<TcpStream, CallError> {
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
@@ -171,19 +170,19 @@
         }
         Ok(Err(_)) | Err(_) => return Err(CallError::NotSent),
     };
-    prepare(&stream);
+    set_socket_options(&stream);
     Ok(stream)
 }
 
-/// Sets what shows a silent peer: a cut-off one neither answers nor resets.
-pub(crate) fn prepare(stream: &TcpStream) {
+/// Sets the socket options that detect an unreachable peer.
+pub(crate) fn set_socket_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE / 5);
-    let set = stream
+    let result = stream
         .set_nodelay(true)
         .and_then(|()| socket.set_tcp_keepalive(&keepalive))
         .and_then(|()| socket.set_tcp_user_timeout(Some(USER_TIMEOUT)));
-    if let Err(error) = set {
+    if let Err(error) = result {
         log::debug!(error:% = error; "socket_option_refused");
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 over kept connections, on one thread.
+//! HTTP/1.1 over persistent connections, on one thread.
 //!
 //! `oxhttp`, which the operators' interface uses, opens a connection for each call and blocks a
-//! thread for it. The leader makes several hundred calls a second to the same workers, each new
-//! connection costs a round trip, and a poll occupies its connection for seconds. So this is built on
-//! `hyper`, the nearest kin that keeps connections and needs no thread for each.
+//! thread for it. The leader makes several hundred calls a second to the same workers, and a poll
+//! occupies its connection for seconds. So this crate uses `hyper`, which reuses connections and
+//! is asynchronous.
 
 mod client;
 mod server;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,7 +1,7 @@
-//! Serving clients.
+//! HTTP server.
 
 use {
-    crate::{client::prepare, upgrade::Upgrading},
+    crate::{client::set_socket_options, upgrade::Upgrading},
     bytes::Bytes,
     http::{Method, StatusCode, header::HeaderValue},
     http_body_util::{BodyExt, Full, Limited},
@@ -17,11 +17,11 @@
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ServerLimits {
-    /// The most connections open at once; more are closed at once, so that their clients go elsewhere.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub connections: usize,
-    /// The largest body taken, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a request's head may take to arrive; an idle connection is closed after it, too.
+    /// How long a request's head may take to arrive; also closes idle connections.
     pub head: Duration,
 }
 
@@ -30,40 +30,39 @@
 pub struct Request {
     /// The method.
     pub method: Method,
-    /// The host that the client names; empty if it names none.
+    /// The `Host` header; empty if absent.
     pub host: String,
     /// The path, without the query.
     pub path: String,
-    /// What follows the path's question mark; empty if there is none.
+    /// The query without the question mark; empty if absent.
     pub query: String,
     /// The headers.
     pub headers: http::HeaderMap,
-    /// The whole body; none if it is larger than allowed or broke off.
+    /// The complete body; `None` if it is too large or incomplete.
     pub body: Option<Bytes>,
-    /// Set if the client asks for another protocol: the connection, once [`Response::switching`] is answered.
+    /// Set if the client requests a protocol upgrade; completes after [`Response::switching`].
     pub upgrade: Option<Upgrading>,
 }
 
-/// What a client is answered.
+/// A response to a client.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Response {
     /// The status.
     pub status: u16,
     /// The body.
     pub body: Bytes,
-    /// What the body is, if there is one.
+    /// The body's content type.
     pub content_type: &'static str,
-    /// When to come back, in seconds.
+    /// The `Retry-After` header, in seconds.
     pub retry_after: Option<u32>,
-    /// The protocol that the connection has from here on, if it is another one.
+    /// The protocol that the connection switches to, if any.
     pub switches_to: Option<&'static str>,
 }
 
-/// The content type of most bodies.
 const JSON: &str = "application/json";
 
 impl Response {
-    /// An answer without a body.
+    /// A response without a body.
     pub fn empty(status: u16) -> Response {
         Response {
             status,
@@ -74,70 +73,71 @@
         }
     }
 
-    /// The answer after which the connection speaks `protocol`.
+    /// A response that switches the connection to `protocol`.
     pub fn switching(protocol: &'static str) -> Response {
         let status = StatusCode::SWITCHING_PROTOCOLS.as_u16();
         Response { switches_to: Some(protocol), ..Response::empty(status) }
     }
 }
 
-/// Serves a listener until `stop` says to end; then connections are closed once their requests in
-/// progress are answered.
+/// Serves a listener until `stop` becomes true. Connections then close after their requests in
+/// progress complete.
 pub async fn serve<F, A>(
     listener: TcpListener,
     limits: ServerLimits,
     stop: watch::Receiver<bool>,
-    answer: F,
+    handler: F,
 ) where
     F: Fn(Request) -> A + Clone + 'static,
     A: Future<Output = Response> + 'static,
 {
-    let open = Rc::new(Cell::new(0_usize));
-    let mut ending = stop.clone();
+    let open_connections = Rc::new(Cell::new(0_usize));
+    let mut stop_requested = stop.clone();
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    // Out of descriptors, most likely: a pause lets connections end.
+                    // Usually out of file descriptors; wait for connections to close.
                     log::warn!(error:% = error; "accept_failed");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             },
-            // A closed channel means that the process ends, too.
-            _ = ending.wait_for(|stop| *stop) => return,
+            // A closed channel also means that the process ends.
+            _ = stop_requested.wait_for(|stop| *stop) => return,
         };
-        if open.get() >= limits.connections {
+        if open_connections.get() >= limits.connections {
             continue;
         }
-        open.set(open.get() + 1);
-        let (answer, stop, open) = (answer.clone(), stop.clone(), Rc::clone(&open));
+        open_connections.set(open_connections.get() + 1);
+        let (handler, stop, open_connections) =
+            (handler.clone(), stop.clone(), Rc::clone(&open_connections));
         tokio::task::spawn_local(async move {
-            serve_connection(stream, limits, stop, answer).await;
-            open.set(open.get() - 1);
+            serve_connection(stream, limits, stop, handler).await;
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
-/// The pause after a connection couldn't be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// How long to wait after an accept error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 async fn serve_connection<F, A>(
     stream: TcpStream,
     limits: ServerLimits,
     mut stop: watch::Receiver<bool>,
-    answer: F,
+    handler: F,
 ) where
     F: Fn(Request) -> A + Clone + 'static,
     A: Future<Output = Response> + 'static,
 {
-    prepare(&stream);
+    set_socket_options(&stream);
     let service = service_fn(move |req| {
-        let answer = answer.clone();
+        let handler = handler.clone();
         async move {
-            let response = answer(read(req, limits.body_bytes).await).await;
-            Ok::<_, Infallible>(write(response))
+            let response = handler(read_request(req, limits.body_bytes).await).await;
+            Ok::<_, Infallible>(to_hyper(response))
         }
     });
     let conn = http1::Builder::new()
@@ -147,23 +147,23 @@
         .serve_connection(TokioIo::new(stream), service)
         .with_upgrades();
     tokio::pin!(conn);
-    let ended = tokio::select! {
-        ended = conn.as_mut() => ended,
+    let result = tokio::select! {
+        result = conn.as_mut() => result,
         _ = stop.wait_for(|stop| *stop) => {
             conn.as_mut().graceful_shutdown();
             conn.await
         }
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         log::debug!(error:% = error; "client_connection_ended");
     }
 }
 
-/// The most bytes buffered for one connection; a head of 16 KiB fits.
+/// Read buffer size of one connection; bounds a request's head.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
-async fn read(mut req: hyper::Request<Incoming>, limit: usize) -> Request {
-    let upgrade = Upgrading::of(&mut req);
+async fn read_request(mut req: hyper::Request<Incoming>, limit: usize) -> Request {
+    let upgrade = Upgrading::from_request(&mut req);
     let (parts, body) = req.into_parts();
     let body = Limited::new(body, limit).collect().await.ok().map(|body| body.to_bytes());
     let host = parts.headers.get("host").and_then(|host| host.to_str().ok()).unwrap_or_default();
@@ -178,13 +178,13 @@
     }
 }
 
-fn write(response: Response) -> hyper::Response<Full<Bytes>> {
+fn to_hyper(response: Response) -> hyper::Response<Full<Bytes>> {
     let Response { status, body, content_type, retry_after, switches_to } = response;
     let has_body = !body.is_empty();
-    let mut answer = hyper::Response::new(Full::new(body));
-    *answer.status_mut() =
+    let mut response = hyper::Response::new(Full::new(body));
+    *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let headers = answer.headers_mut();
+    let headers = response.headers_mut();
     if has_body {
         headers.insert("content-type", HeaderValue::from_static(content_type));
     }
@@ -195,5 +195,5 @@
     if let Some(seconds) = retry_after {
         headers.insert("retry-after", HeaderValue::from(seconds));
     }
-    answer
+    response
 }
--- a/crates/http/src/upgrade.rs
+++ b/crates/http/src/upgrade.rs
@@ -1,7 +1,7 @@
-//! Connections that change from HTTP to another protocol.
+//! HTTP connections that are upgraded to another protocol.
 
 use {
-    crate::client::{CallError, open},
+    crate::client::{CallError, open_stream},
     bytes::Bytes,
     http::{Method, Request, StatusCode},
     http_body_util::Empty,
@@ -15,56 +15,61 @@
     tokio::time::timeout,
 };
 
-/// A connection that speaks another protocol.
+/// A connection after an upgrade.
 pub type Duplex = TokioIo<Upgraded>;
 
-/// A connection whose client asked for another protocol.
+/// A connection whose client requested an upgrade.
 #[derive(Clone, Debug)]
 pub struct Upgrading(OnUpgrade);
 
 impl Upgrading {
-    pub(crate) fn of(req: &mut Request<Incoming>) -> Option<Upgrading> {
+    pub(crate) fn from_request(req: &mut Request<Incoming>) -> Option<Upgrading> {
         req.headers().contains_key("upgrade").then(|| Upgrading(on(req)))
     }
 
-    /// The connection, after the answer that agrees was sent.
+    /// Returns the upgraded connection, once the switching response was sent.
     ///
     /// # Errors
     ///
-    /// It broke before.
+    /// The connection broke before.
     pub async fn complete(self) -> Result<Duplex, CallError> {
         self.0.await.map(TokioIo::new).map_err(|_| CallError::Lost)
     }
 }
 
-/// What became of asking for another protocol.
+/// The outcome of an upgrade request.
 #[derive(Debug)]
 pub enum Upgrade {
-    /// The connection speaks it.
+    /// The connection switched to the protocol.
     Agreed(Box<Duplex>),
-    /// The peer answered with another status.
+    /// The peer responded with another status.
     Declined(StatusCode),
 }
 
-/// Opens a connection to `addr` and asks for `protocol` at `path`, for `limit` at most.
+/// Opens a connection to `addr` and requests an upgrade to `protocol` at `path`, waiting at most
+/// `limit`.
 ///
 /// # Errors
 ///
-/// There is no connection, or no answer.
+/// The connection or the request failed, or timed out.
 pub async fn upgrade(
     addr: SocketAddr,
     path: &str,
     protocol: &'static str,
     limit: Duration,
 ) -> Result<Upgrade, CallError> {
-    match timeout(limit, ask(addr, path, protocol)).await {
+    match timeout(limit, request_upgrade(addr, path, protocol)).await {
         Ok(result) => result,
         Err(_) => Err(CallError::Lost),
     }
 }
 
-async fn ask(addr: SocketAddr, path: &str, protocol: &'static str) -> Result<Upgrade, CallError> {
-    let stream = open(addr).await?;
+async fn request_upgrade(
+    addr: SocketAddr,
+    path: &str,
+    protocol: &'static str,
+) -> Result<Upgrade, CallError> {
+    let stream = open_stream(addr).await?;
     let (mut conn, driver) =
         handshake(TokioIo::new(stream)).await.map_err(|_| CallError::NotSent)?;
     tokio::task::spawn_local(async move {
@@ -80,11 +85,11 @@
         .header("upgrade", protocol)
         .body(Empty::<Bytes>::new())
         .map_err(|_| CallError::NotSent)?;
-    let answer = conn.send_request(req).await.map_err(|_| CallError::Lost)?;
-    let status = answer.status();
+    let response = conn.send_request(req).await.map_err(|_| CallError::Lost)?;
+    let status = response.status();
     if status != StatusCode::SWITCHING_PROTOCOLS {
         return Ok(Upgrade::Declined(status));
     }
-    let stream = on(answer).await.map_err(|_| CallError::Lost)?;
+    let stream = on(response).await.map_err(|_| CallError::Lost)?;
     Ok(Upgrade::Agreed(Box::new(TokioIo::new(stream))))
 }
