--- a/crates/net/src/http/client.rs
+++ b/crates/net/src/http/client.rs
@@ -1,7 +1,6 @@
-//! One HTTP call, with a failure that says whether the request may have left.
+//! HTTP calls whose errors tell whether the request may have been sent.
 //!
-//! A connection is opened for each call and closed after it, so an answer can't belong to another
-//! call. The price is one connect a call, measured on the capacity page.
+//! Each call uses a connection of its own, so a response can't belong to another call.
 
 use {
     oxhttp::{
@@ -19,22 +18,22 @@
     },
 };
 
-/// The largest answer that is read, in bytes; a larger one is given up on.
-const ANSWER_MAX_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// How much is read at once.
+/// Size of the read buffer.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Why a call has no whole answer.
+/// Why a call has no complete response.
 #[derive(Debug)]
 pub enum CallFailure {
-    /// No byte of the request left this process: it certainly didn't run.
+    /// Nothing was sent: the request didn't run.
     NotSent(io::Error),
-    /// The request may have left; whether it ran isn't known.
+    /// The request may have been sent and run.
     NoAnswer(io::Error),
-    /// An answer began but isn't whole, or can't be shown to be.
+    /// The response is incomplete, or its end can't be verified.
     Truncated {
-        /// The answer's status.
+        /// The response's status.
         status: u16,
     },
 }
@@ -55,19 +54,19 @@
 
 impl std::error::Error for CallFailure {}
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct HttpAnswer {
     /// The status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Sends one request and reads its whole answer. `timeout` bounds the connect and each read and
-/// write.
+/// Sends one request and reads the complete response. `timeout` bounds the connect, each read and
+/// write, and the time until the body is complete.
 pub fn call(
     method: Method,
     url: impl AsRef<str>,
@@ -76,19 +75,19 @@
     timeout: Duration,
 ) -> Result<HttpAnswer, CallFailure> {
     let mut req = Request::builder().method(method).uri(url.as_ref());
-    if let Some(all) = req.headers_mut() {
-        all.extend(headers.into_iter().map(|(name, value)| (Some(name), value)));
+    if let Some(req_headers) = req.headers_mut() {
+        req_headers.extend(headers.into_iter().map(|(name, value)| (Some(name), value)));
     }
     let req = req
         .body(Body::from(body))
         .map_err(|e| CallFailure::NotSent(io::Error::new(ErrorKind::InvalidInput, e)))?;
     let client = Client::new().with_global_timeout(timeout);
-    let begun = Instant::now();
-    let answer = client.request(req).map_err(classify)?;
-    whole(answer, begun, timeout)
+    let started = Instant::now();
+    let response = client.request(req).map_err(classify)?;
+    read_complete(response, started, timeout)
 }
 
-/// Only errors that a connect alone can give prove that nothing left; a time-out may be of either.
+/// Only errors specific to connecting prove that nothing was sent; a timeout doesn't.
 fn classify(error: io::Error) -> CallFailure {
     match error.kind() {
         ErrorKind::ConnectionRefused
@@ -100,40 +99,39 @@
     }
 }
 
-/// Reads the body to the end that the headers announce.
+/// Reads the complete body.
 ///
-/// An answer that is ended by the closing of its connection looks the same whole and cut short
-/// (and `oxhttp` reads it as empty), so it is never passed off as whole.
+/// A body that is delimited by the end of the connection can't be told from a truncated one (and
+/// `oxhttp` reads it as empty), so it counts as truncated.
 ///
-/// The library's time-out is of each read: an answer that trickles in a byte at a time would hold
-/// its thread and its share of the backend server for hours. So the whole is bounded, too.
-fn whole(
-    answer: Response<Body>,
-    begun: Instant,
+/// `oxhttp`'s timeout applies to each read, so a slow response needs a limit on the total time.
+fn read_complete(
+    response: Response<Body>,
+    started: Instant,
     timeout: Duration,
 ) -> Result<HttpAnswer, CallFailure> {
-    let status = answer.status();
+    let status = response.status();
     let bodyless = status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED;
-    let framed = answer.headers().contains_key(CONTENT_LENGTH)
-        || answer.headers().contains_key(TRANSFER_ENCODING);
-    if !framed && !bodyless {
+    let has_framing = response.headers().contains_key(CONTENT_LENGTH)
+        || response.headers().contains_key(TRANSFER_ENCODING);
+    if !has_framing && !bodyless {
         return Err(CallFailure::Truncated { status: status.as_u16() });
     }
-    let (parts, mut body) = answer.into_parts();
-    let mut whole = Vec::new();
+    let (parts, mut body) = response.into_parts();
+    let mut buf = Vec::new();
     let mut chunk = vec![0; READ_BYTES];
     loop {
         match body.read(&mut chunk) {
-            Ok(0) => return Ok(HttpAnswer { status, headers: parts.headers, body: whole }),
-            Ok(n) if whole.len() + n <= ANSWER_MAX_BYTES && begun.elapsed() <= timeout => {
-                whole.extend_from_slice(&chunk[..n]);
+            Ok(0) => return Ok(HttpAnswer { status, headers: parts.headers, body: buf }),
+            Ok(n) if buf.len() + n <= MAX_RESPONSE_BYTES && started.elapsed() <= timeout => {
+                buf.extend_from_slice(&chunk[..n]);
             }
             Ok(_) | Err(_) => return Err(CallFailure::Truncated { status: status.as_u16() }),
         }
     }
 }
 
-/// Posts `message` as JSON and reads the answer's JSON.
+/// Posts `message` as JSON and decodes the response as JSON.
 pub fn call_json<A: DeserializeOwned>(
     url: impl AsRef<str>,
     message: &impl Serialize,
@@ -141,11 +139,11 @@
 ) -> Result<A, CallFailure> {
     let body = serde_json::to_vec(message)
         .map_err(|e| CallFailure::NotSent(io::Error::new(ErrorKind::InvalidInput, e)))?;
-    let answer = call(Method::POST, url, [], body, timeout)?;
-    if answer.status != StatusCode::OK {
-        let text = format!("status {}", answer.status);
+    let response = call(Method::POST, url, [], body, timeout)?;
+    if response.status != StatusCode::OK {
+        let text = format!("status {}", response.status);
         return Err(CallFailure::NoAnswer(io::Error::other(text)));
     }
-    serde_json::from_slice(&answer.body)
+    serde_json::from_slice(&response.body)
         .map_err(|e| CallFailure::NoAnswer(io::Error::new(ErrorKind::InvalidData, e)))
 }
--- a/crates/net/src/http/mod.rs
+++ b/crates/net/src/http/mod.rs
@@ -1,9 +1,11 @@
-//! HTTP by `oxhttp`: calls with typed failures, and a server that can be drained.
+//! HTTP over `oxhttp`: a client with typed errors, and a server that can be drained.
 
 mod client;
 mod server;
 
 pub use self::{
     client::{CallFailure, HttpAnswer, call, call_json},
-    server::{BadRequest, Drain, HttpServer, ReadBodyError, read_body, respond, respond_json},
+    server::{
+        BadRequest, HttpServer, ReadBodyError, RequestCounter, read_body, respond, respond_json,
+    },
 };
--- a/crates/net/src/http/server.rs
+++ b/crates/net/src/http/server.rs
@@ -1,10 +1,8 @@
-//! `oxhttp`'s server with what it lacks: a port of its own choice, and a count of requests that are
-//! still being answered.
+//! `oxhttp`'s server with a known port and a count of the requests in progress.
 //!
-//! The library gives each connection a thread and can't be stopped; a process ends by exiting once
-//! nothing is in progress. A request counts from its arrival until the last byte of its answer is
-//! written: the guard travels in the answer's extensions, and the library drops the answer after
-//! it has flushed it.
+//! The library uses one thread for each connection and can't be stopped; a process exits once
+//! nothing is in progress. A request counts from its arrival until its response is written: the
+//! response's extensions hold a guard, and the library drops the response after flushing it.
 
 use {
     oxhttp::{
@@ -28,16 +26,16 @@
     },
 };
 
-/// How often another port is tried when the system's choice was taken in between.
-const PORT_TRIES: usize = 20;
+/// Maximum number of ports to try if the chosen one is taken before it is bound.
+const MAX_PORT_ATTEMPTS: usize = 20;
 
-/// Counts the requests whose answers aren't written out yet.
+/// Counts the requests in progress, until their responses are written.
 #[derive(Clone, Default)]
-pub struct Drain {
+pub struct RequestCounter {
     open: Arc<AtomicUsize>,
 }
 
-/// One request in progress; dropped with its answer.
+/// One request in progress; dropped with its response.
 #[derive(Clone)]
 struct InProgress {
     _guard: Arc<Guard>,
@@ -53,18 +51,18 @@
     }
 }
 
-impl Drain {
-    fn enter(&self) -> InProgress {
+impl RequestCounter {
+    fn start(&self) -> InProgress {
         self.open.fetch_add(1, Ordering::AcqRel);
         InProgress { _guard: Arc::new(Guard { open: Arc::clone(&self.open) }) }
     }
 
-    /// How many requests are in progress.
+    /// Number of requests in progress.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Waits until none is in progress, at most `limit`; returns how many still are.
+    /// Waits at most `limit` until no request is in progress; returns the number that still are.
     pub fn wait(&self, limit: Duration) -> usize {
         const POLL: Duration = Duration::from_millis(5);
         let start = Instant::now();
@@ -79,32 +77,32 @@
 #[derive(Clone)]
 pub struct HttpServer {
     addr: SocketAddr,
-    drain: Drain,
+    counter: RequestCounter,
 }
 
 impl HttpServer {
-    /// Listens on `ip` and `port` (0: a free one) and answers each request by `handler`.
+    /// Listens on `ip` and `port` (0: any free port) and handles each request by `handler`.
     ///
-    /// `idle` bounds each read and write, so that a caller who sends or reads nothing for that long
-    /// is cut off. More than `connections` at once wait to be accepted.
+    /// `idle_timeout` bounds each read and write. More than `connections` concurrent connections
+    /// wait to be accepted.
     pub fn start(
         ip: IpAddr,
         port: u16,
-        idle: Duration,
+        idle_timeout: Duration,
         connections: usize,
         handler: impl Fn(&mut Request<Body>) -> Response<Body> + Send + Sync + 'static,
     ) -> io::Result<HttpServer> {
         let handler = Arc::new(handler);
-        let drain = Drain::default();
-        for _ in 0..PORT_TRIES {
+        let counter = RequestCounter::default();
+        for _ in 0..MAX_PORT_ATTEMPTS {
             let addr = SocketAddr::new(ip, choose_port(ip, port)?);
-            let counted = counted(Arc::clone(&handler), drain.clone());
-            let server = Server::new(counted)
+            let handler = count_requests(Arc::clone(&handler), counter.clone());
+            let server = Server::new(handler)
                 .bind(addr)
-                .with_global_timeout(idle)
+                .with_global_timeout(idle_timeout)
                 .with_max_concurrent_connections(connections);
             match server.spawn() {
-                Ok(_listening) => return Ok(HttpServer { addr, drain }),
+                Ok(_handle) => return Ok(HttpServer { addr, counter }),
                 Err(e) if port == 0 && e.kind() == ErrorKind::AddrInUse => {}
                 Err(e) => return Err(e),
             }
@@ -112,30 +110,30 @@
         Err(io::Error::new(ErrorKind::AddrInUse, "no free port; name one in the settings"))
     }
 
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The count of its requests in progress.
-    pub fn drain(&self) -> &Drain {
-        &self.drain
+    /// The counter of its requests in progress.
+    pub fn counter(&self) -> &RequestCounter {
+        &self.counter
     }
 }
 
-fn counted(
+fn count_requests(
     handler: Arc<impl Fn(&mut Request<Body>) -> Response<Body>>,
-    drain: Drain,
+    counter: RequestCounter,
 ) -> impl Fn(&mut Request<Body>) -> Response<Body> {
     move |req| {
-        let in_progress = drain.enter();
-        let mut answer = handler(req);
-        answer.extensions_mut().insert(in_progress);
-        answer
+        let in_progress = counter.start();
+        let mut response = handler(req);
+        response.extensions_mut().insert(in_progress);
+        response
     }
 }
 
-/// The library doesn't tell which port the system gave it, so one is asked for beforehand.
+/// Picks a free port beforehand, since the library doesn't report the port that it bound.
 fn choose_port(ip: IpAddr, port: u16) -> io::Result<u16> {
     if port != 0 {
         return Ok(port);
@@ -143,15 +141,15 @@
     Ok(TcpListener::bind(SocketAddr::new(ip, 0))?.local_addr()?.port())
 }
 
-/// Why a request's body wasn't read.
+/// Why a request's body couldn't be read.
 #[derive(Debug)]
 pub enum ReadBodyError {
-    /// More bytes than the limit.
+    /// The body is larger than the limit.
     TooLarge {
         /// The limit in bytes.
         limit: usize,
     },
-    /// It ended early, came too slowly, or its framing is wrong.
+    /// The body is incomplete, too slow or malformed.
     Broken(io::Error),
 }
 
@@ -173,7 +171,7 @@
 
 impl std::error::Error for ReadBodyError {}
 
-/// Reads a request's whole body, at most `limit` bytes.
+/// Reads a request's complete body, at most `limit` bytes.
 pub fn read_body(req: &mut Request<Body>, limit: usize) -> Result<Vec<u8>, ReadBodyError> {
     if req.body().len().is_some_and(|len| len > limit as u64) {
         return Err(ReadBodyError::TooLarge { limit });
@@ -183,17 +181,17 @@
     if buf.len() > limit { Err(ReadBodyError::TooLarge { limit }) } else { Ok(buf) }
 }
 
-/// A request that can't be taken, with the text that names the remedy.
+/// A rejected request, with a text that names the remedy.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BadRequest {
-    /// The status to answer with.
+    /// The status of the response.
     pub status: StatusCode,
-    /// What is wrong and what to do.
+    /// The reason and the remedy.
     pub text: String,
 }
 
 impl BadRequest {
-    /// A request to be answered with `status` and `text`.
+    /// Creates a rejection with `status` and `text`.
     pub fn new(status: StatusCode, text: impl fmt::Display) -> Self {
         BadRequest { status, text: text.to_string() }
     }
@@ -209,31 +207,31 @@
     }
 }
 
-/// A plain-text answer with extra headers.
+/// Creates a plain-text response with extra headers.
 pub fn respond(
     status: StatusCode,
     headers: impl IntoIterator<Item = (HeaderName, String)>,
     text: impl Into<String>,
 ) -> Response<Body> {
-    let mut answer =
+    let mut response =
         Response::builder().status(status).header(CONTENT_TYPE, "text/plain; charset=utf-8");
     for (name, value) in headers {
-        answer = answer.header(name, value);
+        response = response.header(name, value);
     }
-    // The parts are ours, except header values, which a failure drops together with the text.
-    answer.body(Body::from(text.into())).unwrap_or_else(|_| {
-        let mut plain = Response::new(Body::empty());
-        *plain.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
-        plain
+    // Only an invalid header value can fail.
+    response.body(Body::from(text.into())).unwrap_or_else(|_| {
+        let mut empty = Response::new(Body::empty());
+        *empty.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
+        empty
     })
 }
 
-/// A JSON answer.
+/// Creates a JSON response.
 pub fn respond_json(status: StatusCode, message: &impl Serialize) -> Response<Body> {
     let body = serde_json::to_vec(message).unwrap_or_default();
-    let mut answer = Response::new(Body::from(body));
-    *answer.status_mut() = status;
+    let mut response = Response::new(Body::from(body));
+    *response.status_mut() = status;
     let json = "application/json".parse().expect("a constant header value");
-    answer.headers_mut().insert(CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(CONTENT_TYPE, json);
+    response
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
 //! Input and output: HTTP, peer calls, the clock, and the loops that run the reducers.
 //!
-//! The reducers decide; this crate performs their effects and feeds the answers back. It holds no
-//! rule about which request runs where, and keeps nothing that must last.
+//! This crate performs the reducers' effects and returns the results to them as events. It makes
+//! no scheduling decisions and stores nothing durably.
 
 mod clock;
 pub mod http;
--- a/crates/net/src/peers/client.rs
+++ b/crates/net/src/peers/client.rs
@@ -1,7 +1,7 @@
-//! The sending side of peer calls: one kept connection for each peer.
+//! Sender of peer messages, with one persistent connection for each peer.
 
 use {
-    super::{server::MESSAGE_MAX_BYTES, service::PeerClient},
+    super::{server::MAX_MESSAGE_BYTES, service::PeerClient},
     egretlb_types::NodeId,
     std::{
         collections::HashMap,
@@ -20,43 +20,41 @@
     },
 };
 
-/// How many messages wait for one peer. More than a second's worth at the peak means that the
-/// peer is stuck, and what waits any longer would be acted on too late.
-const QUEUE_MAX: usize = 1024;
+/// Maximum number of messages queued for one peer.
+const MAX_QUEUED_MESSAGES: usize = 1024;
 
-/// How long a connect or a call may take. Within a region a round trip takes some 1 ms, between
-/// regions some 100 ms; an owner that takes longer is as good as unreachable for a caller who waits.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// How long a connect or a call may take.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a peer that nothing is sent to keeps its connection.
-const IDLE_LIMIT: Duration = Duration::from_secs(120);
+/// How long an unused connection stays open.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What is known of a message that wasn't confirmed.
+/// Why a message isn't known to have arrived.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
-    /// No byte of it left this process.
+pub enum DeliveryFailure {
+    /// Nothing was sent.
     NeverSent,
     /// It may have arrived.
     Unknown,
 }
 
-/// What to do when a message isn't known to have arrived.
-pub type Undelivered = Box<dyn FnOnce(Fate) + Send>;
+/// Callback for a message that isn't known to have arrived.
+pub type OnUndelivered = Box<dyn FnOnce(DeliveryFailure) + Send>;
 
 struct Outgoing {
     body: Vec<u8>,
-    undelivered: Option<Undelivered>,
+    on_undelivered: Option<OnUndelivered>,
 }
 
 impl Outgoing {
-    fn never_sent(self) {
-        if let Some(undelivered) = self.undelivered {
-            undelivered(Fate::NeverSent);
+    fn fail_unsent(self) {
+        if let Some(on_undelivered) = self.on_undelivered {
+            on_undelivered(DeliveryFailure::NeverSent);
         }
     }
 }
 
-/// Sends messages to peers without waiting.
+/// Sends messages to peers without blocking.
 #[derive(Clone)]
 pub struct PeerSender {
     rt: Handle,
@@ -65,17 +63,19 @@
 }
 
 impl PeerSender {
-    /// A sender in the name of `from`, whose connections run on `rt`.
+    /// Creates a sender for the node `from`, whose connections run on `rt`.
     pub fn new(rt: Handle, from: NodeId) -> Self {
         PeerSender { rt, from, queues: Arc::default() }
     }
 
-    /// Sends `body` to the peer at `to`; calls `undelivered` if it isn't known to have arrived.
-    pub fn send(&self, to: SocketAddr, body: Vec<u8>, undelivered: Option<Undelivered>) {
+    /// Sends `body` to the peer at `to`; calls `on_undelivered` if it isn't known to have arrived.
+    pub fn send(&self, to: SocketAddr, body: Vec<u8>, on_undelivered: Option<OnUndelivered>) {
         let tx = self.queue(to);
-        match tx.try_send(Outgoing { body, undelivered }) {
+        match tx.try_send(Outgoing { body, on_undelivered }) {
             Ok(()) => {}
-            Err(TrySendError::Full(out) | TrySendError::Closed(out)) => out.never_sent(),
+            Err(TrySendError::Full(outgoing) | TrySendError::Closed(outgoing)) => {
+                outgoing.fail_unsent()
+            }
         }
     }
 
@@ -84,9 +84,9 @@
         if let Some(tx) = queues.get(&to).filter(|tx| !tx.is_closed()) {
             return tx.clone();
         }
-        // Replaced peers come back under other addresses: forget the closed queues.
+        // Replaced peers have new addresses: remove closed queues.
         queues.retain(|_, tx| !tx.is_closed());
-        let (tx, rx) = mpsc::channel(QUEUE_MAX);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
         queues.insert(to, tx.clone());
         self.rt.spawn(run_queue(to, self.from, rx));
         tx
@@ -95,50 +95,53 @@
 
 async fn connect(to: SocketAddr) -> Option<PeerClient> {
     let mut connecting = tcp::connect(to, Bincode::default);
-    connecting.config_mut().max_frame_length(MESSAGE_MAX_BYTES);
-    let transport = time::timeout(CALL_LIMIT, connecting).await.ok()?.ok()?;
+    connecting.config_mut().max_frame_length(MAX_MESSAGE_BYTES);
+    let transport = time::timeout(CALL_TIMEOUT, connecting).await.ok()?.ok()?;
     Some(PeerClient::new(Config::default(), transport).spawn())
 }
 
-/// Sends what is queued for one peer until nothing came for [`IDLE_LIMIT`].
+/// Sends the messages queued for one peer; ends when none arrives for [`IDLE_TIMEOUT`].
 ///
-/// Calls don't wait for each other: between regions a round trip takes some 100 ms, and one call at
-/// a time would hold a peer to ten messages a second.
+/// Calls run concurrently, since a round trip between regions takes some 100 ms.
 async fn run_queue(to: SocketAddr, from: NodeId, mut rx: Receiver<Outgoing>) {
     let mut client: Option<PeerClient> = None;
-    let broken = Arc::new(AtomicBool::new(false));
-    while let Ok(Some(out)) = time::timeout(IDLE_LIMIT, rx.recv()).await {
-        if client.is_none() || broken.swap(false, Ordering::AcqRel) {
+    let disconnected = Arc::new(AtomicBool::new(false));
+    while let Ok(Some(outgoing)) = time::timeout(IDLE_TIMEOUT, rx.recv()).await {
+        if client.is_none() || disconnected.swap(false, Ordering::AcqRel) {
             client = connect(to).await;
         }
         match client.clone() {
             Some(connected) => {
-                tokio::spawn(deliver(connected, from, out, Arc::clone(&broken)));
+                tokio::spawn(deliver(connected, from, outgoing, Arc::clone(&disconnected)));
             }
             None => {
-                out.never_sent();
+                outgoing.fail_unsent();
                 fail_queued(&mut rx);
             }
         }
     }
 }
 
-async fn deliver(client: PeerClient, from: NodeId, out: Outgoing, broken: Arc<AtomicBool>) {
+async fn deliver(
+    client: PeerClient,
+    from: NodeId,
+    outgoing: Outgoing,
+    disconnected: Arc<AtomicBool>,
+) {
     let mut cx = context::current();
-    cx.deadline = Instant::now() + CALL_LIMIT;
-    let sent = client.deliver(cx, from, out.body).await;
-    if sent.is_err() {
-        broken.store(true, Ordering::Release);
-        if let Some(undelivered) = out.undelivered {
-            undelivered(Fate::Unknown);
+    cx.deadline = Instant::now() + CALL_TIMEOUT;
+    let result = client.deliver(cx, from, outgoing.body).await;
+    if result.is_err() {
+        disconnected.store(true, Ordering::Release);
+        if let Some(on_undelivered) = outgoing.on_undelivered {
+            on_undelivered(DeliveryFailure::Unknown);
         }
     }
 }
 
-/// When a peer can't be reached, whoever waits behind the failed message is told at once rather
-/// than after a time-out each.
+/// Fails all queued messages of an unreachable peer at once, rather than after a timeout each.
 fn fail_queued(rx: &mut Receiver<Outgoing>) {
-    while let Ok(out) = rx.try_recv() {
-        out.never_sent();
+    while let Ok(outgoing) = rx.try_recv() {
+        outgoing.fail_unsent();
     }
 }
--- a/crates/net/src/peers/mod.rs
+++ b/crates/net/src/peers/mod.rs
@@ -1,15 +1,15 @@
-//! Messages between egretlb's own processes, by `tarpc`.
+//! Messages between egretlb's processes, over `tarpc`.
 //!
-//! Every message may be lost, doubled or late; the reducers repeat what matters. So a queue that is
-//! full drops, and no message is kept for a peer that can't be reached. Bodies are `postcard`
-//! inside one `tarpc` call, since bincode's fixed-size integers would double the small ones.
+//! Messages may be lost, duplicated or late; the reducers retry. A full queue drops messages, and
+//! none are retained for an unreachable peer. Bodies are encoded by `postcard`, which is more
+//! compact than `tarpc`'s bincode for small integers.
 
 mod client;
 mod server;
 mod service;
 
 pub use self::{
-    client::{Fate, PeerSender, Undelivered},
+    client::{DeliveryFailure, OnUndelivered, PeerSender},
     server::listen,
     service::Received,
 };
--- a/crates/net/src/peers/server.rs
+++ b/crates/net/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! The receiving side of peer calls.
+//! Receiver of peer messages.
 
 use {
     super::service::{Peer, Received},
@@ -18,53 +18,53 @@
     tokio::{net::TcpListener, runtime::Handle},
 };
 
-/// The largest message accepted, in bytes: a configuration of thousands of classes fits.
-pub(super) const MESSAGE_MAX_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a message; a configuration of thousands of classes fits.
+pub(super) const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// The most connections accepted at once: a few for each process at the target's 34.
-const CONNECTIONS_MAX: usize = 256;
+/// Maximum number of open connections.
+const MAX_CONNECTIONS: usize = 256;
 
 #[derive(Clone)]
-struct Inbox {
+struct MessageReceiver {
     handler: Arc<dyn Fn(Received) + Send + Sync>,
 }
 
-impl Peer for Inbox {
+impl Peer for MessageReceiver {
     async fn deliver(self, _: Context, from: NodeId, body: Vec<u8>) {
         (self.handler)(Received { from, body });
     }
 }
 
-/// Listens on `ip` and `port` (0: a free one) and hands each message to `handler`, which must not
-/// block. Returns the address.
+/// Listens on `ip` and `port` (0: any free port) and passes each message to `handler`, which must
+/// not block. Returns the address.
 pub fn listen(
     rt: &Handle,
     ip: IpAddr,
     port: u16,
     handler: impl Fn(Received) + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
-    let inbox = Inbox { handler: Arc::new(handler) };
+    let receiver = MessageReceiver { handler: Arc::new(handler) };
     let listener = std::net::TcpListener::bind(SocketAddr::new(ip, port))?;
     listener.set_nonblocking(true)?;
     let addr = listener.local_addr()?;
     let _guard = rt.enter();
     let listener = TcpListener::from_std(listener)?;
-    rt.spawn(accept(listener, inbox));
+    rt.spawn(accept(listener, receiver));
     Ok(addr)
 }
 
-async fn accept(listener: TcpListener, inbox: Inbox) {
+async fn accept(listener: TcpListener, receiver: MessageReceiver) {
     let incoming = tcp::listen_on(listener, Bincode::default).await;
     let Ok(mut incoming) = incoming else { return };
-    incoming.config_mut().max_frame_length(MESSAGE_MAX_BYTES);
+    incoming.config_mut().max_frame_length(MAX_MESSAGE_BYTES);
     incoming
         .filter_map(|transport| async { transport.ok() })
         .map(BaseChannel::with_defaults)
         .map(|channel| {
-            let calls = channel.execute(inbox.clone().serve());
+            let calls = channel.execute(receiver.clone().serve());
             calls.for_each(|call| call)
         })
-        .buffer_unordered(CONNECTIONS_MAX)
+        .buffer_unordered(MAX_CONNECTIONS)
         .for_each(|()| async {})
         .await;
 }
--- a/crates/net/src/peers/service.rs
+++ b/crates/net/src/peers/service.rs
@@ -1,19 +1,19 @@
-//! The one call between processes.
+//! The RPC service between processes.
 
 use egretlb_types::NodeId;
 
-/// A message as it arrived, still encoded.
+/// A received message, not yet decoded.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Received {
-    /// The node that sent it, by its own word.
+    /// The node that claims to have sent it.
     pub from: NodeId,
     /// The encoded message.
     pub body: Vec<u8>,
 }
 
-/// Takes a message; its return says that the process has it, not that it acted on it.
+/// Receives messages; a return confirms that the message was received, not that it was handled.
 #[tarpc::service]
 pub trait Peer {
-    /// Hands over one encoded message.
+    /// Delivers one encoded message.
     async fn deliver(from: NodeId, body: Vec<u8>);
 }
--- a/crates/net/src/platform/log.rs
+++ b/crates/net/src/platform/log.rs
@@ -15,15 +15,14 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// How long one call may be silent. A log that is slow isn't down: reads go out once a second and up
-/// to four are under way, so one that takes 2 s still carries authority, which counts 3 s from its
-/// sending. After that an answer is of no use.
-const CALL_LIMIT: Duration = Duration::from_millis(2_500);
+/// Less than the 3 s of authority that a read gives, counted from its sending: a later response is
+/// of no use.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How much is read at once: a page is held in memory twice.
+/// Requested page size.
 const PAGE_BYTES: u32 = 1 << 20;
 
-/// Who calls, so that the platform can tell its callers apart.
+/// Header that identifies the calling node.
 const NODE_HEADER: HeaderName = HeaderName::from_static("egretlb-node");
 
 #[derive(Deserialize)]
@@ -49,7 +48,7 @@
     data: Vec<u8>,
 }
 
-/// A client of the log service, trying its addresses in turn.
+/// Client of the log service; tries its addresses in turn.
 #[derive(Clone, Debug)]
 pub struct HttpLog {
     addrs: SmallVec<[SocketAddr; 4]>,
@@ -57,30 +56,30 @@
 }
 
 impl HttpLog {
-    /// A client in the name of `node`.
+    /// Creates a client that identifies itself as `node`.
     pub fn new(addrs: impl IntoIterator<Item = SocketAddr>, node: NodeId) -> Self {
         HttpLog { addrs: addrs.into_iter().collect(), node: HeaderValue::from(node.0) }
     }
 
     fn call(&self, method: &Method, path: &str, body: &[u8]) -> Result<HttpAnswer, CallFailure> {
-        let mut last = CallFailure::NotSent(std::io::Error::other("no address is set"));
+        let mut last_failure = CallFailure::NotSent(std::io::Error::other("no address is set"));
         for addr in &self.addrs {
             let url = format!("http://{addr}{path}");
             let headers = [(NODE_HEADER, self.node.clone())];
-            match call(method.clone(), url, headers, body.to_vec(), CALL_LIMIT) {
-                // Only what certainly didn't arrive may go to the next address.
-                Err(failure @ CallFailure::NotSent(_)) => last = failure,
-                answered => return answered,
+            match call(method.clone(), url, headers, body.to_vec(), CALL_TIMEOUT) {
+                // Only an unsent request may go to the next address.
+                Err(failure @ CallFailure::NotSent(_)) => last_failure = failure,
+                result => return result,
             }
         }
-        Err(last)
+        Err(last_failure)
     }
 }
 
 impl LogService for HttpLog {
     fn append(&self, stream: &StreamName, record: &[u8]) -> AppendOutcome {
         match self.call(&Method::POST, &format!("/streams/{stream}"), record) {
-            Ok(answer) => append_outcome(&answer),
+            Ok(response) => append_outcome(&response),
             Err(CallFailure::NotSent(_)) => {
                 AppendOutcome::NotAppended(NotAppendedReason::Unreachable)
             }
@@ -91,28 +90,28 @@
     fn read(&self, stream: &StreamName, from: Offset) -> ReadOutcome {
         let path = format!("/streams/{stream}?from={from}&max_bytes={PAGE_BYTES}");
         match self.call(&Method::GET, &path, &[]) {
-            Ok(answer) => read_outcome(&answer),
+            Ok(response) => read_outcome(&response),
             Err(_) => ReadOutcome::Unavailable,
         }
     }
 }
 
-fn append_outcome(answer: &HttpAnswer) -> AppendOutcome {
-    match answer.status.as_u16() {
-        200 => match serde_json::from_slice::<Appended>(&answer.body) {
+fn append_outcome(response: &HttpAnswer) -> AppendOutcome {
+    match response.status.as_u16() {
+        200 => match serde_json::from_slice::<Appended>(&response.body) {
             Ok(appended) => AppendOutcome::Appended(Offset(appended.offset)),
             Err(_) => AppendOutcome::Unknown,
         },
         413 => AppendOutcome::NotAppended(NotAppendedReason::TooLarge),
         400..=499 => AppendOutcome::NotAppended(NotAppendedReason::Refused),
-        // A server's error may come after the append took effect.
+        // A server error may follow an append that took effect.
         _ => AppendOutcome::Unknown,
     }
 }
 
-fn read_outcome(answer: &HttpAnswer) -> ReadOutcome {
-    match answer.status.as_u16() {
-        200 => match postcard::from_bytes::<Page>(&answer.body) {
+fn read_outcome(response: &HttpAnswer) -> ReadOutcome {
+    match response.status.as_u16() {
+        200 => match postcard::from_bytes::<Page>(&response.body) {
             Ok(page) => ReadOutcome::Page {
                 records: page
                     .records
@@ -124,7 +123,7 @@
             },
             Err(_) => ReadOutcome::Unavailable,
         },
-        410 => match serde_json::from_slice::<Gone>(&answer.body) {
+        410 => match serde_json::from_slice::<Gone>(&response.body) {
             Ok(gone) => ReadOutcome::Gone { oldest: Offset(gone.oldest) },
             Err(_) => ReadOutcome::Unavailable,
         },
--- a/crates/net/src/platform/mod.rs
+++ b/crates/net/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's services over HTTP: the log service, the VM list, the workers.
+//! HTTP clients of the platform's services: the log service, the VM list, the workers.
 
 mod log;
 mod vms;
--- a/crates/net/src/platform/vms.rs
+++ b/crates/net/src/platform/vms.rs
@@ -1,9 +1,7 @@
-//! The platform's VM list over HTTP: `GET /vms` answers a JSON list of VM records.
+//! The platform's VM list over HTTP: `GET /vms` returns a JSON list of VM records.
 //!
-//! The list of 1,300 VMs is some 240 KB, and it is asked for once a second, so that a leaving VM gets
-//! nothing new within a few seconds. Read whole each time it would be a hundred times a node's
-//! budget for control. So the question carries the `ETag` of the last answer, and a list that
-//! hasn't changed comes back as a 304 without a body. A platform without `ETag` sends it whole.
+//! The list is large and polled once a second, so requests carry the `ETag` of the last response:
+//! an unchanged list is a 304 without a body. A platform without `ETag` sends the full list.
 
 use {
     crate::http::{CallFailure, HttpAnswer, call},
@@ -20,38 +18,38 @@
     },
 };
 
-/// A second is ample for the whole list, and short beside the list's own lag.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// Short compared with the lag of the list itself.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A list and the tag that the platform gave it.
+/// The last list and its `ETag`.
 #[derive(Clone, Debug)]
-struct Known {
-    tag: HeaderValue,
+struct CachedList {
+    etag: HeaderValue,
     vms: Vec<VmRecord>,
 }
 
-/// Reads the platform's VM list. Clones share what was read last.
+/// Client of the platform's VM list. Clones share the cached list.
 #[derive(Clone, Debug)]
 pub struct VmListClient {
     addr: SocketAddr,
-    known: Arc<Mutex<Option<Known>>>,
+    cached: Arc<Mutex<Option<CachedList>>>,
 }
 
 impl VmListClient {
-    /// A client of the list at `addr` that knows no list yet.
+    /// Creates a client of the list at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
-        VmListClient { addr, known: Arc::default() }
+        VmListClient { addr, cached: Arc::default() }
     }
 
-    /// The whole list as the platform has it now.
+    /// Returns the platform's current list.
     pub fn read(&self) -> Result<Vec<VmRecord>, CallFailure> {
-        let known = self.known.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let headers = known.iter().map(|known| (IF_NONE_MATCH, known.tag.clone()));
+        let cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let headers = cached.iter().map(|cached| (IF_NONE_MATCH, cached.etag.clone()));
         let url = format!("http://{}/vms", self.addr);
-        let answer = call(Method::GET, url, headers, Vec::new(), CALL_LIMIT)?;
-        match (answer.status, known) {
-            (StatusCode::NOT_MODIFIED, Some(known)) => Ok(known.vms),
-            (StatusCode::OK, _) => self.take(&answer),
+        let response = call(Method::GET, url, headers, Vec::new(), CALL_TIMEOUT)?;
+        match (response.status, cached) {
+            (StatusCode::NOT_MODIFIED, Some(cached)) => Ok(cached.vms),
+            (StatusCode::OK, _) => self.store(&response),
             (status, _) => {
                 let text = format!("the VM list answered with status {status}");
                 Err(CallFailure::NoAnswer(io::Error::other(text)))
@@ -59,12 +57,12 @@
         }
     }
 
-    fn take(&self, answer: &HttpAnswer) -> Result<Vec<VmRecord>, CallFailure> {
-        let vms: Vec<VmRecord> = serde_json::from_slice(&answer.body)
+    fn store(&self, response: &HttpAnswer) -> Result<Vec<VmRecord>, CallFailure> {
+        let vms: Vec<VmRecord> = serde_json::from_slice(&response.body)
             .map_err(|e| CallFailure::NoAnswer(io::Error::new(io::ErrorKind::InvalidData, e)))?;
-        let tag = answer.headers.get(ETAG).cloned();
-        let known = tag.map(|tag| Known { tag, vms: vms.clone() });
-        *self.known.lock().unwrap_or_else(PoisonError::into_inner) = known;
+        let etag = response.headers.get(ETAG).cloned();
+        let cached = etag.map(|etag| CachedList { etag, vms: vms.clone() });
+        *self.cached.lock().unwrap_or_else(PoisonError::into_inner) = cached;
         Ok(vms)
     }
 }
--- a/crates/net/src/runtime/callers.rs
+++ b/crates/net/src/runtime/callers.rs
@@ -1,8 +1,7 @@
-//! Callers' requests over HTTP.
+//! The callers' HTTP interface.
 //!
-//! A request's body stays here while the reducer decides; its answer's body never passes through
-//! the reducer either. Each request waits on a channel of its own, so an answer can only reach the
-//! caller whose request it is.
+//! Request and response bodies don't pass through the reducer. Each request waits on its own
+//! channel, so a response can only reach the caller that made the request.
 
 use {
     crate::http::{BadRequest, CallFailure, HttpAnswer, read_body, respond},
@@ -41,10 +40,10 @@
     },
 };
 
-/// The longest deadline that a caller may ask for.
-const DEADLINE_MAX: Duration = Duration::from_secs(600);
+/// Maximum deadline that a caller may set.
+const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
-/// Headers that belong to one connection and aren't passed on. The length is set anew.
+/// Headers that aren't forwarded. `Content-Length` and `Host` are set by the HTTP client.
 const HOP_BY_HOP: [HeaderName; 12] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -60,103 +59,102 @@
     UPGRADE,
 ];
 
-/// What a caller sent.
+/// A caller's request.
 pub(super) struct CallerRequest {
     pub(super) method: Method,
-    /// Path and query as the backend server gets them.
+    /// Path and query for the backend server.
     pub(super) target: String,
     pub(super) headers: HeaderMap,
     pub(super) body: Vec<u8>,
     keyed: bool,
 }
 
-/// What the handler of a request is told in the end.
-enum Final {
+/// The final result of a request, for its handler.
+enum FinalResult {
     Forward(Box<HttpAnswer>),
     Verdict(Box<Verdict>),
 }
 
-struct Waiting {
+struct PendingRequest {
     req: Arc<CallerRequest>,
-    tx: Sender<Final>,
+    tx: Sender<FinalResult>,
     sent: bool,
-    /// Whole answers by sending; only one of them is passed on.
-    answers: Vec<(AttemptId, HttpAnswer)>,
+    /// Complete responses by attempt; one of them is forwarded.
+    responses: Vec<(AttemptId, HttpAnswer)>,
 }
 
 /// The requests in progress.
 #[derive(Clone, Default)]
 pub(super) struct Requests {
     next: Arc<AtomicU64>,
-    waiting: Arc<Mutex<HashMap<RequestId, Waiting>>>,
+    pending: Arc<Mutex<HashMap<RequestId, PendingRequest>>>,
 }
 
 impl Requests {
-    fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, Waiting>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, PendingRequest>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn begin(&self, req: CallerRequest) -> (RequestId, Receiver<Final>) {
+    fn begin(&self, req: CallerRequest) -> (RequestId, Receiver<FinalResult>) {
         let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed) + 1);
         let (tx, rx) = channel::bounded(1);
-        let waiting = Waiting { req: Arc::new(req), tx, sent: false, answers: Vec::new() };
-        self.lock().insert(id, waiting);
+        let pending = PendingRequest { req: Arc::new(req), tx, sent: false, responses: Vec::new() };
+        self.lock().insert(id, pending);
         (id, rx)
     }
 
-    /// What is to be sent for the request, while it is in progress, and whether it was sent before.
-    pub(super) fn send(&self, id: RequestId) -> Option<(Arc<CallerRequest>, bool)> {
+    /// Returns the request to send and whether this is a retry; `None` if it isn't in progress.
+    pub(super) fn begin_attempt(&self, id: RequestId) -> Option<(Arc<CallerRequest>, bool)> {
         let mut table = self.lock();
-        let waiting = table.get_mut(&id)?;
-        let again = mem::replace(&mut waiting.sent, true);
-        Some((Arc::clone(&waiting.req), again))
+        let pending = table.get_mut(&id)?;
+        let is_retry = mem::replace(&mut pending.sent, true);
+        Some((Arc::clone(&pending.req), is_retry))
     }
 
-    /// Keeps a whole answer until the reducer says whether to pass it on.
-    pub(super) fn keep(&self, id: RequestId, attempt: AttemptId, answer: HttpAnswer) {
-        if let Some(waiting) = self.lock().get_mut(&id) {
-            waiting.answers.push((attempt, answer));
+    /// Stores a complete response until the reducer decides whether to forward it.
+    pub(super) fn store_response(&self, id: RequestId, attempt: AttemptId, response: HttpAnswer) {
+        if let Some(pending) = self.lock().get_mut(&id) {
+            pending.responses.push((attempt, response));
         }
     }
 
-    /// Gives a request its final answer.
+    /// Sends the final result to the request's handler.
     pub(super) fn end(&self, id: RequestId, verdict: Verdict) {
-        let Some(mut waiting) = self.lock().remove(&id) else { return };
-        let kept = match verdict {
+        let Some(mut pending) = self.lock().remove(&id) else { return };
+        let response = match verdict {
             Verdict::Forward { attempt } => {
-                let at = waiting.answers.iter().position(|(of, _)| *of == attempt);
-                at.map(|at| waiting.answers.swap_remove(at).1)
+                let index = pending.responses.iter().position(|(of, _)| *of == attempt);
+                index.map(|index| pending.responses.swap_remove(index).1)
             }
             _ => None,
         };
-        let last = match kept {
-            Some(answer) => Final::Forward(Box::new(answer)),
-            None => Final::Verdict(Box::new(verdict)),
+        let result = match response {
+            Some(response) => FinalResult::Forward(Box::new(response)),
+            None => FinalResult::Verdict(Box::new(verdict)),
         };
         // The handler waits as long as the request is in the table.
-        let _ = waiting.tx.send(last);
+        let _ = pending.tx.send(result);
     }
 
-    /// Refuses what is left when the reducer has ended with nothing in progress: these requests
-    /// came behind its last step. Nobody would answer them, and each would hold its caller, and the
-    /// end of the process, until the drain's limit.
+    /// Refuses the requests that arrived after the reducer's last step: they would otherwise delay
+    /// the shutdown until the drain limit.
     pub(super) fn refuse_rest(&self) {
-        for (_, waiting) in self.lock().drain() {
+        for (_, pending) in self.lock().drain() {
             let reason = NotRunReason::ShuttingDown;
             let retry_after = RetryAfter::from_wait(Duration::ZERO);
             let verdict = Box::new(Verdict::Refuse { reason, retry_after });
             // The handler waits as long as the request is in the table.
-            let _ = waiting.tx.send(Final::Verdict(verdict));
+            let _ = pending.tx.send(FinalResult::Verdict(verdict));
         }
     }
 
-    /// Drops a request that nobody waits for.
+    /// Removes a request that no handler waits for.
     pub(super) fn forget(&self, id: RequestId) {
         self.lock().remove(&id);
     }
 }
 
-/// Handles one caller's request: from its headers to its final answer.
+/// Handles one caller's request.
 pub(super) fn handle(
     req: &mut Request<Body>,
     max_body: usize,
@@ -166,8 +164,8 @@
 ) -> Response<Body> {
     let arrived = Instant::now();
     let (arrival, call) = match read_request(req, max_body) {
-        Ok(read) => read,
-        Err(bad) => return refuse_bad(&bad),
+        Ok(parts) => parts,
+        Err(bad) => return reject(&bad),
     };
     let (request, rx) = requests.begin(call);
     let class = arrival.class.clone();
@@ -178,21 +176,21 @@
         let retry_after = RetryAfter::from_wait(Duration::ZERO);
         return refuse(NotRunReason::ShuttingDown, retry_after);
     }
-    let last = rx.recv();
-    count(metrics, &class, last.as_ref().ok(), arrived.elapsed());
-    match last {
-        Ok(Final::Forward(answer)) => pass_on(*answer),
-        Ok(Final::Verdict(verdict)) => answer_verdict(*verdict),
-        Err(_) => error_answer(ErrorReason::Broken, Ran::Unknown, None),
+    let result = rx.recv();
+    count(metrics, &class, result.as_ref().ok(), arrived.elapsed());
+    match result {
+        Ok(FinalResult::Forward(response)) => forward(*response),
+        Ok(FinalResult::Verdict(verdict)) => respond_verdict(*verdict),
+        Err(_) => respond_error(ErrorReason::Broken, Ran::Unknown, None),
     }
 }
 
-/// Counts how a request ended. One of an unknown class has no series of its own: the class is the
-/// caller's text, and each new text would take memory for good.
-fn count(metrics: &EntryMetrics, class: &ClassName, last: Option<&Final>, took: Duration) {
-    let verdict = match last {
-        Some(Final::Forward(_)) => return metrics.ended(class, Outcome::Answered, took),
-        Some(Final::Verdict(verdict)) => &**verdict,
+/// Updates the metrics of an ended request. An unknown class gets no series, since the number of
+/// names that callers may send is unbounded.
+fn count(metrics: &EntryMetrics, class: &ClassName, result: Option<&FinalResult>, took: Duration) {
+    let verdict = match result {
+        Some(FinalResult::Forward(_)) => return metrics.ended(class, Outcome::Answered, took),
+        Some(FinalResult::Verdict(verdict)) => &**verdict,
         None => return metrics.ended(class, Outcome::Failed, took),
     };
     match verdict {
@@ -209,21 +207,21 @@
     }
 }
 
-/// Reads and checks what a caller sent; an answer at once if it can't be taken.
+/// Reads and validates a caller's request.
 fn read_request(
     req: &mut Request<Body>,
     max_body: usize,
 ) -> Result<(CallerArrival, CallerRequest), BadRequest> {
-    // Their answers have no body or another meaning than a request's answer.
+    // Their responses have no body or another meaning.
     if [Method::HEAD, Method::CONNECT, Method::TRACE].contains(req.method()) {
         return Err(BadRequest::new(
             StatusCode::METHOD_NOT_ALLOWED,
             "use GET, POST, PUT, PATCH or DELETE",
         ));
     }
-    let class = class_of(req.uri().path())?;
-    let deadline = deadline_of(req.headers())?;
-    let key = key_text(req.headers())?;
+    let class = parse_class(req.uri().path())?;
+    let deadline = parse_deadline(req.headers())?;
+    let key = parse_key(req.headers())?;
     let target = req.uri().path_and_query().map_or_else(String::new, ToString::to_string);
     let body = read_body(req, max_body)?;
     let hash = body_hash(req.method(), &target, &body);
@@ -238,14 +236,14 @@
     let call = CallerRequest {
         method: req.method().clone(),
         target,
-        headers: end_to_end(req.headers()),
+        headers: end_to_end_headers(req.headers()),
         body,
         keyed: key.is_some(),
     };
     Ok((arrival, call))
 }
 
-fn class_of(path: &str) -> Result<ClassName, BadRequest> {
+fn parse_class(path: &str) -> Result<ClassName, BadRequest> {
     let class = path.strip_prefix(CALLS_PREFIX).and_then(|rest| rest.split('/').next());
     let Some(class) = class else {
         let text = "no such path; requests go to /serve/{class}/{path}";
@@ -254,11 +252,11 @@
     class.parse().map_err(|e| BadRequest::new(StatusCode::NOT_FOUND, format!("the class: {e}")))
 }
 
-fn deadline_of(headers: &HeaderMap) -> Result<Option<Duration>, BadRequest> {
+fn parse_deadline(headers: &HeaderMap) -> Result<Option<Duration>, BadRequest> {
     let Some(value) = headers.get(DEADLINE_MS) else { return Ok(None) };
     let millis = value.to_str().ok().and_then(|text| text.trim().parse::<u64>().ok());
     match millis {
-        Some(millis) => Ok(Some(Duration::from_millis(millis).min(DEADLINE_MAX))),
+        Some(millis) => Ok(Some(Duration::from_millis(millis).min(MAX_DEADLINE))),
         None => {
             let text = "Egretlb-Deadline-Ms isn't a number; give milliseconds, like 400";
             Err(BadRequest::new(StatusCode::BAD_REQUEST, text))
@@ -266,7 +264,7 @@
     }
 }
 
-fn key_text(headers: &HeaderMap) -> Result<Option<CompactString>, BadRequest> {
+fn parse_key(headers: &HeaderMap) -> Result<Option<CompactString>, BadRequest> {
     let mut values = headers.get_all(IDEMPOTENCY_KEY).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
@@ -293,43 +291,43 @@
     BodyHash(hasher.finish())
 }
 
-/// The headers that are passed on: neither a connection's own nor those that `Connection` names.
-fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+/// Returns the end-to-end headers, without hop-by-hop ones and those that `Connection` names.
+fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let texts = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     let named: SmallVec<[HeaderName; 4]> = texts
         .flat_map(|text| text.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    let kept =
+    let forwarded =
         headers.iter().filter(|(name, _)| !HOP_BY_HOP.contains(name) && !named.contains(name));
-    kept.map(|(name, value)| (name.clone(), value.clone())).collect()
+    forwarded.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
-/// What the reducer is told of a call to a backend server, and the answer if it is whole.
+/// The result of a call to a backend server for the reducer, and the response if it is complete.
 pub(super) fn attempt_result(
-    called: Result<HttpAnswer, CallFailure>,
+    result: Result<HttpAnswer, CallFailure>,
     req: &CallerRequest,
 ) -> (AttemptResult, Option<HttpAnswer>) {
-    let answer = match called {
-        Ok(answer) => answer,
+    let response = match result {
+        Ok(response) => response,
         Err(CallFailure::NotSent(_)) => return (AttemptResult::NotSent, None),
         Err(CallFailure::NoAnswer(_)) => return (AttemptResult::Failed, None),
         Err(CallFailure::Truncated { .. }) => return (AttemptResult::Truncated, None),
     };
-    if let Some(why) = answer.headers.get(DECLINED_HEADER) {
-        return (AttemptResult::Declined { draining: why == DECLINED_LEAVING }, None);
+    if let Some(reason) = response.headers.get(DECLINED_HEADER) {
+        return (AttemptResult::Declined { draining: reason == DECLINED_LEAVING }, None);
     }
-    let small = req.keyed && answer.body.len() <= MAX_RECORDED_BODY_BYTES;
-    let recorded_body = small.then(|| answer.body.clone());
-    (AttemptResult::Complete { status: answer.status.as_u16(), recorded_body }, Some(answer))
+    let is_recorded = req.keyed && response.body.len() <= MAX_RECORDED_BODY_BYTES;
+    let recorded_body = is_recorded.then(|| response.body.clone());
+    (AttemptResult::Complete { status: response.status.as_u16(), recorded_body }, Some(response))
 }
 
 fn with_headers(
-    mut answer: Response<Body>,
+    mut response: Response<Body>,
     ran: Ran,
     retry_after: Option<RetryAfter>,
 ) -> Response<Body> {
-    let headers = answer.headers_mut();
+    let headers = response.headers_mut();
     let value = |text: String| HeaderValue::try_from(text).ok();
     if let Some(ran) = value(ran.to_string()) {
         headers.insert(RAN, ran);
@@ -337,24 +335,24 @@
     if let Some(after) = retry_after.and_then(|after| value(after.to_string())) {
         headers.insert(RETRY_AFTER, after);
     }
-    answer
+    response
 }
 
-/// A request that can't be read: it wasn't run, and coming back with the same won't help.
-fn refuse_bad(bad: &BadRequest) -> Response<Body> {
+/// Rejects an invalid request: it wasn't run, and a retry won't succeed.
+fn reject(bad: &BadRequest) -> Response<Body> {
     with_headers(respond(bad.status, [], format!("{}\n", bad.text)), Ran::No, None)
 }
 
-fn pass_on(answer: HttpAnswer) -> Response<Body> {
-    let mut passed = Response::new(Body::from(answer.body));
-    *passed.status_mut() = answer.status;
-    *passed.headers_mut() = end_to_end(&answer.headers);
-    with_headers(passed, Ran::Yes, None)
+fn forward(response: HttpAnswer) -> Response<Body> {
+    let mut forwarded = Response::new(Body::from(response.body));
+    *forwarded.status_mut() = response.status;
+    *forwarded.headers_mut() = end_to_end_headers(&response.headers);
+    with_headers(forwarded, Ran::Yes, None)
 }
 
-/// The answer that was recorded with a request's key. One that was too long to be recorded can't
-/// be given again: an empty body under its status would pass for the whole answer.
-fn repeat_recorded(recorded: RecordedAnswer) -> Response<Body> {
+/// Responds with the response that was recorded for a request's key. One whose body was too long to
+/// be recorded is a conflict.
+fn respond_recorded(recorded: RecordedAnswer) -> Response<Body> {
     let RecordedAnswer { status, body } = recorded;
     let Some(body) = body else {
         let text = format!(
@@ -363,23 +361,25 @@
         );
         return with_headers(respond(StatusCode::CONFLICT, [], text), Ran::Yes, None);
     };
-    let mut answer = Response::new(Body::from(body));
-    *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
-    with_headers(answer, Ran::Yes, None)
+    let mut response = Response::new(Body::from(body));
+    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
+    with_headers(response, Ran::Yes, None)
 }
 
-fn answer_verdict(verdict: Verdict) -> Response<Body> {
+fn respond_verdict(verdict: Verdict) -> Response<Body> {
     match verdict {
-        // Its answer was kept until now, or the reducer wouldn't have said so.
-        Verdict::Forward { .. } => error_answer(ErrorReason::Broken, Ran::Yes, None),
-        Verdict::Recorded(recorded) => repeat_recorded(recorded),
+        // Unreachable: the response is stored until the reducer forwards it.
+        Verdict::Forward { .. } => respond_error(ErrorReason::Broken, Ran::Yes, None),
+        Verdict::Recorded(recorded) => respond_recorded(recorded),
         Verdict::Refuse { reason, retry_after } => refuse(reason, retry_after),
-        Verdict::Error { reason, ran, retry_after } => error_answer(reason, ran, Some(retry_after)),
+        Verdict::Error { reason, ran, retry_after } => {
+            respond_error(reason, ran, Some(retry_after))
+        }
     }
 }
 
 fn refuse(reason: NotRunReason, retry_after: RetryAfter) -> Response<Body> {
-    let (status, come_back) = match reason {
+    let (status, retryable) = match reason {
         NotRunReason::UnknownClass => (StatusCode::NOT_FOUND, false),
         NotRunReason::KeyReused => (StatusCode::UNPROCESSABLE_ENTITY, false),
         NotRunReason::KeyInProgress => (StatusCode::CONFLICT, true),
@@ -389,11 +389,11 @@
         | NotRunReason::NoPermit
         | NotRunReason::ShuttingDown => (StatusCode::SERVICE_UNAVAILABLE, true),
     };
-    let answer = respond(status, [], format!("{reason}\n"));
-    with_headers(answer, Ran::No, come_back.then_some(retry_after))
+    let response = respond(status, [], format!("{reason}\n"));
+    with_headers(response, Ran::No, retryable.then_some(retry_after))
 }
 
-fn error_answer(reason: ErrorReason, ran: Ran, retry_after: Option<RetryAfter>) -> Response<Body> {
+fn respond_error(reason: ErrorReason, ran: Ran, retry_after: Option<RetryAfter>) -> Response<Body> {
     let (status, text) = match reason {
         ErrorReason::TimedOut => {
             (StatusCode::GATEWAY_TIMEOUT, "no answer in time; it may have run")
--- a/crates/net/src/runtime/entry.rs
+++ b/crates/net/src/runtime/entry.rs
@@ -6,8 +6,8 @@
         error::StartError,
         gauges::EntryGauges,
         io::{
-            Io, Running, Stopped, TICK, drain, draw_node, listen_to_peers, node_info, peer_runtime,
-            seeds, spawn_loop, wait,
+            Io, Running, Stopped, TICK, drain, generate_node_id, listen_to_peers, node_info,
+            peer_runtime, seeds, spawn_loop, wait,
         },
         operators::{self, Replies},
     },
@@ -29,7 +29,7 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-struct Loop {
+struct EntryLoop {
     entry: EntryNode,
     io: Io<EntryNodeEvent>,
     rx: Receiver<EntryNodeEvent>,
@@ -37,21 +37,21 @@
     metrics: Arc<EntryMetrics>,
     gauges: EntryGauges,
     drain_limit: Duration,
-    stop_by: Option<Time>,
+    shutdown_deadline: Option<Time>,
 }
 
-/// Starts an entry with the settings.
+/// Starts an entry.
 pub fn start_entry(settings: &Settings) -> Result<Running, StartError> {
     let addr = settings.listen.callers.ok_or(StartError::NoCallersAddress)?;
     let rt = peer_runtime()?;
     let (tx, rx) = channel::unbounded();
-    let node = draw_node();
+    let node = generate_node_id();
     let replies = Replies::default();
     let requests = Requests::default();
     let metrics = Arc::new(EntryMetrics::new());
     let peers = listen_to_peers(&rt, settings, tx.clone())?;
-    let rendered = Arc::clone(&metrics);
-    let render = move || rendered.render();
+    let rendered_metrics = Arc::clone(&metrics);
+    let render = move || rendered_metrics.render();
     let http = operators::serve(settings, tx.clone(), replies.clone(), render)?;
     let callers = serve_callers(addr, settings, tx.clone(), requests.clone(), &metrics)?;
     let info = node_info(node, Role::Entry, settings, peers, http.addr());
@@ -59,7 +59,7 @@
     let common = metrics.common().clone();
     let io = Io::new(clock, node, settings, &rt, tx.clone(), replies, common);
     let entry = EntryNode::new(EntryNodeOptions { info, seed: node.0, seeds: seeds(settings) });
-    let daemon = Loop {
+    let daemon = EntryLoop {
         entry,
         io,
         rx,
@@ -67,9 +67,9 @@
         metrics: Arc::clone(&metrics),
         gauges: EntryGauges::new(metrics),
         drain_limit: settings.limits.drain.as_duration(),
-        stop_by: None,
+        shutdown_deadline: None,
     };
-    let drains = vec![callers.drain().clone(), http.drain().clone()];
+    let request_counters = vec![callers.counter().clone(), http.counter().clone()];
     let (callers_addr, operators) = (callers.addr(), http.addr());
     let thread = spawn_loop("egretlb-entry", move || daemon.run(&callers, &http))?;
     log::info!(
@@ -78,7 +78,7 @@
     );
     let shutdown = Box::new(move || drop(tx.send(NodeEvent::Shutdown.into())));
     let callers = Some(callers_addr);
-    Ok(Running { node, callers, operators, peers, shutdown, drains, thread, _rt: rt })
+    Ok(Running { node, callers, operators, peers, shutdown, request_counters, thread, _rt: rt })
 }
 
 fn serve_callers(
@@ -103,40 +103,41 @@
     .map_err(|error| StartError::Listen { field: "callers", addr, error })
 }
 
-impl Loop {
+impl EntryLoop {
     fn run(mut self, callers: &HttpServer, operators: &HttpServer) -> Stopped {
-        let mut tick_at = Time::ZERO;
+        let mut next_tick = Time::ZERO;
         let mut effects = Vec::new();
         loop {
-            let wake_at = self.entry.wake_at().map_or(tick_at, |at| at.min(tick_at));
+            let wake_at = self.entry.wake_at().map_or(next_tick, |at| at.min(next_tick));
             let event = wait(self.io.clock, &self.rx, wake_at);
             let now = self.io.clock.now();
             if matches!(event, Some(EntryNodeEvent::Node(NodeEvent::Shutdown))) {
-                self.stop_by.get_or_insert(now + self.drain_limit);
+                self.shutdown_deadline.get_or_insert(now + self.drain_limit);
             }
-            let due = self.entry.wake_at().is_some_and(|at| now >= at);
+            let timer_due = self.entry.wake_at().is_some_and(|at| now >= at);
             if let Some(event) = event {
                 self.entry.step(now, event, &mut effects);
             }
-            if now >= tick_at || due {
+            if now >= next_tick || timer_due {
                 self.entry.step(now, NodeEvent::Tick.into(), &mut effects);
             }
-            if now >= tick_at {
-                tick_at = now + TICK;
+            if now >= next_tick {
+                next_tick = now + TICK;
                 self.io.poll_vms(now);
                 self.gauges.update(now, &self.entry);
             }
             let done = effects.drain(..).fold(false, |done, effect| done | self.perform(effect));
-            let overdue = self.stop_by.is_some_and(|by| now >= by);
+            let overdue = self.shutdown_deadline.is_some_and(|deadline| now >= deadline);
             if done || overdue {
-                // What the reducer has answered is still being written to slow callers.
-                let left = self.stop_by.map_or(Duration::ZERO, |by| by.since(now));
-                // From here on an arrival finds nobody who takes it, and refuses itself.
+                // Responses may still be being written to slow callers.
+                let remaining =
+                    self.shutdown_deadline.map_or(Duration::ZERO, |deadline| deadline.since(now));
+                // From here on, requests that arrive are refused by their handlers.
                 drop(self.rx);
                 if done {
                     self.requests.refuse_rest();
                 }
-                return drain(&[callers.drain(), operators.drain()], left.max(TICK));
+                return drain(&[callers.counter(), operators.counter()], remaining.max(TICK));
             }
         }
     }
@@ -152,28 +153,27 @@
     fn perform_request(&self, effect: RequestEffect) {
         match effect {
             RequestEffect::Send { request, attempt, addr, timeout } => {
-                let Some((req, again)) = self.requests.send(request) else {
-                    // Told all the same: without it the reducer would hold the share for good.
+                let Some((req, is_retry)) = self.requests.begin_attempt(request) else {
+                    // The reducer holds the share until the attempt ends.
                     let result = AttemptResult::NotSent;
                     // A send fails only while the process ends.
                     let _ = self.io.tx.send(EntryNodeEvent::AttemptEnded { attempt, result });
                     return;
                 };
-                if again {
+                if is_retry {
                     self.metrics.retried();
                 }
                 let requests = self.requests.clone();
                 self.io.run(move || {
-                    let called = send(&req, &addr, timeout);
-                    let (result, answer) = callers::attempt_result(called, &req);
-                    if let Some(answer) = answer {
-                        requests.keep(request, attempt, answer);
+                    let result = send(&req, &addr, timeout);
+                    let (result, response) = callers::attempt_result(result, &req);
+                    if let Some(response) = response {
+                        requests.store_response(request, attempt, response);
                     }
                     EntryNodeEvent::AttemptEnded { attempt, result }
                 });
             }
-            // The library can't break off a call; its thread ends by the time-out, and until then
-            // the exchange counts as open, as it is.
+            // The library can't cancel a call: it ends at its timeout, and counts as open until then.
             RequestEffect::CancelAttempt { .. } => {}
             RequestEffect::Answer { request, verdict } => self.requests.end(request, verdict),
             RequestEffect::Forget { request } => self.requests.forget(request),
--- a/crates/net/src/runtime/error.rs
+++ b/crates/net/src/runtime/error.rs
@@ -1,22 +1,22 @@
-//! Why a daemon can't start.
+//! Errors at the start of a daemon.
 
 use std::{fmt, io, net::SocketAddr};
 
 /// Why a daemon can't start.
 #[derive(Debug)]
 pub enum StartError {
-    /// It can't listen on an address of its settings.
+    /// Listening on an address of the settings failed.
     Listen {
-        /// The field of the settings.
+        /// The field under `listen` in the settings.
         field: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// Why not.
+        /// The error.
         error: io::Error,
     },
-    /// An entry's settings name no address for callers.
+    /// The settings of an entry lack an address for callers.
     NoCallersAddress,
-    /// Threads can't be started.
+    /// Starting threads failed.
     Threads(io::Error),
 }
 
--- a/crates/net/src/runtime/gauges.rs
+++ b/crates/net/src/runtime/gauges.rs
@@ -1,4 +1,4 @@
-//! Gauges that are read off the reducers now and then.
+//! Gauges that are sampled from the reducers.
 
 use {
     egretlb_control::Control,
@@ -8,10 +8,10 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Time between two updates: reading them off costs a walk over classes and servers.
-const UPDATE_EVERY: Duration = Duration::from_secs(1);
+/// Time between two updates; each scans all classes and backend servers.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-fn common(now: Time, control: &Control, read_sent: Option<Time>, metrics: &CommonMetrics) {
+fn update_common(now: Time, control: &Control, read_sent: Option<Time>, metrics: &CommonMetrics) {
     let version = control.in_force().version.0.checked_sub(1).map(Offset);
     metrics.set_config_version(version);
     metrics.set_control_read_age(now.since(read_sent.unwrap_or(Time::ZERO)));
@@ -20,21 +20,21 @@
 /// A scheduler's gauges.
 pub(super) struct SchedulerGauges {
     metrics: Arc<SchedulerMetrics>,
-    at: Time,
+    next_update: Time,
 }
 
 impl SchedulerGauges {
     pub(super) fn new(metrics: Arc<SchedulerMetrics>) -> Self {
-        SchedulerGauges { metrics, at: Time::ZERO }
+        SchedulerGauges { metrics, next_update: Time::ZERO }
     }
 
     pub(super) fn update(&mut self, now: Time, scheduler: &Scheduler) {
-        if now < self.at {
+        if now < self.next_update {
             return;
         }
-        self.at = now + UPDATE_EVERY;
+        self.next_update = now + UPDATE_INTERVAL;
         let read_sent = scheduler.last_read_sent();
-        common(now, scheduler.control(), read_sent, self.metrics.common());
+        update_common(now, scheduler.control(), read_sent, self.metrics.common());
         let (owned, _) = scheduler.control().shard_counts();
         let age = now.since(read_sent.unwrap_or(Time::ZERO));
         self.metrics.set_ownership(owned, age);
@@ -52,20 +52,20 @@
 /// An entry's gauges.
 pub(super) struct EntryGauges {
     metrics: Arc<EntryMetrics>,
-    at: Time,
+    next_update: Time,
 }
 
 impl EntryGauges {
     pub(super) fn new(metrics: Arc<EntryMetrics>) -> Self {
-        EntryGauges { metrics, at: Time::ZERO }
+        EntryGauges { metrics, next_update: Time::ZERO }
     }
 
     pub(super) fn update(&mut self, now: Time, entry: &EntryNode) {
-        if now < self.at {
+        if now < self.next_update {
             return;
         }
-        self.at = now + UPDATE_EVERY;
-        common(now, entry.control(), entry.last_read_sent(), self.metrics.common());
+        self.next_update = now + UPDATE_INTERVAL;
+        update_common(now, entry.control(), entry.last_read_sent(), self.metrics.common());
         let state = entry.request_state();
         self.metrics.set_in_progress(state.requests);
         for class in &state.classes {
--- a/crates/net/src/runtime/io.rs
+++ b/crates/net/src/runtime/io.rs
@@ -1,11 +1,11 @@
-//! What both daemons' loops have in common.
+//! Input and output that both daemons share.
 
 use {
     super::{error::StartError, operators::Replies},
     crate::{
         clock::Clock,
-        http::Drain,
-        peers::{self, Fate, PeerSender, Received},
+        http::RequestCounter,
+        peers::{self, DeliveryFailure, PeerSender, Received},
         platform::{HttpLog, VmListClient},
         pool::Pool,
     },
@@ -30,26 +30,25 @@
     tokio::runtime::{Builder, Runtime},
 };
 
-/// Time between two ticks of a reducer. Coarser ones would show in the delay of a lease's renewal,
-/// finer ones cost processor time while nothing happens.
+/// Time between two ticks of a reducer.
 pub(super) const TICK: Duration = Duration::from_millis(100);
 
-/// Time between two readings of the VM list. The list itself lags by seconds.
-const VMS_EVERY: Duration = Duration::from_secs(1);
+/// Time between two reads of the VM list. The list itself lags by seconds.
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Threads for calls that block. An entry has at most as many exchanges open as it holds shares:
-/// at the target 9,200 tasks' servers over 17 entries are some 600 slots.
-const POOL_THREADS: usize = 1_024;
+/// Maximum number of threads for blocking calls. Exceeds the requests that an entry has in flight,
+/// which its shares bound.
+const MAX_POOL_THREADS: usize = 1_024;
 
-/// The bits of a node's id. JSON readers keep 53 bits of a number.
+/// Bits of a node id. JSON readers preserve only 53 bits of a number.
 const NODE_ID_BITS: u32 = 53;
 
-/// What became of a daemon that was stopped.
+/// How a daemon ended.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Stopped {
-    /// Requests that were still in progress when the limit ran out, and were cut off.
+    /// Number of requests that were still in progress at the drain limit.
     pub cut_off: usize,
-    /// Whether the daemon's thread panicked: a fault of egretlb, which its log tells of.
+    /// Whether the daemon's thread panicked.
     pub crashed: bool,
 }
 
@@ -60,7 +59,7 @@
     pub(super) operators: SocketAddr,
     pub(super) peers: SocketAddr,
     pub(super) shutdown: Box<dyn Fn() + Send + Sync>,
-    pub(super) drains: Vec<Drain>,
+    pub(super) request_counters: Vec<RequestCounter>,
     pub(super) thread: JoinHandle<Stopped>,
     pub(super) _rt: Arc<Runtime>,
 }
@@ -71,29 +70,29 @@
         self.node
     }
 
-    /// Where an entry takes callers' requests.
+    /// The address for callers' requests, of an entry.
     pub fn callers(&self) -> Option<SocketAddr> {
         self.callers
     }
 
-    /// Where operators' calls are answered.
+    /// The address of the operators' interface.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Where peers' messages are taken.
+    /// The address for peers' messages.
     pub fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Asks the daemon to end gracefully, without waiting.
+    /// Starts a graceful shutdown, without waiting for its end.
     pub fn shutdown(&self) {
         (self.shutdown)();
     }
 
-    /// How many requests are in progress.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> usize {
-        self.drains.iter().map(Drain::open).sum()
+        self.request_counters.iter().map(RequestCounter::open).sum()
     }
 
     /// Whether the daemon has ended.
@@ -108,38 +107,35 @@
     }
 }
 
-/// Draws a node's id: a restarted process is a new node, so the id must be new, too.
-pub(super) fn draw_node() -> NodeId {
+/// Generates a random node id: a restarted process is a new node.
+pub(super) fn generate_node_id() -> NodeId {
     NodeId(StdRng::from_os_rng().random::<u64>() >> (u64::BITS - NODE_ID_BITS))
 }
 
-/// A runtime for peers' calls, which are short and never block.
+/// Creates the runtime for peer calls, which never block.
 pub(super) fn peer_runtime() -> Result<Arc<Runtime>, StartError> {
     let rt = Builder::new_multi_thread().worker_threads(1).enable_all().build();
     rt.map(Arc::new).map_err(StartError::Threads)
 }
 
-/// Binds the peers' address and hands on what arrives there.
+/// Listens for peers' messages and sends them to the loop as events.
 pub(super) fn listen_to_peers<E: From<NodeEvent> + Send + 'static>(
     rt: &Runtime,
     settings: &Settings,
     tx: Sender<E>,
 ) -> Result<SocketAddr, StartError> {
     let addr = settings.listen.peers;
-    let take = move |Received { from, body }: Received| {
+    let handler = move |Received { from, body }: Received| {
         if let Some(message) = PeerMessage::decode(&body) {
             // A send fails only while the process ends.
             let _ = tx.send(NodeEvent::Peer { from, message }.into());
         }
     };
-    peers::listen(rt.handle(), addr.ip(), addr.port(), take).map_err(|error| StartError::Listen {
-        field: "peers",
-        addr,
-        error,
-    })
+    peers::listen(rt.handle(), addr.ip(), addr.port(), handler)
+        .map_err(|error| StartError::Listen { field: "peers", addr, error })
 }
 
-/// The peers of the settings, to be asked for a configuration while the log is out of reach.
+/// The peers of the settings, which can send a configuration while the log is unreachable.
 pub(super) fn seeds(settings: &Settings) -> SmallVec<[CompactString; 4]> {
     settings.known_peers.iter().map(ToCompactString::to_compact_string).collect()
 }
@@ -160,7 +156,7 @@
     }
 }
 
-/// Performs the effects that both daemons have.
+/// Performs the effects that both daemons share.
 pub(super) struct Io<E> {
     pub(super) clock: Clock,
     pub(super) pool: Pool,
@@ -170,7 +166,7 @@
     pub(super) metrics: CommonMetrics,
     peers: PeerSender,
     vm_list: VmListClient,
-    vms_at: Time,
+    next_vm_list_read: Time,
 }
 
 impl<E: From<NodeEvent> + Send + 'static> Io<E> {
@@ -185,30 +181,30 @@
     ) -> Self {
         Io {
             clock,
-            pool: Pool::new(POOL_THREADS),
+            pool: Pool::new(MAX_POOL_THREADS),
             log: Arc::new(HttpLog::new(settings.log_service.iter().copied(), node)),
             tx,
             replies,
             metrics,
             peers: PeerSender::new(rt.handle().clone(), node),
             vm_list: VmListClient::new(settings.vm_list),
-            vms_at: Time::ZERO,
+            next_vm_list_read: Time::ZERO,
         }
     }
 
-    /// Runs `job` where it may block, and takes what it returns as an event.
+    /// Runs `job`, which may block, on the pool and sends its result as an event.
     pub(super) fn run(&self, job: impl FnOnce() -> E + Send + 'static) {
         let tx = self.tx.clone();
         // A send fails only while the process ends.
         self.pool.run(move || drop(tx.send(job())));
     }
 
-    /// Reads the VM list when it is time. A list that can't be read stays as it was last.
+    /// Reads the VM list if a read is due. If that fails, the last list stays in use.
     pub(super) fn poll_vms(&mut self, now: Time) {
-        if now < self.vms_at {
+        if now < self.next_vm_list_read {
             return;
         }
-        self.vms_at = now + VMS_EVERY;
+        self.next_vm_list_read = now + VM_LIST_INTERVAL;
         let (list, tx) = (self.vm_list.clone(), self.tx.clone());
         self.pool.run(move || match list.read() {
             Ok(vms) => drop(tx.send(NodeEvent::Vms(vms).into())),
@@ -216,7 +212,7 @@
         });
     }
 
-    /// Performs an effect; returns whether the process may end.
+    /// Performs an effect; returns true if the daemon should end.
     pub(super) fn perform(&self, effect: NodeEffect) -> bool {
         match effect {
             NodeEffect::ReadControl { from } => {
@@ -232,14 +228,14 @@
                 self.run(move || NodeEvent::ControlAppended { ticket, outcome: append() }.into());
             }
             NodeEffect::Send { addr, message } => self.send(&addr, message),
-            NodeEffect::Reply { call, reply } => self.replies.give(call, reply),
-            NodeEffect::Notice(notice) => note(&notice),
+            NodeEffect::Reply { call, reply } => self.replies.deliver(call, reply),
+            NodeEffect::Notice(notice) => log_notice(&notice),
             NodeEffect::Exit => return true,
         }
         false
     }
 
-    /// An append to be run where it may block.
+    /// Returns a closure that makes the append; it may block.
     pub(super) fn appender(
         &self,
         stream: StreamName,
@@ -259,15 +255,15 @@
         let Ok(to) = addr.parse::<SocketAddr>() else { return };
         let body = message.encode();
         self.metrics.sent_to_peer(body.len() as u64);
-        let undelivered = move |fate| {
-            let delivery = match fate {
-                Fate::NeverSent => Delivery::NeverSent,
-                Fate::Unknown => Delivery::Unknown,
+        let on_undelivered = move |failure| {
+            let delivery = match failure {
+                DeliveryFailure::NeverSent => Delivery::NeverSent,
+                DeliveryFailure::Unknown => Delivery::Unknown,
             };
             // A send fails only while the process ends.
             let _ = tx.send(NodeEvent::Undelivered { message, delivery }.into());
         };
-        self.peers.send(to, body, Some(Box::new(undelivered)));
+        self.peers.send(to, body, Some(Box::new(on_undelivered)));
     }
 }
 
@@ -279,8 +275,8 @@
     }
 }
 
-/// Logs a notice. Its text is pairs of values without blanks, the first of which names the event.
-fn note(notice: &Notice) {
+/// Logs a notice. Its text is `key=value` pairs without blanks; the first value is the event name.
+fn log_notice(notice: &Notice) {
     let level = if notice.is_alarm() {
         Level::Warn
     } else if notice.is_detail() {
@@ -289,16 +285,16 @@
         Level::Info
     };
     let text = notice.to_string();
-    let words = text.split_whitespace();
+    let tokens = text.split_whitespace();
     let pairs: Vec<(&str, &str)> =
-        words.map(|word| word.split_once('=').unwrap_or(("text", word))).collect();
+        tokens.map(|token| token.split_once('=').unwrap_or(("text", token))).collect();
     let event = pairs.first().map_or("notice", |(_, event)| *event);
     let pairs: Vec<(&str, &dyn Display)> =
         pairs.iter().skip(1).map(|(key, value)| (*key, value as &dyn Display)).collect();
     log_event(level, event, &pairs);
 }
 
-/// Receives until something happens, at most until `wake_at`.
+/// Waits for an event, at most until `wake_at`.
 pub(super) fn wait<E>(clock: Clock, rx: &Receiver<E>, wake_at: Time) -> Option<E> {
     let left = wake_at.since(clock.now());
     rx.recv_timeout(left).ok()
@@ -312,8 +308,8 @@
     thread::Builder::new().name(name.into()).spawn(run).map_err(StartError::Threads)
 }
 
-/// Waits until the answers under way are written, at most `limit`.
-pub(super) fn drain(drains: &[&Drain], limit: Duration) -> Stopped {
-    let cut_off = drains.iter().map(|drain| drain.wait(limit)).sum();
+/// Waits at most `limit` until the requests in progress complete.
+pub(super) fn drain(request_counters: &[&RequestCounter], limit: Duration) -> Stopped {
+    let cut_off = request_counters.iter().map(|counter| counter.wait(limit)).sum();
     Stopped { cut_off, crashed: false }
 }
--- a/crates/net/src/runtime/mod.rs
+++ b/crates/net/src/runtime/mod.rs
@@ -1,11 +1,10 @@
-//! The daemons as threads of a program.
+//! Runs the daemons as threads.
 //!
 //! [`start_scheduler`] and [`start_entry`] bind the addresses of the settings, start the loop that
-//! steps the reducer, and return a handle. A daemon's program starts one and waits for signals; the
-//! quick start and the tests start several in one program.
+//! steps the reducer, and return a handle. A process may run several daemons.
 //!
-//! One thread steps the reducer and performs its effects, and never blocks: whatever blocks runs
-//! on a thread of the pool and comes back as an event.
+//! One thread steps the reducer and performs its effects, and never blocks: blocking calls run on
+//! a thread pool, and their results come back as events.
 
 mod callers;
 mod entry;
--- a/crates/net/src/runtime/operators.rs
+++ b/crates/net/src/runtime/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' calls over HTTP.
+//! The operators' HTTP interface.
 
 use {
     super::error::StartError,
@@ -26,20 +26,19 @@
     },
 };
 
-/// How long a call waits for the reducer. It answers every call within 5 s by itself; this is for
-/// a process that hangs.
-const REPLY_WITHIN: Duration = Duration::from_secs(10);
+/// How long a call waits for the reducer, which replies within 5 s unless the process hangs.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The largest body of an operator's call: a configuration of thousands of classes.
-const BODY_MAX_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a request body; a configuration of thousands of classes fits.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Connections at once. Operators and scrapers are few; callers never come here.
-const CONNECTIONS_MAX: usize = 64;
+/// Maximum number of concurrent connections.
+const MAX_CONNECTIONS: usize = 64;
 
-/// How long a connection may be idle.
-const IDLE_LIMIT: Duration = Duration::from_secs(30);
+/// How long a connection may stay idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The calls that wait for a reply.
+/// Calls that wait for a reply.
 #[derive(Clone, Default)]
 pub(super) struct Replies {
     next: Arc<AtomicU64>,
@@ -47,8 +46,8 @@
 }
 
 impl Replies {
-    /// Hands a reply to whoever waits for it.
-    pub(super) fn give(&self, call: CallTicket, reply: OperatorReply) {
+    /// Delivers a reply to the waiting call.
+    pub(super) fn deliver(&self, call: CallTicket, reply: OperatorReply) {
         if let Some(tx) = self.lock().remove(&call) {
             // The receiver may have stopped waiting.
             let _ = tx.send(reply);
@@ -59,8 +58,8 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Asks the reducer and waits for its reply.
-    fn ask<E: From<NodeEvent>>(
+    /// Sends a request to the reducer and waits for its reply.
+    fn request<E: From<NodeEvent>>(
         &self,
         tx: &Sender<E>,
         request: OperatorRequest,
@@ -69,13 +68,13 @@
         let (reply_tx, reply_rx) = channel::bounded(1);
         self.lock().insert(call, reply_tx);
         let sent = tx.send(NodeEvent::Operator { call, request }.into());
-        let reply = sent.ok().and_then(|()| reply_rx.recv_timeout(REPLY_WITHIN).ok());
+        let reply = sent.ok().and_then(|()| reply_rx.recv_timeout(REPLY_TIMEOUT).ok());
         self.lock().remove(&call);
         reply
     }
 }
 
-/// Serves the operators' calls of one daemon.
+/// Serves the operators' interface of one daemon.
 pub(super) fn serve<E: From<NodeEvent> + Send + 'static>(
     settings: &Settings,
     tx: Sender<E>,
@@ -84,15 +83,15 @@
 ) -> Result<HttpServer, StartError> {
     let addr = settings.listen.operators;
     let handler = move |req: &mut Request<Body>| match route(req) {
-        Ok(Routed::Ask(request)) => match replies.ask(&tx, request) {
-            Some(reply) => answer(reply),
+        Ok(Route::Reducer(request)) => match replies.request(&tx, request) {
+            Some(reply) => to_response(reply),
             None => api_error(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the process doesn't answer; look at its log and restart it if it hangs",
             ),
         },
-        Ok(Routed::Alive) => respond(StatusCode::OK, [], "alive\n"),
-        Ok(Routed::Metrics) => {
+        Ok(Route::Health) => respond(StatusCode::OK, [], "alive\n"),
+        Ok(Route::Metrics) => {
             let mut metrics = respond(StatusCode::OK, [], render_metrics());
             let content_type = HeaderValue::from_static(METRICS_CONTENT_TYPE);
             metrics.headers_mut().insert(CONTENT_TYPE, content_type);
@@ -100,28 +99,28 @@
         }
         Err(bad) => api_error(bad.status, bad.text),
     };
-    HttpServer::start(addr.ip(), addr.port(), IDLE_LIMIT, CONNECTIONS_MAX, handler)
+    HttpServer::start(addr.ip(), addr.port(), IDLE_TIMEOUT, MAX_CONNECTIONS, handler)
         .map_err(|error| StartError::Listen { field: "operators", addr, error })
 }
 
-enum Routed {
-    Ask(OperatorRequest),
-    Alive,
+enum Route {
+    Reducer(OperatorRequest),
+    Health,
     Metrics,
 }
 
-fn route(req: &mut Request<Body>) -> Result<Routed, BadRequest> {
+fn route(req: &mut Request<Body>) -> Result<Route, BadRequest> {
     let path = req.uri().path().to_owned();
     let method = req.method().clone();
     let request = match (method, path.as_str()) {
-        (Method::GET, HEALTHZ) => return Ok(Routed::Alive),
-        (Method::GET, METRICS) => return Ok(Routed::Metrics),
+        (Method::GET, HEALTHZ) => return Ok(Route::Health),
+        (Method::GET, METRICS) => return Ok(Route::Metrics),
         (Method::GET, READYZ) => OperatorRequest::Ready,
         (Method::GET, CONFIG) => OperatorRequest::Config,
         (Method::POST, CONFIG) => OperatorRequest::Propose(Box::new(json_body(req)?)),
         (Method::GET, STATUS) => OperatorRequest::Status,
         (Method::GET, STATE) => OperatorRequest::State,
-        (Method::POST, JOBS) => OperatorRequest::Submit(checked(json_body(req)?)?),
+        (Method::POST, JOBS) => OperatorRequest::Submit(check_limits(json_body(req)?)?),
         (method, path) => match (method, job_of_path(path)) {
             (Method::GET, Some(Ok(job))) => OperatorRequest::Job(job),
             (Method::DELETE, Some(Ok(job))) => OperatorRequest::Cancel(job),
@@ -137,19 +136,19 @@
             }
         },
     };
-    Ok(Routed::Ask(request))
+    Ok(Route::Reducer(request))
 }
 
 fn json_body<T: DeserializeOwned>(req: &mut Request<Body>) -> Result<T, BadRequest> {
-    let body = read_body(req, BODY_MAX_BYTES)?;
+    let body = read_body(req, MAX_BODY_BYTES)?;
     serde_json::from_slice(&body).map_err(|e| {
         let text = format!("the body isn't what this call takes: {e}; see docs/GUIDE.md");
         BadRequest::new(StatusCode::BAD_REQUEST, text)
     })
 }
 
-/// The limits that keep one submission within a record of the log.
-fn checked(submit: SubmitJob) -> Result<SubmitJob, BadRequest> {
+/// Checks the limits that keep a submission within one log record.
+fn check_limits(submit: SubmitJob) -> Result<SubmitJob, BadRequest> {
     if submit.tasks == 0 || submit.tasks > MAX_TASKS_PER_JOB {
         let text = format!("a job has 1 to {MAX_TASKS_PER_JOB} tasks; split larger ones");
         return Err(BadRequest::new(StatusCode::UNPROCESSABLE_ENTITY, text));
@@ -169,7 +168,7 @@
     StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-fn answer(reply: OperatorReply) -> Response<Body> {
+fn to_response(reply: OperatorReply) -> Response<Body> {
     match reply {
         OperatorReply::Config(view) => respond_json(StatusCode::OK, &view),
         OperatorReply::Propose(answer) => respond_json(status_code(answer.status_code()), &answer),
--- a/crates/net/src/runtime/scheduler.rs
+++ b/crates/net/src/runtime/scheduler.rs
@@ -5,8 +5,8 @@
         error::StartError,
         gauges::SchedulerGauges,
         io::{
-            Io, Running, Stopped, TICK, drain, draw_node, listen_to_peers, node_info, peer_runtime,
-            seeds, spawn_loop, wait,
+            Io, Running, Stopped, TICK, drain, generate_node_id, listen_to_peers, node_info,
+            peer_runtime, seeds, spawn_loop, wait,
         },
         operators::{self, Replies},
     },
@@ -29,29 +29,29 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How long a graceful end waits for its releases to be in the log. Successors then wait out the
-/// authority, as after a kill.
-const RELEASE_WITHIN: Duration = Duration::from_secs(10);
+/// How long a graceful shutdown waits until the log has the released shards. After that, successors
+/// wait for the authority to expire, as after a crash.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
-struct Loop {
+struct SchedulerLoop {
     scheduler: Scheduler,
     io: Io<SchedulerEvent>,
     rx: Receiver<SchedulerEvent>,
     metrics: Arc<SchedulerMetrics>,
     gauges: SchedulerGauges,
-    stop_by: Option<Time>,
+    shutdown_deadline: Option<Time>,
 }
 
-/// Starts a scheduler with the settings.
+/// Starts a scheduler.
 pub fn start_scheduler(settings: &Settings) -> Result<Running, StartError> {
     let rt = peer_runtime()?;
     let (tx, rx) = channel::unbounded();
-    let node = draw_node();
+    let node = generate_node_id();
     let replies = Replies::default();
     let metrics = Arc::new(SchedulerMetrics::new());
     let peers = listen_to_peers(&rt, settings, tx.clone())?;
-    let rendered = Arc::clone(&metrics);
-    let render = move || rendered.render();
+    let rendered_metrics = Arc::clone(&metrics);
+    let render = move || rendered_metrics.render();
     let http = operators::serve(settings, tx.clone(), replies.clone(), render)?;
     let info = node_info(node, Role::Scheduler, settings, peers, http.addr());
     let clock = Clock::start();
@@ -60,42 +60,51 @@
     let options = SchedulerOptions { info, seed: node.0, seeds: seeds(settings) };
     let scheduler = Scheduler::new(options);
     let gauges = SchedulerGauges::new(Arc::clone(&metrics));
-    let daemon = Loop { scheduler, io, rx, metrics, gauges, stop_by: None };
+    let daemon = SchedulerLoop { scheduler, io, rx, metrics, gauges, shutdown_deadline: None };
     let operators = http.addr();
-    let drains = vec![http.drain().clone()];
+    let request_counters = vec![http.counter().clone()];
     let thread = spawn_loop("egretlb-scheduler", move || daemon.run(&http))?;
     log::info!(node:% = node, operators:% = operators, peers:% = peers; "started");
     let shutdown = Box::new(move || drop(tx.send(NodeEvent::Shutdown.into())));
-    Ok(Running { node, callers: None, operators, peers, shutdown, drains, thread, _rt: rt })
+    Ok(Running {
+        node,
+        callers: None,
+        operators,
+        peers,
+        shutdown,
+        request_counters,
+        thread,
+        _rt: rt,
+    })
 }
 
-impl Loop {
+impl SchedulerLoop {
     fn run(mut self, http: &HttpServer) -> Stopped {
-        let mut tick_at = Time::ZERO;
+        let mut next_tick = Time::ZERO;
         let mut effects = Vec::new();
         loop {
-            let event = wait(self.io.clock, &self.rx, tick_at);
+            let event = wait(self.io.clock, &self.rx, next_tick);
             let now = self.io.clock.now();
             if matches!(event, Some(SchedulerEvent::Node(NodeEvent::Shutdown))) {
-                self.stop_by.get_or_insert(now + RELEASE_WITHIN);
+                self.shutdown_deadline.get_or_insert(now + RELEASE_TIMEOUT);
             }
             if let Some(event) = event {
                 self.scheduler.step(now, event, &mut effects);
             }
-            if now >= tick_at {
-                tick_at = now + TICK;
+            if now >= next_tick {
+                next_tick = now + TICK;
                 self.scheduler.step(now, NodeEvent::Tick.into(), &mut effects);
                 self.io.poll_vms(now);
                 self.gauges.update(now, &self.scheduler);
             }
             let done = effects.drain(..).fold(false, |done, effect| done | self.perform(effect));
-            if done || self.stop_by.is_some_and(|by| now >= by) {
-                return drain(&[http.drain()], TICK);
+            if done || self.shutdown_deadline.is_some_and(|deadline| now >= deadline) {
+                return drain(&[http.counter()], TICK);
             }
         }
     }
 
-    /// Counts what an effect shows to have happened.
+    /// Updates the counters that depend on an effect.
     fn count(&self, effect: &SchedulerEffect) {
         match effect {
             SchedulerEffect::CallWorker { call: WorkerCall::Start(_), .. } => {
@@ -143,8 +152,8 @@
     }
 }
 
-/// Asked on the thread that makes the call, right before it. A process that was stopped since the
-/// decision would otherwise start a task under an authority that another one has by now.
+/// Checked on the calling thread right before the call: the authority may have passed to another
+/// process while this one was paused.
 fn may_call(clock: Clock, guard: WorkerCallGuard) -> bool {
     match guard {
         WorkerCallGuard::None => true,
@@ -154,14 +163,14 @@
 }
 
 fn call_worker(worker: &WorkerClient, call: &WorkerCall) -> Result<WorkerAnswer, CallError> {
-    let answer = match call {
+    let result = match call {
         WorkerCall::Start(start) => worker.start(start).map(WorkerAnswer::Start),
         WorkerCall::Renew(renew) => worker.renew(renew).map(WorkerAnswer::Renew),
         WorkerCall::Stop(stop) => worker.stop(stop).map(WorkerAnswer::Stop),
         WorkerCall::Throttle(throttle) => worker.throttle(throttle).map(WorkerAnswer::Stop),
         WorkerCall::Report => worker.report().map(WorkerAnswer::Report),
     };
-    answer.map_err(|failure| match failure {
+    result.map_err(|failure| match failure {
         CallFailure::NotSent(_) => CallError::NotSent,
         CallFailure::NoAnswer(_) | CallFailure::Truncated { .. } => CallError::Unknown,
     })
--- a/crates/net/tests/answer_limits.rs
+++ b/crates/net/tests/answer_limits.rs
@@ -1,4 +1,4 @@
-//! Answers that aren't whole, from a backend server that misbehaves.
+//! Incomplete responses from a misbehaving backend server.
 
 use {
     egretlb_net::http::{CallFailure, HttpAnswer, call},
@@ -13,20 +13,20 @@
 
 const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A server that reads some of one request and then answers as `answer` does.
-fn serve(answer: impl FnOnce(TcpStream) + Send + 'static) -> SocketAddr {
+/// Starts a server that reads from one connection and then responds by `respond`.
+fn serve(respond: impl FnOnce(TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let addr = listener.local_addr().expect("an address");
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut buf = [0; 1024];
         let _ = stream.read(&mut buf).expect("a request");
-        answer(stream);
+        respond(stream);
     });
     addr
 }
 
-fn ask(addr: SocketAddr) -> Result<HttpAnswer, CallFailure> {
+fn get(addr: SocketAddr) -> Result<HttpAnswer, CallFailure> {
     call(Method::GET, format!("http://{addr}/"), [], Vec::new(), TIMEOUT)
 }
 
@@ -34,50 +34,49 @@
     assert!(matches!(answer, Err(CallFailure::Truncated { status: 200 })), "{answer:?}");
 }
 
-// An answer comes in a byte at a time and never ends. Each read succeeds in time, so a limit on
-// reads alone would hold the caller, and the share of the backend server, for good.
+// A response that arrives byte by byte must not block the caller: each read succeeds in time, so the
+// total time needs a limit.
 #[test]
-fn trickling_answer() {
+fn slow_response_is_truncated() {
     let addr = serve(|mut stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 1000000\r\n\r\n");
         while stream.write_all(b"x").is_ok() {
             thread::sleep(Duration::from_millis(20));
         }
     });
-    assert_truncated(ask(addr));
+    assert_truncated(get(addr));
 }
 
-// A backend server dies in the middle of an answer. The surveyor must not take the half for all.
+// A response that ends early must not count as complete.
 #[test]
-fn cut_answer() {
+fn short_response_is_truncated() {
     let addr = serve(|mut stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf");
     });
-    assert_truncated(ask(addr));
+    assert_truncated(get(addr));
 }
 
-// An answer is ended by closing its connection, and looks the same whole and cut. The library
-// reads it as empty; passed on, a title search would seem to have found nothing.
+// A response delimited by the end of the connection can't be verified as complete.
 #[test]
-fn unframed_answer() {
+fn unframed_response_is_truncated() {
     let addr = serve(|mut stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nall of it, or not");
     });
-    assert_truncated(ask(addr));
+    assert_truncated(get(addr));
 }
 
-// The connection breaks before any answer. The request may have run.
+// A connection that breaks before any response: the request may have run.
 #[test]
-fn no_answer() {
+fn missing_response_is_no_answer() {
     let addr = serve(drop);
-    let answer = ask(addr);
+    let answer = get(addr);
     assert!(matches!(answer, Err(CallFailure::NoAnswer(_))), "{answer:?}");
 }
 
 #[test]
-fn whole_answer() {
+fn complete_response_is_returned() {
     let addr = serve(|mut stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole");
     });
-    assert_eq!(ask(addr).expect("an answer").body, b"whole");
+    assert_eq!(get(addr).expect("an answer").body, b"whole");
 }
--- a/crates/net/tests/log_adapter.rs
+++ b/crates/net/tests/log_adapter.rs
@@ -1,4 +1,4 @@
-//! The log service's adapter against the stand-in.
+//! The log service client against the stand-in.
 
 use {
     egretlb_log::{AppendOutcome, LogService, NotAppendedReason, ReadOutcome, StreamName},
@@ -34,8 +34,7 @@
     assert_eq!(records(log.read(&stream, Offset(1))), [b"two".to_vec()]);
 }
 
-// The log takes a record and its answer is lost on the way. Who takes that for a failure and
-// decides otherwise runs a batch twice.
+// An append whose response is lost must not count as failed, or work runs twice.
 #[test]
 fn lost_answer_unknown() {
     let (server, log) = start();
@@ -45,20 +44,19 @@
     assert_eq!(records(log.read(&stream, Offset(0))), [b"one".to_vec()]);
 }
 
-// Nothing listens where the log should be. A submitter may be told that nothing was taken.
+// A refused connection proves that nothing was appended.
 #[test]
 fn refused_connection_not_appended() {
-    let free = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
-    let addr: SocketAddr = free.local_addr().expect("an address");
-    drop(free);
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
+    let addr: SocketAddr = listener.local_addr().expect("an address");
+    drop(listener);
     let log = HttpLog::new([addr], NodeId(1));
     let outcome = log.append(&StreamName::control(), b"one");
     assert_eq!(outcome, AppendOutcome::NotAppended(NotAppendedReason::Unreachable));
     assert_eq!(log.read(&StreamName::control(), Offset(0)), ReadOutcome::Unavailable);
 }
 
-// A reader comes back after the records that it wants have expired. Taken for an empty stream,
-// every job in them would be forgotten without a word.
+// An expired offset must not look like an empty stream, or the jobs in it are lost silently.
 #[test]
 fn expired_offset_gone() {
     let (server, log) = start();
--- a/crates/net/tests/peer_delivery.rs
+++ b/crates/net/tests/peer_delivery.rs
@@ -2,7 +2,7 @@
 
 use {
     crossbeam::channel,
-    egretlb_net::peers::{Fate, PeerSender, Received, listen},
+    egretlb_net::peers::{DeliveryFailure, PeerSender, Received, listen},
     egretlb_types::NodeId,
     std::{
         net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener},
@@ -13,8 +13,8 @@
 
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// Far above what a delivery on loopback takes; reached only when it never comes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Far longer than a delivery on loopback takes.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn runtime() -> Runtime {
     Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("a runtime")
@@ -32,7 +32,7 @@
     }
     let mut bodies: Vec<u8> = Vec::new();
     for _ in 0..50 {
-        let Received { from, body } = rx.recv_timeout(PATIENCE).expect("a message");
+        let Received { from, body } = rx.recv_timeout(RECEIVE_TIMEOUT).expect("a message");
         assert_eq!(from, NodeId(7));
         bodies.extend(body);
     }
@@ -40,24 +40,24 @@
     assert_eq!(bodies, (0..50).collect::<Vec<u8>>());
 }
 
-// A process has died and nothing listens at its address. An entry that asks it for a permit must
-// learn so at once, or its caller waits for a time-out.
+// Messages to a dead peer must fail at once rather than after a timeout.
 #[test]
-fn reports_dead_peer() {
+fn reports_unreachable_peer() {
     let rt = runtime();
-    let free = TcpListener::bind(SocketAddr::new(LOOPBACK, 0)).expect("a free port");
-    let addr = free.local_addr().expect("an address");
-    drop(free);
+    let listener = TcpListener::bind(SocketAddr::new(LOOPBACK, 0)).expect("a free port");
+    let addr = listener.local_addr().expect("an address");
+    drop(listener);
     let sender = PeerSender::new(rt.handle().clone(), NodeId(7));
     let (tx, rx) = channel::unbounded();
     for n in 0..3 {
         let tx = tx.clone();
-        let undelivered = Box::new(move |fate| tx.send((n, fate)).expect("the test receives"));
-        sender.send(addr, vec![0], Some(undelivered));
+        let on_undelivered =
+            Box::new(move |failure| tx.send((n, failure)).expect("the test receives"));
+        sender.send(addr, vec![0], Some(on_undelivered));
     }
-    let mut failed: Vec<(i32, Fate)> =
-        (0..3).map(|_| rx.recv_timeout(PATIENCE).expect("told")).collect();
+    let mut failed: Vec<(i32, DeliveryFailure)> =
+        (0..3).map(|_| rx.recv_timeout(RECEIVE_TIMEOUT).expect("a failed delivery")).collect();
     failed.sort_unstable_by_key(|(n, _)| *n);
-    let never_sent = [0, 1, 2].map(|n| (n, Fate::NeverSent));
+    let never_sent = [0, 1, 2].map(|n| (n, DeliveryFailure::NeverSent));
     assert_eq!(failed, never_sent);
 }
--- a/crates/net/tests/vm_list_adapter.rs
+++ b/crates/net/tests/vm_list_adapter.rs
@@ -1,4 +1,4 @@
-//! The VM list's adapter against the stand-in.
+//! The VM list client against the stand-in.
 
 use {
     egretlb_net::platform::VmListClient,
@@ -19,8 +19,7 @@
     }
 }
 
-// A VM leaves while its list is asked for by its tag. Were the tag taken for the whole truth, the
-// VM would go on getting work until it is gone.
+// A stale cached list would keep sending work to a draining VM.
 #[test]
 fn sees_each_change() {
     let server = start_vms(vec![record(VmState::Live)], 0).expect("a port");
