--- a/crates/log/src/journal/batch.rs
+++ b/crates/log/src/journal/batch.rs
@@ -45,7 +45,7 @@
     /// Encodes the batch as a record.
     pub fn encode(&self) -> Vec<u8> {
         let buf = vec![FORMAT_VERSION];
-        // Encoding into a growable buffer fails only for sequences of unknown length.
+        // Can't fail: the buffer grows, and all lengths are known.
         postcard::to_extend(self, buf).unwrap_or_default()
     }
 
--- a/crates/log/src/journal/reader.rs
+++ b/crates/log/src/journal/reader.rs
@@ -53,7 +53,7 @@
         if *expired {
             write!(f, "its records have expired: lengthen the retention, and submit its jobs again")
         } else {
-            write!(f, "the journal was never begun: report this as a fault")
+            write!(f, "none was ever written: report this as a bug")
         }
     }
 }
--- a/crates/log/src/journal/writer.rs
+++ b/crates/log/src/journal/writer.rs
@@ -100,8 +100,8 @@
         match self {
             PushError::Full { limit } => write!(
                 f,
-                "more than {limit} bytes wait for the log; refuse the work and come back when \
-                 the log answers again"
+                "more than {limit} bytes are queued for the log; refuse the work and retry when \
+                 the log is available"
             ),
             PushError::TooLarge { limit } => {
                 write!(f, "the entry is larger than {limit} bytes; split the work it records")
--- a/crates/net/src/http/server.rs
+++ b/crates/net/src/http/server.rs
@@ -32,7 +32,7 @@
 /// Counts the requests in progress, until their responses are written.
 #[derive(Clone, Default)]
 pub struct RequestCounter {
-    open: Arc<AtomicUsize>,
+    count: Arc<AtomicUsize>,
 }
 
 /// One request in progress; dropped with its response.
@@ -42,34 +42,34 @@
 }
 
 struct Guard {
-    open: Arc<AtomicUsize>,
+    count: Arc<AtomicUsize>,
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, Ordering::AcqRel);
+        self.count.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl RequestCounter {
     fn start(&self) -> InProgress {
-        self.open.fetch_add(1, Ordering::AcqRel);
-        InProgress { _guard: Arc::new(Guard { open: Arc::clone(&self.open) }) }
+        self.count.fetch_add(1, Ordering::AcqRel);
+        InProgress { _guard: Arc::new(Guard { count: Arc::clone(&self.count) }) }
     }
 
     /// Number of requests in progress.
-    pub fn open(&self) -> usize {
-        self.open.load(Ordering::Acquire)
+    pub fn count(&self) -> usize {
+        self.count.load(Ordering::Acquire)
     }
 
     /// Waits at most `limit` until no request is in progress; returns the number that still are.
-    pub fn wait(&self, limit: Duration) -> usize {
+    pub fn wait_until_zero(&self, limit: Duration) -> usize {
         const POLL: Duration = Duration::from_millis(5);
         let start = Instant::now();
-        while self.open() > 0 && start.elapsed() < limit {
+        while self.count() > 0 && start.elapsed() < limit {
             thread::sleep(POLL);
         }
-        self.open()
+        self.count()
     }
 }
 
@@ -163,7 +163,7 @@
                 )
             }
             ReadBodyError::Broken(error) => {
-                write!(f, "the body couldn't be read whole: {error}; send it again")
+                write!(f, "the body is incomplete: {error}; send it again")
             }
         }
     }
--- a/crates/net/src/platform/log.rs
+++ b/crates/net/src/platform/log.rs
@@ -1,6 +1,6 @@
 //! The log service over HTTP.
 //!
-//! | call | body | answer |
+//! | call | body | response |
 //! |---|---|---|
 //! | `POST /streams/{name}` | the record | 200 `{"offset":N}`; 429 above the rate; 413 if too large |
 //! | `GET /streams/{name}?from=N&max_bytes=M` | none | 200 a page in `postcard`; 410 `{"oldest":N}` |
--- a/crates/net/src/runtime/callers.rs
+++ b/crates/net/src/runtime/callers.rs
@@ -356,7 +356,7 @@
     let RecordedAnswer { status, body } = recorded;
     let Some(body) = body else {
         let text = format!(
-            "it ran before and answered with status {status}; that answer was too long to be kept, \
+            "the request ran before with status {status}; its response was too long to be recorded, \
              and it isn't run again\n"
         );
         return with_headers(respond(StatusCode::CONFLICT, [], text), Ran::Yes, None);
@@ -396,9 +396,11 @@
 fn respond_error(reason: ErrorReason, ran: Ran, retry_after: Option<RetryAfter>) -> Response<Body> {
     let (status, text) = match reason {
         ErrorReason::TimedOut => {
-            (StatusCode::GATEWAY_TIMEOUT, "no answer in time; it may have run")
+            (StatusCode::GATEWAY_TIMEOUT, "no response in time; the request may have run")
+        }
+        ErrorReason::Broken => {
+            (StatusCode::BAD_GATEWAY, "the response was lost; the request may have run")
         }
-        ErrorReason::Broken => (StatusCode::BAD_GATEWAY, "the answer was lost; it may have run"),
         ErrorReason::KeyInDoubt => (
             StatusCode::CONFLICT,
             "an earlier request with this key may have run; it isn't run again, look it up",
--- a/crates/net/src/runtime/io.rs
+++ b/crates/net/src/runtime/io.rs
@@ -92,7 +92,7 @@
 
     /// Number of requests in progress.
     pub fn in_progress(&self) -> usize {
-        self.request_counters.iter().map(RequestCounter::open).sum()
+        self.request_counters.iter().map(RequestCounter::count).sum()
     }
 
     /// Whether the daemon has ended.
@@ -310,6 +310,6 @@
 
 /// Waits at most `limit` until the requests in progress complete.
 pub(super) fn drain(request_counters: &[&RequestCounter], limit: Duration) -> Stopped {
-    let cut_off = request_counters.iter().map(|counter| counter.wait(limit)).sum();
+    let cut_off = request_counters.iter().map(|counter| counter.wait_until_zero(limit)).sum();
     Stopped { cut_off, crashed: false }
 }
--- a/crates/net/src/runtime/operators.rs
+++ b/crates/net/src/runtime/operators.rs
@@ -87,7 +87,7 @@
             Some(reply) => to_response(reply),
             None => api_error(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the process doesn't answer; look at its log and restart it if it hangs",
+                "the process doesn't respond; check its log and restart it if it hangs",
             ),
         },
         Ok(Route::Health) => respond(StatusCode::OK, [], "alive\n"),
--- a/crates/net/tests/log_adapter.rs
+++ b/crates/net/tests/log_adapter.rs
@@ -36,7 +36,7 @@
 
 // An append whose response is lost must not count as failed, or work runs twice.
 #[test]
-fn lost_answer_unknown() {
+fn lost_response_is_unknown() {
     let (server, log) = start();
     let stream = StreamName::control();
     server.set_faults(LogFaults { lose_answers: 1, ..LogFaults::default() });
--- a/crates/types/src/worker.rs
+++ b/crates/types/src/worker.rs
@@ -1,6 +1,6 @@
 //! Messages of the platform's worker interface, as JSON over HTTP.
 //!
-//! | call | body | answer |
+//! | call | body | response |
 //! |---|---|---|
 //! | `POST /tasks` | [`StartTask`] | 200 [`StartAnswer`] |
 //! | `POST /leases` | [`RenewLeases`] | 200 [`RenewAnswer`] |
@@ -58,7 +58,7 @@
     pub command: CompactString,
 }
 
-/// The worker's answer to [`StartTask`].
+/// The worker's response to [`StartTask`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StartAnswer {
@@ -90,7 +90,7 @@
     pub fence: Fence,
 }
 
-/// The worker's answer to [`RenewLeases`].
+/// The worker's response to [`RenewLeases`].
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RenewAnswer {
     /// Tasks that don't run on the worker under the given fence.
@@ -106,7 +106,7 @@
     pub checkpoint: bool,
 }
 
-/// The worker's answer to [`StopTask`] and [`ThrottleTask`].
+/// The worker's response to [`StopTask`] and [`ThrottleTask`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopAnswer {
