--- a/crates/net/src/runtime/scheduler.rs
+++ b/crates/net/src/runtime/scheduler.rs
@@ -99,7 +99,7 @@
     fn count(&self, effect: &SchedulerEffect) {
         match effect {
             SchedulerEffect::CallWorker { call: WorkerCall::Start(_), .. } => {
-                self.metrics.start_asked();
+                self.metrics.start_requested();
             }
             SchedulerEffect::Node(NodeEffect::Notice(notice)) => match notice {
                 Notice::Rack(RackAlarm::Evicting { .. }) => self.metrics.evicted(),
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -276,7 +276,7 @@
         metrics.runs(RunEvent::Relieved, measures.evicted);
         metrics.runs(RunEvent::Paced, measures.paced);
         metrics.runs(RunEvent::Regrouped, measures.regrouped);
-        metrics.looked_at(measures.workers_scanned);
+        metrics.workers_scanned(measures.workers_scanned);
         measures.start_waits.into_iter().for_each(|wait| metrics.started_after(wait));
     }
 
--- a/crates/telemetry/src/metrics/scheduler.rs
+++ b/crates/telemetry/src/metrics/scheduler.rs
@@ -164,7 +164,7 @@
     }
 
     /// A VM is asked to start a task.
-    pub fn start_asked(&self) {
+    pub fn start_requested(&self) {
         self.starts.inc();
     }
 
--- a/crates/telemetry/src/metrics/workflow.rs
+++ b/crates/telemetry/src/metrics/workflow.rs
@@ -95,7 +95,7 @@
     append_latency: Histogram,
     terms: Counter,
     relays: Gauge,
-    looked_at: Counter,
+    workers_scanned: Counter,
     leads: Gauge,
     active: Gauge,
     waiting: Gauge,
@@ -121,7 +121,7 @@
             append_latency: latencies(),
             terms: Counter::default(),
             relays: Gauge::default(),
-            looked_at: Counter::default(),
+            workers_scanned: Counter::default(),
             leads: Gauge::default(),
             active: Gauge::default(),
             waiting: Gauge::default(),
@@ -160,7 +160,7 @@
         registry.register(
             "workers_looked_at",
             "Workers that were looked at to place tasks",
-            self.looked_at.clone(),
+            self.workers_scanned.clone(),
         );
         registry.register(
             "active_workflows",
@@ -225,8 +225,8 @@
     }
 
     /// So many workers were looked at to place tasks.
-    pub fn looked_at(&self, workers: u64) {
-        self.looked_at.inc_by(workers);
+    pub fn workers_scanned(&self, workers: u64) {
+        self.workers_scanned.inc_by(workers);
     }
 
     /// The configuration in force.
--- a/crates/telemetry/tests/metric_names.rs
+++ b/crates/telemetry/tests/metric_names.rs
@@ -56,7 +56,7 @@
     let metrics = SchedulerMetrics::new();
     metrics.set_ownership(15, Duration::from_millis(500));
     metrics.set_journal(900, 2);
-    metrics.start_asked();
+    metrics.start_requested();
     metrics.evicted();
     metrics.attempt_lost();
     metrics.parked();
