--- a/crates/telemetry/src/dump.rs
+++ b/crates/telemetry/src/dump.rs
@@ -1,100 +1,98 @@
-//! The state dump: what a process knows, on request, for a person in an incident.
+//! The state dump: a process's state on request, for operators during an incident.
 //!
-//! A dump is JSON of named sections. It never holds bodies of requests: a section is made of a
-//! reducer's own summary, whose types have no body, and long texts are cut besides, so that a body
-//! that slips into one isn't shown whole. Lists are cut too: at the target size a full dump of all
-//! tasks would take longer to write than the incident lasts.
+//! A dump is a JSON object of named sections. Sections are summaries whose types hold no request
+//! bodies. Long strings and lists are truncated, which bounds the size of a dump.
 
 use {
     serde::Serialize,
     serde_json::{Map, Value},
 };
 
-/// The most elements of a list or object that a dump shows.
+/// Maximum number of elements shown of a list or object.
 pub const MAX_DUMP_ITEMS: usize = 1_000;
 
-/// The longest text that a dump shows, in characters.
+/// Maximum length of a string in a dump, in characters.
 pub const MAX_DUMP_TEXT: usize = 200;
 
-/// A state dump in the making.
+/// Builder of a state dump.
 #[derive(Clone, Debug, Default)]
 pub struct Dump(Map<String, Value>);
 
 impl Dump {
-    /// A dump without sections.
+    /// Creates a dump without sections.
     pub fn new() -> Self {
         Dump::default()
     }
 
-    /// Adds a section. What can't be written as JSON, such as a map keyed by structures, is
-    /// replaced by a text that says so: a dump with a hole is better in an incident than none.
+    /// Adds a section. A value that can't be serialized as JSON, such as a map keyed by structs, is
+    /// replaced by the error message.
     pub fn section(mut self, name: &str, state: &impl Serialize) -> Self {
         let value = match serde_json::to_value(state) {
-            Ok(value) => bounded(value),
+            Ok(value) => truncated(value),
             Err(e) => Value::String(format!("can't be shown: {e}")),
         };
         self.0.insert(name.to_owned(), value);
         self
     }
 
-    /// The dump as JSON.
+    /// Returns the dump as a JSON object.
     pub fn into_json(self) -> Value {
         Value::Object(self.0)
     }
 }
 
-fn bounded(value: Value) -> Value {
+fn truncated(value: Value) -> Value {
     match value {
-        Value::String(text) => Value::String(bounded_text(text)),
-        Value::Array(items) => bounded_list(items),
-        Value::Object(fields) => bounded_object(fields),
+        Value::String(text) => Value::String(truncated_text(text)),
+        Value::Array(items) => truncated_list(items),
+        Value::Object(fields) => truncated_object(fields),
         other => other,
     }
 }
 
-fn bounded_text(text: String) -> String {
+fn truncated_text(text: String) -> String {
     match text.char_indices().nth(MAX_DUMP_TEXT) {
         Some((end, _)) => format!("{}... ({} bytes)", &text[..end], text.len()),
         None => text,
     }
 }
 
-fn bounded_list(mut items: Vec<Value>) -> Value {
-    let left_out = items.len().saturating_sub(MAX_DUMP_ITEMS);
+fn truncated_list(mut items: Vec<Value>) -> Value {
+    let omitted = items.len().saturating_sub(MAX_DUMP_ITEMS);
     items.truncate(MAX_DUMP_ITEMS);
-    let mut items: Vec<Value> = items.into_iter().map(bounded).collect();
-    if left_out > 0 {
-        items.push(Value::String(format!("{left_out} more are left out")));
+    let mut items: Vec<Value> = items.into_iter().map(truncated).collect();
+    if omitted > 0 {
+        items.push(Value::String(format!("{omitted} more are left out")));
     }
     Value::Array(items)
 }
 
-fn bounded_object(fields: Map<String, Value>) -> Value {
-    let left_out = fields.len().saturating_sub(MAX_DUMP_ITEMS);
-    let kept = fields.into_iter().take(MAX_DUMP_ITEMS);
-    let mut kept: Map<String, Value> = kept.map(|(k, v)| (bounded_text(k), bounded(v))).collect();
-    if left_out > 0 {
-        kept.insert("...".to_owned(), Value::String(format!("{left_out} more are left out")));
+fn truncated_object(fields: Map<String, Value>) -> Value {
+    let omitted = fields.len().saturating_sub(MAX_DUMP_ITEMS);
+    let shown = fields.into_iter().take(MAX_DUMP_ITEMS);
+    let mut shown: Map<String, Value> =
+        shown.map(|(k, v)| (truncated_text(k), truncated(v))).collect();
+    if omitted > 0 {
+        shown.insert("...".to_owned(), Value::String(format!("{omitted} more are left out")));
     }
-    Value::Object(kept)
+    Value::Object(shown)
 }
 
-/// The dump for a person: an indented outline, a line for each simple value and for each element of
-/// a list that fits on one.
+/// Renders a dump as an indented outline. A value takes one line if it fits.
 pub fn render_dump(dump: &Value) -> String {
     let mut out = String::new();
     render(dump, 0, &mut out);
     out
 }
 
-/// How wide a line may get before a list or object is spread over several.
+/// Maximum line width, in bytes, for a list or object on one line.
 const LINE_WIDTH: usize = 100;
 
 fn render(value: &Value, depth: usize, out: &mut String) {
     match value {
         Value::Object(fields) => {
             for (name, value) in fields {
-                render_entry(&printable(name), value, depth, out);
+                render_entry(&escaped(name), value, depth, out);
             }
         }
         Value::Array(items) => {
@@ -102,7 +100,7 @@
                 render_entry("-", item, depth, out);
             }
         }
-        simple => push_line(&one_line(simple), depth, out),
+        scalar => push_line(&one_line(scalar), depth, out),
     }
 }
 
@@ -117,12 +115,12 @@
     render(value, depth + 1, out);
 }
 
-/// Whether the value holds no lists or objects that hold others.
+/// Whether the value is a scalar, or a list or object of scalars only.
 fn is_flat(value: &Value) -> bool {
-    let simple = |value: &Value| !value.is_object() && !value.is_array();
+    let is_scalar = |value: &Value| !value.is_object() && !value.is_array();
     match value {
-        Value::Array(items) => items.iter().all(simple),
-        Value::Object(fields) => fields.values().all(simple),
+        Value::Array(items) => items.iter().all(is_scalar),
+        Value::Object(fields) => fields.values().all(is_scalar),
         _ => true,
     }
 }
@@ -131,21 +129,21 @@
     let join = |parts: Vec<String>| parts.join(" ");
     match value {
         Value::Null => "none".to_owned(),
-        Value::String(text) => printable(text),
+        Value::String(text) => escaped(text),
         Value::Array(items) if items.is_empty() => "none".to_owned(),
         Value::Array(items) => join(items.iter().map(one_line).collect()),
         Value::Object(fields) if fields.is_empty() => "none".to_owned(),
         Value::Object(fields) => {
-            let pair = |(k, v): (&String, &Value)| format!("{}={}", printable(k), one_line(v));
+            let pair = |(k, v): (&String, &Value)| format!("{}={}", escaped(k), one_line(v));
             join(fields.iter().map(pair).collect())
         }
-        simple => simple.to_string(),
+        scalar => scalar.to_string(),
     }
 }
 
-/// The text without what would move an operator's cursor or start a line: some of it is from
-/// callers.
-fn printable(text: &str) -> String {
+/// Escapes control and non-graphic characters, since some strings come from callers and could
+/// inject terminal sequences or lines.
+fn escaped(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for c in text.chars() {
         match c {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,7 @@
 //! Logs, metrics and the state dump.
 //!
-//! A log line is one event: `key=value` pairs, the first of them the time, the level and the
-//! event's name. It is made for grep and for machines alike, and a value can never look like a
-//! second line or a second pair, whoever sent it.
+//! A log line is one event: `key=value` pairs, starting with the time, the level, the node and the
+//! event's name. Values are escaped, so that one can't inject another line or pair.
 
 mod dump;
 mod logs;
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -34,11 +34,11 @@
     },
 };
 
-/// The longest value that a line holds, in bytes before escaping. Header values come from callers;
-/// one of them must not fill the log's disk.
+/// Maximum length of a value, in bytes before escaping. Limits what a caller's header can add to
+/// the log.
 const MAX_VALUE_BYTES: usize = 512;
 
-/// How a process logs.
+/// Logging options of a process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LogOptions {
     node: CompactString,
@@ -47,13 +47,13 @@
 }
 
 impl LogOptions {
-    /// Logs of a process of this name, from level `info`.
+    /// Creates options for the node of this name, with level `info`.
     pub fn new(node: impl AsRef<str>) -> Self {
         LogOptions { node: CompactString::new(node), level: LevelFilter::Info, queued: false }
     }
 
-    /// The level after so many `-v` and `-q` on the command line: `info` with none, then `debug`
-    /// and `trace`, or `warn`, `error` and none.
+    /// Sets the level from the numbers of `-v` and `-q` flags: `info` with none, up to `trace` or
+    /// down to `off`.
     pub fn verbosity(mut self, verbose: usize, quiet: usize) -> Self {
         const LEVELS: [LevelFilter; 6] = [
             LevelFilter::Off,
@@ -69,20 +69,20 @@
         self
     }
 
-    /// Writes to standard output through a bounded queue, so that a reader that has stopped reading
-    /// never holds the process up. Lines that find the queue full are dropped and counted.
+    /// Writes to standard output through a bounded queue, so that a stalled reader doesn't block the
+    /// process. When the queue is full, lines are dropped and counted.
     pub fn queued(mut self) -> Self {
         self.queued = true;
         self
     }
 
-    /// The level from which events are logged.
+    /// Minimum level of logged events.
     pub fn level(&self) -> LevelFilter {
         self.level
     }
 }
 
-/// The log can't be set up.
+/// Error of [`init`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum InitError {
     /// A logger is already set in this process.
@@ -101,21 +101,21 @@
 
 impl std::error::Error for InitError {}
 
-/// What the targets of the project's own events begin with.
-const OWN_TARGETS: &str = "egretlb";
+/// Target prefix of this project's crates.
+const OWN_TARGET_PREFIX: &str = "egretlb";
 
-/// Sends the events of this process to its standard error. Libraries log in a form of their own, some
-/// of them several lines for each call, so of theirs only warnings are let through.
+/// Installs the logger of this process, which writes to standard error, or to standard output if
+/// [`LogOptions::queued`]. Events of other crates are logged from level `warn`.
 ///
 /// # Errors
 ///
-/// A logger is set already.
+/// Returns an error if a logger is already set.
 pub fn init(options: LogOptions) -> Result<(), InitError> {
     let LogOptions { node, level, queued } = options;
     let output = if queued { queued_output() } else { Output::call(write_line) };
     fern::Dispatch::new()
         .level(level)
-        .filter(|meta| meta.level() <= Level::Warn || meta.target().starts_with(OWN_TARGETS))
+        .filter(|meta| meta.level() <= Level::Warn || meta.target().starts_with(OWN_TARGET_PREFIX))
         .format(move |out, _, record| {
             out.finish(format_args!("{}", format_line(SystemTime::now(), &node, record)));
         })
@@ -124,8 +124,7 @@
         .map_err(|_| InitError::AlreadySet)
 }
 
-/// Logs an event whose name and pairs are only known as it happens. Where they are known before, the
-/// macros of `log` say the same more shortly.
+/// Logs an event whose name and keys are only known at run time; otherwise use the macros of `log`.
 pub fn log_event(level: Level, event: &str, pairs: &[(&str, &dyn fmt::Display)]) {
     if level > log::max_level() {
         return;
@@ -138,17 +137,16 @@
     log::logger().log(&record.args(args).build());
 }
 
-/// Lines that wait to be written. At 200 bytes a line the queue takes 400 KB at most, and holds some
-/// seconds of a busy leader's events.
+/// Capacity of the queue, in lines; about 400 KB at 200 bytes per line.
 const QUEUE_LINES: usize = 2_048;
 
-/// Standard output behind a bounded queue and a thread of its own.
+/// Returns an output that queues lines for a thread that writes them to standard output.
 fn queued_output() -> Output {
     let (tx, rx) = sync_channel::<String>(QUEUE_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
-    let counted = Arc::clone(&dropped);
+    let writer_dropped = Arc::clone(&dropped);
     let writer = thread::Builder::new().name("log".into()).stack_size(WRITER_STACK_BYTES);
-    let spawned = writer.spawn(move || write_queued(&rx, &counted));
+    let spawned = writer.spawn(move || write_queued(&rx, &writer_dropped));
     if spawned.is_err() {
         return Output::call(write_line);
     }
@@ -159,42 +157,41 @@
     })
 }
 
-/// The writer only passes lines on.
 const WRITER_STACK_BYTES: usize = 64 * 1024;
 
 fn write_queued(rx: &Receiver<String>, dropped: &AtomicU64) {
     let mut out = stdout().lock();
     while let Ok(mut lines) = rx.recv() {
-        // Lines that wait are written together: each write is a call to the system.
-        lines.extend(rx.try_iter().take(WRITE_LINES));
+        // Batches queued lines to save system calls.
+        lines.extend(rx.try_iter().take(WRITE_BATCH_LINES));
         let lost = dropped.swap(0, Ordering::Relaxed);
         if lost > 0 {
             lines.push_str(&format!("level=warn event=log_lines_dropped lines={lost}\n"));
         }
-        // Where standard output is gone there is nobody to be told.
+        // A write error can't be reported: standard output is the log.
         let _ = out.write_all(lines.as_bytes()).and_then(|()| out.flush());
     }
 }
 
-/// The most lines of one write.
-const WRITE_LINES: usize = 64;
+/// Maximum number of queued lines added to one write.
+const WRITE_BATCH_LINES: usize = 64;
 
-/// Writes a line and its end in one piece. Standard error has no buffer: were they written apart,
-/// two processes with one terminal or pipe would write into each other's lines.
+/// Writes a line and its line feed in one call. Standard error is unbuffered, so that separate writes
+/// could interleave with those of other processes.
 fn write_line(record: &Record<'_>) {
     let line = format!("{}\n", record.args());
-    // Where standard error is gone there is nobody to be told.
+    // A write error can't be reported: standard error is the log.
     let _ = stderr().lock().write_all(line.as_bytes());
 }
 
-/// The line for one event, without its end.
+/// Formats an event as a line without line feed.
 pub fn format_line(now: SystemTime, node: &str, record: &Record<'_>) -> String {
     let mut line = Line(String::with_capacity(160));
     line.pair("ts", &humantime::format_rfc3339_millis(now));
     line.pair("level", &LowerCase(record.level().as_str()));
     line.pair("node", &node);
     line.pair("event", record.args());
-    // Visiting into a string can't fail; a value whose own Display fails leaves a cut line.
+    // `Line` writes to a string, which doesn't fail.
     let _ = record.key_values().visit(&mut line);
     line.0
 }
@@ -219,19 +216,16 @@
         self.push_value(&value.to_string());
     }
 
-    /// Keys are chosen by the program; a character that would break the line's form is replaced.
+    /// Appends a key, with characters outside `[A-Za-z0-9.]` replaced by `_`.
     fn push_key(&mut self, key: &str) {
-        let safe = |c: char| if c.is_ascii_alphanumeric() || c == '.' { c } else { '_' };
-        self.0.extend(key.chars().map(safe));
+        let sanitize = |c: char| if c.is_ascii_alphanumeric() || c == '.' { c } else { '_' };
+        self.0.extend(key.chars().map(sanitize));
     }
 
-    /// Writes plain values bare, others quoted and escaped.
-    ///
-    /// Values come from callers, too. Were a line feed or a quote written as it is, a header could
-    /// end the line and forge the next event, say a `config_accepted` that never was, and whoever
-    /// reads the log in an incident would follow it.
+    /// Appends a value, quoted and escaped unless it is plain, so that a value from a caller can't
+    /// forge an event.
     fn push_value(&mut self, value: &str) {
-        let value = cut(value);
+        let value = truncate(value);
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_.:/+,@%[]".contains(c);
         if !value.is_empty() && value.chars().all(plain) {
             self.0.push_str(value);
@@ -245,7 +239,7 @@
                 '\n' => self.0.push_str("\\n"),
                 '\r' => self.0.push_str("\\r"),
                 '\t' => self.0.push_str("\\t"),
-                // Letters of any script are names; marks that break or turn a line aren't.
+                // Escapes the rest, such as line separators and direction marks.
                 c if c.is_alphanumeric() || c.is_ascii_graphic() || c == ' ' => self.0.push(c),
                 c => self.0.extend(c.escape_unicode()),
             }
@@ -254,8 +248,8 @@
     }
 }
 
-/// The value up to [`MAX_VALUE_BYTES`], at a character's border.
-fn cut(value: &str) -> &str {
+/// Truncates a value to [`MAX_VALUE_BYTES`], at a character boundary.
+fn truncate(value: &str) -> &str {
     let mut end = value.len().min(MAX_VALUE_BYTES);
     while !value.is_char_boundary(end) {
         end -= 1;
--- a/crates/telemetry/src/metrics/common.rs
+++ b/crates/telemetry/src/metrics/common.rs
@@ -1,10 +1,10 @@
-//! What both daemons measure.
+//! Metrics of both entries and schedulers.
 
 use {
     super::{
         SecondsGauge,
         labels::{AppendResult, ByAppendResult},
-        latencies, set_seconds,
+        latency_histogram, set_seconds,
     },
     egretlb_types::Offset,
     prometheus_client::{
@@ -14,7 +14,7 @@
     std::time::Duration,
 };
 
-/// The control stream, the log and the configuration as one process sees them.
+/// Metrics of the control stream, the log and the configuration.
 #[derive(Clone, Debug)]
 pub struct CommonMetrics {
     config_version: Gauge,
@@ -30,7 +30,7 @@
             config_version: Gauge::default(),
             control_read_age: SecondsGauge::default(),
             log_appends: Family::default(),
-            log_append_latency: latencies(),
+            log_append_latency: latency_histogram(),
             peer_bytes: Counter::default(),
         };
         registry.register(
@@ -65,28 +65,28 @@
         metrics
     }
 
-    /// The version of the configuration in force.
+    /// Sets the version of the configuration in force.
     pub fn set_config_version(&self, version: Option<Offset>) {
         let version = version.and_then(|version| i64::try_from(version.0).ok());
         self.config_version.set(version.unwrap_or(NO_VERSION));
     }
 
-    /// How long ago the last answered read of the control stream was sent.
+    /// Sets the time since the last answered read of the control stream was sent.
     pub fn set_control_read_age(&self, age: Duration) {
         set_seconds(&self.control_read_age, age);
     }
 
-    /// An append ended after so long.
+    /// Records the result and latency of an append to the log.
     pub fn appended(&self, result: AppendResult, took: Duration) {
         self.log_appends.get_or_create(&ByAppendResult { result }).inc();
         self.log_append_latency.observe(took.as_secs_f64());
     }
 
-    /// So many bytes were sent to another egretlb process.
+    /// Counts bytes sent to another egretlb process.
     pub fn sent_to_peer(&self, bytes: u64) {
         self.peer_bytes.inc_by(bytes);
     }
 }
 
-/// No configuration is in force: offsets start at 0.
+/// Value of `config_version` while no configuration is in force; offsets start at 0.
 const NO_VERSION: i64 = -1;
--- a/crates/telemetry/src/metrics/entry.rs
+++ b/crates/telemetry/src/metrics/entry.rs
@@ -1,10 +1,10 @@
-//! What an entry measures.
+//! Metrics of an entry.
 
 use {
     super::{
         CommonMetrics,
         labels::{ByClass, ByOutcome, ByReason, Outcome, Reason},
-        latencies, new_registry, render_registry,
+        latency_histogram, new_registry, render_registry,
     },
     egretlb_types::{ClassName, NotRunReason},
     prometheus_client::{
@@ -19,16 +19,16 @@
     std::time::Duration,
 };
 
-/// The shares of backend servers that an entry holds, summed over all of them.
+/// Totals over all shares of backend servers that an entry holds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Shares {
     /// Slots granted to the entry.
     pub granted: u32,
-    /// Slots of these in use.
+    /// Granted slots in use.
     pub used: u32,
     /// Backend servers that the entry holds a share of.
     pub servers: u32,
-    /// Backend servers of these that are ejected, as they are slow or failing.
+    /// Backend servers among them that are ejected because they are slow or failing.
     pub ejected: u32,
 }
 
@@ -38,7 +38,7 @@
     registry: Registry,
     common: CommonMetrics,
     requests: Family<ByOutcome, Counter>,
-    latency: Family<ByClass, Histogram, Latencies>,
+    latency: Family<ByClass, Histogram, LatencyConstructor>,
     refusals: Family<ByReason, Counter>,
     refusal_latency: Histogram,
     retries: Counter,
@@ -51,16 +51,16 @@
 }
 
 #[derive(Clone, Debug)]
-struct Latencies;
+struct LatencyConstructor;
 
-impl MetricConstructor<Histogram> for Latencies {
+impl MetricConstructor<Histogram> for LatencyConstructor {
     fn new_metric(&self) -> Histogram {
-        latencies()
+        latency_histogram()
     }
 }
 
 impl EntryMetrics {
-    /// Metrics of which nothing has happened yet.
+    /// Creates the metrics, all zero.
     pub fn new() -> Self {
         let mut registry = new_registry();
         let common = CommonMetrics::new(&mut registry);
@@ -68,9 +68,9 @@
             registry,
             common,
             requests: Family::default(),
-            latency: Family::new_with_constructor(Latencies),
+            latency: Family::new_with_constructor(LatencyConstructor),
             refusals: Family::default(),
-            refusal_latency: latencies(),
+            refusal_latency: latency_histogram(),
             retries: Counter::default(),
             queue_depth: Family::default(),
             in_progress: Gauge::default(),
@@ -145,12 +145,12 @@
         );
     }
 
-    /// What both daemons measure.
+    /// Returns the metrics common to entries and schedulers.
     pub fn common(&self) -> &CommonMetrics {
         &self.common
     }
 
-    /// A request of a known class ended, so long after its arrival.
+    /// Records the end of a request of a known class; `took` is the time since its arrival.
     pub fn ended(&self, class: &ClassName, outcome: Outcome, took: Duration) {
         self.requests.get_or_create(&ByOutcome { class: class.into(), outcome }).inc();
         if outcome == Outcome::Answered {
@@ -159,30 +159,30 @@
         }
     }
 
-    /// A request was refused, so long after its arrival. Counted besides [`EntryMetrics::ended`],
-    /// which a request of an unknown class doesn't reach.
+    /// Records a refusal; `took` is the time since the request's arrival. Call it in addition to
+    /// [`EntryMetrics::ended`], which doesn't count requests of unknown classes.
     pub fn refused(&self, reason: NotRunReason, took: Duration) {
         self.refusals.get_or_create(&ByReason { reason: Reason(reason) }).inc();
         self.refusal_latency.observe(took.as_secs_f64());
     }
 
-    /// A request was sent again, as a retry or a hedge.
+    /// Counts a retry or hedge.
     pub fn retried(&self) {
         self.retries.inc();
     }
 
-    /// So many requests of the class wait.
+    /// Sets the number of queued requests of a class.
     pub fn set_queue_depth(&self, class: &ClassName, requests: usize) {
         let label = ByClass { class: class.into() };
         self.queue_depth.get_or_create(&label).set(requests as i64);
     }
 
-    /// So many requests are in progress.
+    /// Sets the number of requests in progress.
     pub fn set_in_progress(&self, requests: usize) {
         self.in_progress.set(requests as i64);
     }
 
-    /// The shares held now.
+    /// Sets the totals of the shares held.
     pub fn set_shares(&self, shares: Shares) {
         self.slots_granted.set(i64::from(shares.granted));
         self.slots_used.set(i64::from(shares.used));
@@ -190,8 +190,7 @@
         self.servers_ejected.set(i64::from(shares.ejected));
     }
 
-    /// The class has left the configuration: its series end, so that classes which come and go take
-    /// no memory for good.
+    /// Removes the series of a class that was removed from the configuration, to free their memory.
     pub fn forget_class(&self, class: &ClassName) {
         let outcomes = [Outcome::Answered, Outcome::Refused, Outcome::Failed, Outcome::CallerGone];
         for outcome in outcomes {
@@ -201,7 +200,7 @@
         self.queue_depth.remove(&ByClass { class: class.into() });
     }
 
-    /// All metrics as OpenMetrics text.
+    /// Renders all metrics as OpenMetrics text.
     pub fn render(&self) -> String {
         render_registry(&self.registry)
     }
--- a/crates/telemetry/src/metrics/labels.rs
+++ b/crates/telemetry/src/metrics/labels.rs
@@ -1,4 +1,4 @@
-//! The labels.
+//! Label sets and label values.
 
 use {
     compact_str::CompactString,
@@ -7,16 +7,16 @@
     std::fmt::{self, Write},
 };
 
-/// What became of a request, as its caller saw it.
+/// Outcome of a request, as its caller saw it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Outcome {
-    /// It got the whole answer.
+    /// The caller got the whole answer.
     Answered,
     /// It was refused without being run.
     Refused,
-    /// It got an error, and may have run.
+    /// The caller got an error; the request may have run.
     Failed,
-    /// Its caller left before an answer.
+    /// The caller disconnected before the answer.
     CallerGone,
 }
 
@@ -31,14 +31,14 @@
     }
 }
 
-/// What is known of an append to the log.
+/// Result of an append to the log.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum AppendResult {
     /// It is in the log.
     Appended,
-    /// It isn't.
+    /// It isn't in the log.
     NotAppended,
-    /// It may be: the answer was lost.
+    /// It may be in the log; the answer was lost.
     Unknown,
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// A class of the configuration. Its characters are those of a name, so they need no escapes.
+/// Name of a class; its characters need no escapes.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Class(CompactString);
 
--- a/crates/telemetry/src/metrics/mod.rs
+++ b/crates/telemetry/src/metrics/mod.rs
@@ -1,9 +1,8 @@
 //! The metrics of the daemons, each with its unit in its name.
 //!
-//! One struct for each role, with a method for each thing that happens, so that a caller can't
-//! misspell a name or mix up a unit. Labels are only what is bounded: the classes of the
-//! configuration, and enums. A caller's text never becomes a label, since each new one would take
-//! memory for good, and the text format doesn't escape it.
+//! Each role has a struct, with a method per event or gauge. Label values are enums and the classes of
+//! the configuration, never text from callers: that would make the number of series unbounded, and
+//! the text format doesn't escape it.
 
 mod common;
 mod entry;
@@ -28,21 +27,20 @@
     workflow::{Answered, EntryKind, RunEvent, WorkflowMetrics},
 };
 
-/// The content type of what `render` of the metrics gives.
+/// Content type of the rendered metrics.
 pub const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// A gauge of seconds.
 type SecondsGauge = Gauge<f64, AtomicU64>;
 
-/// The prefix of all names.
+/// Prefix of all metric names.
 const PREFIX: &str = "egretlb";
 
-/// Bounds of latencies, in seconds: from the loopback's to the longest target of a class, each some
-/// two and a half times the one before. Finer ones would multiply with up to 5,000 classes.
+/// Bucket bounds of latency histograms, in seconds. Few, since a configuration may have 5,000 classes.
 const LATENCY_BOUNDS: [f64; 11] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0, 5.0, 30.0];
 
-fn latencies() -> Histogram {
+fn latency_histogram() -> Histogram {
     Histogram::new(LATENCY_BOUNDS)
 }
 
--- a/crates/telemetry/src/metrics/scheduler.rs
+++ b/crates/telemetry/src/metrics/scheduler.rs
@@ -1,4 +1,4 @@
-//! What a scheduler measures.
+//! Metrics of a scheduler.
 
 use {
     super::{CommonMetrics, SecondsGauge, new_registry, render_registry, set_seconds},
@@ -9,16 +9,16 @@
     std::time::Duration,
 };
 
-/// The VMs of a scheduler's racks.
+/// Counts of the VMs in a scheduler's racks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct VmCounts {
-    /// All of them.
+    /// All VMs.
     pub known: usize,
-    /// Those in quarantine, as they failed what they were given.
+    /// VMs in quarantine because tasks failed on them.
     pub quarantined: usize,
-    /// Those out of reach whose leases must have lapsed.
+    /// Unreachable VMs whose leases must have expired.
     pub lost: usize,
-    /// Tasks that they hold: running, being started or being stopped.
+    /// Tasks on these VMs: running, being started or being stopped.
     pub tasks: usize,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl SchedulerMetrics {
-    /// Metrics of which nothing has happened yet.
+    /// Creates the metrics, all zero.
     pub fn new() -> Self {
         let mut registry = new_registry();
         let common = CommonMetrics::new(&mut registry);
@@ -138,24 +138,24 @@
         );
     }
 
-    /// What both daemons measure.
+    /// Returns the metrics common to entries and schedulers.
     pub fn common(&self) -> &CommonMetrics {
         &self.common
     }
 
-    /// Owns so many shards, under authority of this age.
+    /// Sets the number of owned shards and the age of the authority over them.
     pub fn set_ownership(&self, shards: usize, authority_age: Duration) {
         self.shards_owned.set(shards as i64);
         set_seconds(&self.authority_age, authority_age);
     }
 
-    /// So many bytes of journal entries wait for the log, after so many failures in a row.
+    /// Sets the size of unacknowledged journal entries and the number of consecutive append failures.
     pub fn set_journal(&self, held_bytes: usize, failures: u32) {
         self.journal_held.set(held_bytes as i64);
         self.journal_failures.set(i64::from(failures));
     }
 
-    /// The VMs of the owned racks.
+    /// Sets the counts of VMs in the owned racks.
     pub fn set_vms(&self, vms: VmCounts) {
         self.vms_known.set(vms.known as i64);
         self.vms_quarantined.set(vms.quarantined as i64);
@@ -163,27 +163,27 @@
         self.vm_tasks.set(vms.tasks as i64);
     }
 
-    /// A VM is asked to start a task.
+    /// Counts a start requested of a VM, repeats included.
     pub fn start_requested(&self) {
         self.starts.inc();
     }
 
-    /// A task is being evicted.
+    /// Counts an eviction.
     pub fn evicted(&self) {
         self.evictions.inc();
     }
 
-    /// A start was lost with its VM or its lease.
+    /// Counts an attempt that ended with its VM or its lease.
     pub fn attempt_lost(&self) {
         self.lost_attempts.inc();
     }
 
-    /// A task was set aside.
+    /// Counts a parked task, which failed on several VMs.
     pub fn parked(&self) {
         self.parked.inc();
     }
 
-    /// All metrics as OpenMetrics text.
+    /// Renders all metrics as OpenMetrics text.
     pub fn render(&self) -> String {
         render_registry(&self.registry)
     }
--- a/crates/telemetry/src/metrics/workflow.rs
+++ b/crates/telemetry/src/metrics/workflow.rs
@@ -1,7 +1,7 @@
-//! What the daemon that runs workflows measures.
+//! Metrics of the workflow scheduler.
 
 use {
-    super::{latencies, new_registry, render_registry},
+    super::{latency_histogram, new_registry, render_registry},
     prometheus_client::{
         encoding::{EncodeLabelSet, EncodeLabelValue},
         metrics::{counter::Counter, family::Family, gauge::Gauge, histogram::Histogram},
@@ -10,16 +10,16 @@
     std::time::Duration,
 };
 
-/// How a client's request was answered.
+/// Kind of answer to a client's request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, EncodeLabelValue)]
 pub enum Answered {
-    /// Stored, or told what was asked.
+    /// Stored or answered.
     Done,
-    /// Told what is wrong with it.
+    /// Rejected as invalid.
     Wrong,
-    /// Told to come back; nothing was stored.
+    /// Refused for now, nothing stored; the client may retry.
     Refused,
-    /// Told that nobody knows.
+    /// The outcome is unknown.
     Unknown,
 }
 
@@ -28,28 +28,28 @@
     answered: Answered,
 }
 
-/// What became of runs of tasks.
+/// Event of a run of a task. Variant names are label values.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, EncodeLabelValue)]
 pub enum RunEvent {
-    /// Ordered to start.
+    /// Start command sent.
     Started,
-    /// Done.
+    /// Completed.
     Done,
     /// Failed.
     Failed,
-    /// Stopped by an order, or ended by its lease or its gang.
+    /// Stopped by a command, or ended with its lease or its gang.
     Stopped,
     /// Lost with its worker.
     Lost,
-    /// Given up with its task, which crashes the workers that start it.
+    /// Abandoned because its task crashes workers.
     GivenUp,
-    /// Stopped for a task that ends soon.
+    /// Preempted by a batch task.
     Preempted,
-    /// Stopped for a serving task over its target.
+    /// Evicted for a latency-critical task above its latency target.
     Relieved,
-    /// Given another pace.
+    /// Pace changed.
     Paced,
-    /// Stopped to run beside serving tasks on which the same fillers press.
+    /// Stopped to move it next to latency-critical tasks of its colocation group.
     Regrouped,
 }
 
@@ -58,24 +58,24 @@
     event: RunEvent,
 }
 
-/// What kind of entry couldn't be read.
+/// Kind of an unreadable entry. Variant names are label values.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, EncodeLabelValue)]
 pub enum EntryKind {
-    /// A worker's entry in the directory.
+    /// Entry of a worker in the directory.
     Worker,
-    /// A configuration of the operator.
+    /// Configuration from the operator.
     Configuration,
-    /// A wave of upkeep that the operator asks for.
+    /// Maintenance wave requested by the operator.
     Wave,
-    /// A record of the system's own.
+    /// Record written by the scheduler.
     Record,
-    /// A VM in the list of all VMs.
+    /// VM in the list of all VMs.
     Vm,
-    /// A run in a worker's list.
+    /// Run in a worker's list.
     Run,
-    /// An end in a worker's list.
+    /// Ended run in a worker's list.
     End,
-    /// A ticket in an answer on which workers may run a step.
+    /// Ticket in an answer about which workers may run a step.
     Advice,
 }
 
@@ -84,7 +84,7 @@
     kind: EntryKind,
 }
 
-/// The metrics of the daemon that runs workflows.
+/// Metrics of the workflow scheduler.
 #[derive(Debug)]
 pub struct WorkflowMetrics {
     registry: Registry,
@@ -110,15 +110,15 @@
 }
 
 impl WorkflowMetrics {
-    /// Metrics of which nothing has happened yet.
+    /// Creates the metrics, all zero.
     pub fn new() -> Self {
         let mut metrics = WorkflowMetrics {
             registry: new_registry(),
             answers: Family::default(),
-            answer_latency: latencies(),
+            answer_latency: latency_histogram(),
             runs: Family::default(),
-            start_wait: latencies(),
-            append_latency: latencies(),
+            start_wait: latency_histogram(),
+            append_latency: latency_histogram(),
             terms: Counter::default(),
             relays: Gauge::default(),
             workers_scanned: Counter::default(),
@@ -184,62 +184,62 @@
         );
     }
 
-    /// A client was answered, so long after its request.
+    /// Records an answer to a client; `took` is the time since the request.
     pub fn answered(&self, answered: Answered, took: Duration) {
         self.answers.get_or_create(&ByAnswer { answered }).inc();
         self.answer_latency.observe(took.as_secs_f64());
     }
 
-    /// So many runs had this happen.
+    /// Counts events of runs.
     pub fn runs(&self, event: RunEvent, count: u64) {
         if count > 0 {
             self.runs.get_or_create(&ByRunEvent { event }).inc_by(count);
         }
     }
 
-    /// A task was started that had waited so long.
+    /// Records how long a started task waited for a worker.
     pub fn started_after(&self, wait: Duration) {
         self.start_wait.observe(wait.as_secs_f64());
     }
 
-    /// An append of the leader got through, so long after its first try.
+    /// Records a successful append of the leader; `took` is the time since its first try.
     pub fn appended(&self, took: Duration) {
         self.append_latency.observe(took.as_secs_f64());
     }
 
-    /// A term of this process began.
+    /// Counts an election of this process as leader.
     pub fn elected(&self) {
         self.terms.inc();
     }
 
-    /// Whether this process leads, and how much it has to do.
+    /// Sets whether this process leads, and its numbers of active workflows and waiting steps.
     pub fn set_load(&self, leads: bool, active: usize, waiting: usize) {
         self.leads.set(i64::from(leads));
         self.active.set(active as i64);
         self.waiting.set(waiting as i64);
     }
 
-    /// How many VMs carry this leader's calls.
+    /// Sets the number of VMs that relay this leader's calls.
     pub fn set_relays(&self, relays: usize) {
         self.relays.set(relays as i64);
     }
 
-    /// So many workers were looked at to place tasks.
+    /// Counts workers scanned to place tasks.
     pub fn workers_scanned(&self, workers: u64) {
         self.workers_scanned.inc_by(workers);
     }
 
-    /// The configuration in force.
+    /// Sets the version of the configuration in force.
     pub fn set_config(&self, version: u64) {
         self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
-    /// An entry that can't be read was seen for the first time.
+    /// Counts an unreadable entry; call it once per entry.
     pub fn unreadable(&self, kind: EntryKind) {
         self.unreadable.get_or_create(&ByEntryKind { kind }).inc();
     }
 
-    /// All metrics as text.
+    /// Renders all metrics as OpenMetrics text.
     pub fn render(&self) -> String {
         render_registry(&self.registry)
     }
--- a/crates/telemetry/src/panics.rs
+++ b/crates/telemetry/src/panics.rs
@@ -1,4 +1,4 @@
-//! Panics end the process.
+//! Ends the process on a panic.
 
 use std::{
     panic::{PanicHookInfo, set_hook, take_hook},
@@ -7,27 +7,24 @@
     time::Duration,
 };
 
-/// The exit code after a panic, the same as after one of the main thread.
-const PANICKED: i32 = 101;
+/// Exit code after a panic, as of the main thread.
+const PANIC_EXIT_CODE: i32 = 101;
 
-/// How long the log's writer gets for the last lines. It needs some milliseconds; where nobody reads
-/// the log, the process ends without them.
-const LAST_LINES: Duration = Duration::from_millis(100);
+/// Time for the log's writer thread to write queued lines before the process exits.
+const LOG_FLUSH_WAIT: Duration = Duration::from_millis(100);
 
-/// Has a panic on any thread or task end the process, with a log line that says where it was.
+/// Installs a panic hook that logs the panic with its location and exits the process.
 ///
-/// The runtime catches a panic of a spawned task and goes on without the task. Were it the one that
-/// follows the records or looks at the timers, the process would stay half alive: it answers clients,
-/// but from a state that no longer changes, or leads without giving orders. Nothing outside shows that.
-/// A process that has ended is started anew at once, and another takes over if it led.
+/// The runtime catches panics of spawned tasks. Without the hook the process would go on without the
+/// task and, for example, answer clients from a stale state. After an exit the supervisor restarts it.
 pub fn exit_on_panic() {
-    let report = take_hook();
+    let default_hook = take_hook();
     set_hook(Box::new(move |info| {
-        report(info);
+        default_hook(info);
         let at = info.location().map(ToString::to_string).unwrap_or_default();
         log::error!(message = message(info), at; "panicked");
-        sleep(LAST_LINES);
-        exit(PANICKED);
+        sleep(LOG_FLUSH_WAIT);
+        exit(PANIC_EXIT_CODE);
     }));
 }
 
--- a/crates/telemetry/tests/log_lines.rs
+++ b/crates/telemetry/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! A log line is one event, whatever its values hold.
+//! Log lines can't be forged through values, keys or event names.
 
 use {
     egretlb_telemetry::{LogOptions, format_line, log_event},
@@ -28,8 +28,7 @@
 
 #[test]
 fn hostile_value() {
-    // A caller sends a header with a line feed and a whole forged event in it. Whoever reads the
-    // log in an incident must not see an accepted configuration that never was.
+    // A value from a caller must not inject a forged event.
     let forged = "x\"\nts=2026-01-31T08:15:30Z level=info event=config_accepted version=9";
     for hostile in [forged, "a b=c", "\r\n", "\u{2028}\u{202e}", "\\\" k=v \\", "", "\0\x1b[2J"] {
         let values: &[(&str, &str)] = &[("key", hostile)];
@@ -42,7 +41,7 @@
     }
 }
 
-/// Whether the text is one quoted value and nothing after it.
+/// Whether the text is exactly one quoted value.
 fn is_one_quoted(text: &str) -> bool {
     let mut chars = text.chars();
     if chars.next() != Some('"') {
@@ -82,10 +81,10 @@
     assert_eq!(level(0, 9), LevelFilter::Off);
 }
 
-/// Keeps the lines of this test process in place of its standard error.
-struct Kept(Mutex<Vec<String>>);
+/// Logger that records the formatted lines.
+struct RecordingLogger(Mutex<Vec<String>>);
 
-impl Log for Kept {
+impl Log for RecordingLogger {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -100,15 +99,15 @@
 
 #[test]
 fn macro_and_function_agree() {
-    static KEPT: Kept = Kept(Mutex::new(Vec::new()));
-    log::set_logger(&KEPT).unwrap();
+    static LOGGER: RecordingLogger = RecordingLogger(Mutex::new(Vec::new()));
+    log::set_logger(&LOGGER).unwrap();
     log::set_max_level(LevelFilter::Warn);
     let vm = "w 17\n";
     log::warn!(vm:% = vm, attempts = 3; "vm_lost");
     log_event(Level::Warn, "vm_lost", &[("vm", &vm), ("attempts", &3)]);
     log_event(Level::Info, "not_logged", &[]);
-    let kept = KEPT.0.lock().unwrap();
-    assert_eq!(kept.len(), 2);
-    assert_eq!(kept[0], kept[1]);
-    assert!(kept[0].ends_with(r#"event=vm_lost vm="w 17\n" attempts=3"#), "{}", kept[0]);
+    let lines = LOGGER.0.lock().unwrap();
+    assert_eq!(lines.len(), 2);
+    assert_eq!(lines[0], lines[1]);
+    assert!(lines[0].ends_with(r#"event=vm_lost vm="w 17\n" attempts=3"#), "{}", lines[0]);
 }
--- a/crates/telemetry/tests/metric_names.rs
+++ b/crates/telemetry/tests/metric_names.rs
@@ -1,4 +1,4 @@
-//! The metrics' names, units and labels, which alarms rely on.
+//! Names, units and labels of metrics, which alerts rely on.
 
 use {
     egretlb_telemetry::{AppendResult, EntryMetrics, Outcome, SchedulerMetrics, Shares, VmCounts},
@@ -6,7 +6,7 @@
     std::time::Duration,
 };
 
-fn has(text: &str, line: &str) {
+fn assert_line(text: &str, line: &str) {
     assert!(text.lines().any(|l| l == line), "{line} isn't in\n{text}");
 }
 
@@ -21,7 +21,7 @@
     metrics.set_queue_depth(&class, 3);
     metrics.set_in_progress(4);
     metrics.set_shares(Shares { granted: 16, used: 5, servers: 4, ejected: 1 });
-    has(&metrics.render(), "egretlb_config_version -1");
+    assert_line(&metrics.render(), "egretlb_config_version -1");
     metrics.common().set_config_version(Some(Offset(12)));
     metrics.common().appended(AppendResult::Unknown, Duration::from_millis(7));
     metrics.common().sent_to_peer(45);
@@ -43,10 +43,10 @@
         "egretlb_peer_sent_bytes_total 45",
         "# EOF",
     ] {
-        has(&text, line);
+        assert_line(&text, line);
     }
 
-    // A class that left the configuration must not take memory for good.
+    // A class removed from the configuration must not keep its series.
     metrics.forget_class(&class);
     assert!(!metrics.render().contains("claim-filing"));
 }
@@ -76,6 +76,6 @@
         "egretlb_vms_lost 1",
         "egretlb_vm_tasks 530",
     ] {
-        has(&text, line);
+        assert_line(&text, line);
     }
 }
--- a/crates/telemetry/tests/state_dump.rs
+++ b/crates/telemetry/tests/state_dump.rs
@@ -23,8 +23,7 @@
 
 #[test]
 fn bounded() {
-    // An entry under full load has thousands of queued requests, and a caller's key may hold
-    // anything. The dump must neither fill the memory nor clear the operator's screen.
+    // Large state must be truncated, and a caller's text must not inject terminal sequences.
     let many = vec!["x"; MAX_DUMP_ITEMS + 7];
     let body = "b".repeat(10_000);
     let map: HashMap<String, u32> = (0..2_000).map(|i| (format!("k{i}"), i)).collect();
