--- a/crates/api/src/config.rs
+++ b/crates/api/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: what is in force, and proposals.
+//! Messages to read and propose configurations.
 
 use {
     compact_str::CompactString,
@@ -7,20 +7,19 @@
     std::{fmt, str::FromStr},
 };
 
-/// The configuration in force at the asked node.
+/// Configuration in force at the queried node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigView {
-    /// Its version, the offset of its proposal in the log; none before the first.
+    /// Version: the offset of its proposal in the log; `None` before the first configuration.
     pub version: Option<Offset>,
     /// The document.
     pub document: ConfigDocument,
 }
 
-/// Names one proposal. A proposal that is sent again, because its answer was lost, keeps its id and
-/// takes effect once.
+/// Id of a proposal. A retried proposal keeps its id, so that it takes effect once.
 ///
-/// Written as 16 hexadecimal digits: a number of this size loses digits in some JSON readers.
+/// Serialized as 16 hexadecimal digits, since some JSON parsers lose digits of 64-bit numbers.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ProposalId(pub u64);
 
@@ -30,7 +29,7 @@
     }
 }
 
-/// The text isn't a proposal id.
+/// Error of parsing a [`ProposalId`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ParseProposalIdError;
 
@@ -66,52 +65,52 @@
     }
 }
 
-/// Proposes a configuration in place of the one that its author read.
+/// Proposal to replace the configuration.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProposeConfig {
-    /// The id of the proposal.
+    /// Id of the proposal.
     pub proposal: ProposalId,
-    /// The version that it was made from; none for the first configuration. If another version has
-    /// come into force meanwhile, the proposal loses: its author hasn't seen what it would undo.
+    /// Version that the proposal is based on; `None` for the first configuration. If another version
+    /// is in force by then, the proposal is rejected, since it would undo changes.
     pub base: Option<Offset>,
-    /// The whole new configuration.
+    /// Complete new configuration.
     pub document: ConfigDocument,
-    /// Who proposes it, for the record.
+    /// Author, for the audit record.
     pub by: CompactString,
 }
 
-/// What became of a proposal.
+/// Answer to a proposal.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum ProposeAnswer {
-    /// It is in the log and accepted; every node has it in force within seconds.
+    /// In the log and accepted; every node applies it within seconds.
     Accepted {
         /// The new version.
         version: Offset,
     },
-    /// Another proposal came first. Nothing has changed by this one, and nothing will.
+    /// Rejected because another proposal was accepted first; it has no effect.
     Lost {
-        /// The version now in force.
+        /// Version in force.
         version: Option<Offset>,
-        /// The document now in force.
+        /// Document in force.
         document: Box<ConfigDocument>,
     },
-    /// The document has faults; it wasn't put in the log.
+    /// The document is invalid; it wasn't appended to the log.
     Invalid {
-        /// The faults, each with its place in the document and its remedy.
+        /// Faults, each with its position in the document and how to fix it.
         faults: Vec<String>,
     },
-    /// The log couldn't be reached in time. The proposal may or may not be in the log: send the
-    /// same one again.
+    /// The log couldn't be reached in time. The proposal may or may not be in the log; retry with the
+    /// same id.
     Unavailable {
-        /// When to send it again.
+        /// When to retry.
         retry_after: RetryAfter,
     },
 }
 
 impl ProposeAnswer {
-    /// The HTTP status that the answer is sent with.
+    /// HTTP status code of the answer.
     pub fn status_code(&self) -> u16 {
         match self {
             ProposeAnswer::Accepted { .. } => 200,
--- a/crates/api/src/headers.rs
+++ b/crates/api/src/headers.rs
@@ -1,13 +1,13 @@
-//! The headers between callers and entries.
+//! HTTP headers between callers and entries.
 
-/// On every answer of an entry: whether the request ran, as [`egretlb_types::Ran`] writes it.
+/// Response header: whether the request ran, as formatted by [`egretlb_types::Ran`].
 pub const RAN: &str = "egretlb-ran";
 
-/// On a refusal: in how many seconds to come back.
+/// Response header of a refusal: when to retry, in seconds.
 pub const RETRY_AFTER: &str = "retry-after";
 
-/// On a request that must not run twice: the caller's key, which makes sending it again safe.
+/// Request header: the caller's key of a request that must not run twice, which makes retries safe.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// On a request: in how many milliseconds the answer is of no use any more.
+/// Request header: time until the caller needs no answer any more, in milliseconds.
 pub const DEADLINE_MS: &str = "egretlb-deadline-ms";
--- a/crates/api/src/jobs.rs
+++ b/crates/api/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: submission, status, cancellation.
+//! Messages to submit, query and cancel jobs.
 
 use {
     compact_str::CompactString,
@@ -7,59 +7,56 @@
     std::fmt,
 };
 
-/// The most tasks of one job. A larger batch is several jobs, so that one submission fits a record
-/// of the log.
+/// Maximum number of tasks of a job, so that a submission fits a log record.
 pub const MAX_TASKS_PER_JOB: u32 = 10_000;
 
-/// The longest command, in bytes. It is part of each start; what is longer belongs into a file that
-/// the command names.
+/// Maximum length of a command, in bytes. It is sent with each start of a task.
 pub const MAX_COMMAND_BYTES: usize = 1_024;
 
-/// Submits a job of one or more tasks.
+/// Submission of a job of one or more tasks.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmitJob {
-    /// The submitter's name for the job. Submitting the same job again has no further effect.
+    /// Id chosen by the submitter. Submitting the same job again has no further effect.
     pub job: JobId,
-    /// The class, which must be a batch class.
+    /// Class; must be a batch class.
     pub class: ClassName,
-    /// How many tasks the job has, from 1 to [`MAX_TASKS_PER_JOB`]; they are numbered from 0.
+    /// Number of tasks, from 1 to [`MAX_TASKS_PER_JOB`]; they are numbered from 0.
     pub tasks: u32,
-    /// What each task runs, at most [`MAX_COMMAND_BYTES`].
+    /// Command of each task, at most [`MAX_COMMAND_BYTES`].
     pub command: CompactString,
-    /// What each task takes, if it differs from what the class declares.
+    /// Resources of each task, if they differ from those of the class.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resources: Option<Resources>,
 }
 
-/// What became of a submission.
+/// Answer to a submission.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum SubmitAnswer {
-    /// The job is in the log: it outlives every process. The same answer is given when the same job
-    /// is submitted again.
+    /// The job is stored in the log, by this or an earlier submission.
     Accepted,
-    /// A job of this id with other contents was submitted before; nothing has changed.
+    /// A job with this id but other contents exists; nothing was changed.
     Conflict,
     /// The class isn't in the configuration in force, or isn't a batch class.
     UnknownClass,
-    /// No VM could ever hold one of its tasks; it wasn't taken.
+    /// A task is too large for every VM; the job was rejected.
     NeverFits,
-    /// The submission breaks a limit; it wasn't taken.
+    /// The submission exceeds a limit; it was rejected.
     Invalid {
-        /// What is wrong and what to do.
+        /// What is wrong and how to fix it.
         message: CompactString,
     },
-    /// The job's owner or the log couldn't be reached in time. The job may or may not be in the
-    /// log: submit the same one again.
+    /// The job's owner or the log couldn't be reached in time. The job may or may not be in the log;
+    /// submit the same job again.
     Unavailable {
-        /// When to submit it again.
+        /// When to retry.
         retry_after: RetryAfter,
     },
 }
 
 impl SubmitAnswer {
-    /// The HTTP status that the answer is sent with.
+    /// HTTP status code of the answer.
     pub fn status_code(&self) -> u16 {
         match self {
             SubmitAnswer::Accepted => 200,
@@ -72,17 +69,17 @@
     }
 }
 
-/// How far a job is.
+/// State of a job.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// Some of its tasks wait or run.
+    /// Some tasks are queued or running.
     Active,
-    /// All of its tasks are done.
+    /// All tasks are done.
     Done,
-    /// All of its tasks have ended, and some of them failed or are parked.
+    /// All tasks have ended, and some failed or are parked.
     Failed,
-    /// It was cancelled.
+    /// Cancelled.
     Cancelled,
 }
 
@@ -97,21 +94,21 @@
     }
 }
 
-/// How many tasks of a job are in which state.
+/// Number of tasks of a job in each state.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TaskCounts {
     /// Waiting for a VM, evicted ones included.
     pub queued: u32,
-    /// Being started; the VM's answer isn't known yet.
+    /// Being started, not yet confirmed by the VM.
     pub starting: u32,
     /// Running.
     pub running: u32,
     /// Done.
     pub done: u32,
-    /// Failed and given up on.
+    /// Failed and not retried any more.
     pub failed: u32,
-    /// Set aside, since they failed on several healthy VMs or can never fit.
+    /// Parked, since they failed on several healthy VMs or fit no VM.
     pub parked: u32,
     /// Cancelled.
     pub cancelled: u32,
@@ -133,40 +130,40 @@
     }
 }
 
-/// One job as its owner knows it.
+/// Status of a job, from its owner.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job.
     pub job: JobId,
-    /// Its class.
+    /// Class of the job.
     pub class: ClassName,
-    /// How far it is.
+    /// State of the job.
     pub state: JobState,
-    /// Its tasks by state.
+    /// Numbers of tasks by state.
     pub tasks: TaskCounts,
 }
 
-/// The answer to a question after a job.
+/// Answer to a query for a job.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum JobAnswer {
-    /// The job.
+    /// The job exists.
     Found {
         /// Its status.
         job: JobStatus,
     },
-    /// The job's owner knows no such job: it was never accepted, or ended so long ago that it is
-    /// forgotten.
+    /// The job's owner knows no such job: it was never accepted, or was removed some time after its
+    /// end.
     NotFound,
     /// The job's owner couldn't be reached in time.
     Unavailable {
-        /// When to ask again.
+        /// When to retry.
         retry_after: RetryAfter,
     },
 }
 
 impl JobAnswer {
-    /// The HTTP status that the answer is sent with.
+    /// HTTP status code of the answer.
     pub fn status_code(&self) -> u16 {
         match self {
             JobAnswer::Found { .. } => 200,
@@ -176,26 +173,26 @@
     }
 }
 
-/// What became of a cancellation.
+/// Answer to a cancellation.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum CancelAnswer {
-    /// The cancellation is in the log: nothing further of the job starts, and what runs is stopped.
-    /// Cancelling again is answered in the same way.
+    /// The cancellation is stored in the log: no more tasks start, and running ones are stopped.
+    /// Cancelling again gives the same answer.
     Cancelled,
-    /// All its tasks had ended before.
+    /// All tasks had ended before.
     Ended,
     /// The job's owner knows no such job.
     NotFound,
-    /// The job's owner or the log couldn't be reached in time; cancel it again.
+    /// The job's owner or the log couldn't be reached in time; cancel again.
     Unavailable {
-        /// When to cancel it again.
+        /// When to retry.
         retry_after: RetryAfter,
     },
 }
 
 impl CancelAnswer {
-    /// The HTTP status that the answer is sent with.
+    /// HTTP status code of the answer.
     pub fn status_code(&self) -> u16 {
         match self {
             CancelAnswer::Cancelled | CancelAnswer::Ended => 200,
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,6 +1,6 @@
-//! The HTTP interface of the daemons, shared by those who serve it and those who call it.
+//! Paths, headers and messages of the daemons' HTTP interface, shared by servers and clients.
 //!
-//! The operators' address of a daemon answers:
+//! Calls to the operators' address of a daemon:
 //!
 //! | call | body | answer |
 //! |---|---|---|
@@ -14,12 +14,12 @@
 //! | `GET /healthz`, `GET /readyz` | none | 200 or 503, a line of text |
 //! | `GET /metrics` | none | 200, OpenMetrics text |
 //!
-//! Bodies are JSON. An answer of several outcomes says which in its field `result`, and with the
-//! status code of its method `status_code`, so that a script may go by either. A call that reaches
-//! no handler, or whose body can't be read, is answered by [`ApiError`].
+//! Bodies are JSON. An answer with several outcomes names its outcome in the field `result` and maps
+//! it to an HTTP status code by `status_code`. A call that reaches no handler, or whose body is
+//! invalid, is answered with [`ApiError`].
 //!
-//! Every call that changes something may be sent again when its answer was lost: a proposal has an
-//! id, and a job is named by its submitter.
+//! Every call that changes something is idempotent and may be retried: a proposal has an id, and a
+//! job's id is chosen by its submitter.
 
 mod config;
 mod headers;
--- a/crates/api/src/paths.rs
+++ b/crates/api/src/paths.rs
@@ -1,42 +1,42 @@
-//! The paths.
+//! Paths of the HTTP interface.
 
 use egretlb_types::{JobId, ParseIdError};
 
-/// The configuration in force, and proposals for another.
+/// Reads the configuration in force, and proposes another.
 pub const CONFIG: &str = "/config";
 
 /// Jobs; one job is at [`job_path`].
 pub const JOBS: &str = "/jobs";
 
-/// The process's state dump.
+/// State dump of the process.
 pub const STATE: &str = "/state";
 
-/// All nodes, as the asked one knows them.
+/// All nodes known to the queried one.
 pub const STATUS: &str = "/status";
 
-/// Whether the process is alive.
+/// Liveness check.
 pub const HEALTHZ: &str = "/healthz";
 
-/// Whether the process can serve; the platform's balancer asks this.
+/// Readiness check, used by the platform's load balancer.
 pub const READYZ: &str = "/readyz";
 
-/// The metrics.
+/// Metrics as OpenMetrics text.
 pub const METRICS: &str = "/metrics";
 
-/// What callers' requests begin with, at an entry's callers' address: `/serve/{class}/{path}`, as
-/// the backend servers have it.
+/// Path prefix of callers' requests to an entry: `/serve/{class}/{path}`, where `path` is the backend
+/// server's.
 pub const CALLS_PREFIX: &str = "/serve/";
 
-/// The path of one job.
+/// Returns the path of a job.
 pub fn job_path(job: &JobId) -> String {
     format!("{JOBS}/{job}")
 }
 
-/// The job that a path names; `None` if it isn't a job's path.
+/// Parses the job id in a path; `None` if it isn't the path of a job.
 ///
 /// # Errors
 ///
-/// The path is a job's, but what follows isn't a job id.
+/// Returns an error if the part after [`JOBS`] isn't a job id.
 pub fn job_of_path(path: &str) -> Option<Result<JobId, ParseIdError>> {
     let id = path.strip_prefix(JOBS)?.strip_prefix('/')?;
     Some(id.parse())
--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -1,4 +1,4 @@
-//! The nodes as one of them knows them, and the answer to calls that go wrong.
+//! Status of the nodes, and the error message.
 
 use {
     compact_str::CompactString,
@@ -7,13 +7,13 @@
     std::fmt,
 };
 
-/// What a node is.
+/// Role of a node.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// It takes callers' requests.
+    /// Accepts callers' requests.
     Entry,
-    /// It owns shards.
+    /// Owns shards.
     Scheduler,
 }
 
@@ -26,48 +26,48 @@
     }
 }
 
-/// One node.
+/// Status of a node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The node.
+    /// Id of the node.
     pub node: NodeId,
-    /// The name in its settings.
+    /// Name in its settings.
     pub name: CompactString,
-    /// What it is.
+    /// Role of the node.
     pub role: Role,
-    /// Where it is.
+    /// Data centre of the node.
     pub data_centre: DataCentre,
-    /// How many shards it owns.
+    /// Number of shards it owns.
     pub shards_owned: u32,
-    /// The version of the configuration in force there, when it last said so; none if it has none
-    /// or hasn't been heard of.
+    /// Version of the configuration in force there, as last reported; `None` if it has none or hasn't
+    /// reported.
     pub config_version: Option<Offset>,
-    /// How long ago it was last heard of, in milliseconds; 0 for the asked node itself, none if it
+    /// Time since the last contact, in milliseconds; 0 for the queried node itself, `None` if the node
     /// is only known from the log.
     pub heard_ms_ago: Option<u64>,
 }
 
-/// All nodes that the asked one knows.
+/// Status of all nodes known to the queried node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The asked node.
+    /// Id of the queried node.
     pub asked: NodeId,
-    /// The version of the configuration that is accepted, as the asked node read it from the log.
+    /// Version of the accepted configuration, as the queried node read it from the log.
     pub config_version: Option<Offset>,
-    /// How long ago the asked node sent its last read of the control stream that was answered, in
-    /// milliseconds; none if there was none. When it grows past the authority's length, the node
-    /// can't decide anything unsafe.
+    /// Time since the queried node sent its last answered read of the control stream, in milliseconds;
+    /// `None` if no read was answered. Beyond the duration of its authority the node makes no
+    /// decisions that need authority.
     pub control_read_ms_ago: Option<u64>,
-    /// The nodes.
+    /// All known nodes.
     pub nodes: Vec<NodeStatus>,
 }
 
-/// The answer to a call that reached no handler or couldn't be read.
+/// Answer to a call that reached no handler or was invalid.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ApiError {
-    /// What is wrong and what to do.
+    /// What is wrong and how to fix it.
     pub error: CompactString,
-    /// When to come back, if that helps.
+    /// When to retry, if that may help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<RetryAfter>,
 }
@@ -76,7 +76,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.error)?;
         match self.retry_after {
-            Some(secs) => write!(f, "; come back in {secs} s"),
+            Some(secs) => write!(f, "; retry in {secs} s"),
             None => Ok(()),
         }
     }
--- a/crates/api/tests/messages.rs
+++ b/crates/api/tests/messages.rs
@@ -1,4 +1,4 @@
-//! The form of the messages, which scripts rely on.
+//! Serialized form of the messages, which scripts rely on.
 
 use {
     egretlb_api::{
