--- a/crates/cli/src/args/low.rs
+++ b/crates/cli/src/args/low.rs
@@ -1,4 +1,4 @@
-//! What was typed, each flag by itself.
+//! Parses the flags and words of the command line, without checking their combination.
 
 use {
     crate::error::CliError,
@@ -9,7 +9,7 @@
     std::{ffi::OsString, fmt::Display, str::FromStr},
 };
 
-/// All flags of all commands as typed, and what is left.
+/// Flags of all commands, and the other words.
 #[derive(Debug, Default)]
 pub(super) struct LowArgs {
     pub(super) short_help: bool,
@@ -30,11 +30,11 @@
     pub(super) cpu: Option<MilliCores>,
     pub(super) memory: Option<Megabytes>,
     pub(super) accelerators: Option<Accelerators>,
-    /// The words that belong to no flag.
+    /// Words that belong to no flag.
     pub(super) words: Vec<OsString>,
 }
 
-/// The long flags, to find the one that was meant.
+/// All long flags, for suggestions on a misspelt one.
 const FLAGS: &[&str] = &[
     "--help",
     "--version",
@@ -58,7 +58,7 @@
 impl LowArgs {
     pub(super) fn read(args: Vec<OsString>) -> Result<Self, CliError> {
         let mut args = Arguments::from_vec(args);
-        // Values first: `--command --json` runs a command that is called `--json`.
+        // Flags with values come first, so that `--command --json` takes `--json` as the value.
         let mut low = LowArgs {
             server: value(&mut args, "--server")?,
             timeout: value(&mut args, "--timeout")?,
@@ -105,7 +105,7 @@
     std::iter::from_fn(|| args.contains(flag).then_some(())).count()
 }
 
-/// What is left and looks like a flag is one that doesn't exist, or one that was given twice.
+/// Reports a remaining word that looks like a flag: an unknown, repeated or `--flag=value` one.
 fn check_word(word: &OsString) -> Result<(), CliError> {
     let word = word.to_string_lossy();
     if !word.starts_with('-') {
@@ -119,7 +119,7 @@
         let message = format_compact!("write the value of {name} as a word of its own, without =");
         return Err(CliError::Usage(message));
     }
-    let meant = nearest(name, FLAGS.iter().copied());
-    let remedy = meant.map(|flag| format_compact!(", did you mean {flag}?")).unwrap_or_default();
-    Err(CliError::Usage(format_compact!("there is no flag {word:?}{remedy}")))
+    let suggestion = nearest(name, FLAGS.iter().copied());
+    let hint = suggestion.map(|flag| format_compact!(", did you mean {flag}?")).unwrap_or_default();
+    Err(CliError::Usage(format_compact!("there is no flag {word:?}{hint}")))
 }
--- a/crates/cli/src/args/lowered.rs
+++ b/crates/cli/src/args/lowered.rs
@@ -1,4 +1,4 @@
-//! What the command line means.
+//! Checks the parsed command line and converts it into a command.
 
 use {
     super::{Env, low::LowArgs},
@@ -11,10 +11,10 @@
     std::{ffi::OsString, net::SocketAddr, path::PathBuf, time::Duration},
 };
 
-/// What to do.
+/// What the command line asks for.
 #[derive(Debug)]
 pub(crate) enum Action {
-    /// Print a text and end.
+    /// Print a help or version text.
     Print(&'static str),
     /// Run a command.
     Run(Box<Args>),
@@ -27,13 +27,13 @@
     pub(crate) json: bool,
     pub(crate) quiet: usize,
     pub(crate) verbose: usize,
-    /// How long one call may be silent.
+    /// Timeout of a call.
     pub(crate) timeout: Duration,
-    /// How long a change is asked for again.
+    /// How long a change is retried.
     pub(crate) wait: Duration,
 }
 
-/// The commands with what each needs.
+/// A command with its arguments.
 #[derive(Debug)]
 pub(crate) enum Command {
     ConfigCheck {
@@ -70,21 +70,21 @@
     Dump {
         addr: SocketAddr,
     },
-    /// Without files, standard input is read.
+    /// Reads standard input if `files` is empty.
     Explain {
         workflow: CompactString,
         files: Vec<PathBuf>,
     },
 }
 
-/// Where the job to submit is described.
+/// Source of the description of a job to submit.
 #[derive(Debug)]
 pub(crate) enum JobSource {
     File(PathBuf),
     Flags(SubmitJob),
 }
 
-/// The addresses to try in turn; at least one.
+/// Addresses of servers to try in turn; at least one.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Servers(SmallVec<[SocketAddr; 4]>);
 
@@ -101,7 +101,7 @@
 const DEFAULT_TIMEOUT: Period = Period::from_millis(5_000);
 const DEFAULT_WAIT: Period = Period::from_millis(30_000);
 
-/// Reads the command line.
+/// Parses and checks the command line.
 pub(crate) fn parse(args: Vec<OsString>, env: &Env) -> Result<Action, CliError> {
     let low = LowArgs::read(args)?;
     if low.long_help {
@@ -124,9 +124,9 @@
 impl Lowering<'_> {
     fn args(mut self) -> Result<Args, CliError> {
         let words = std::mem::take(&mut self.low.words);
-        let shown: Vec<_> = words.iter().map(|word| word.to_string_lossy()).collect();
-        let typed: Vec<&str> = shown.iter().map(|word| &**word).collect();
-        let command = match typed.as_slice() {
+        let lossy_words: Vec<_> = words.iter().map(|word| word.to_string_lossy()).collect();
+        let word_texts: Vec<&str> = lossy_words.iter().map(|word| &**word).collect();
+        let command = match word_texts.as_slice() {
             ["config", "check", _] => Command::ConfigCheck { path: PathBuf::from(&words[2]) },
             ["config", "diff", _] => {
                 Command::ConfigDiff { path: PathBuf::from(&words[2]), servers: self.servers()? }
@@ -184,10 +184,10 @@
     fn submit_flags(&mut self) -> Result<Command, CliError> {
         let resources = self.resources()?;
         let submit = SubmitJob {
-            job: needed(self.low.job.take(), "--job")?,
-            class: needed(self.low.class.take(), "--class")?,
-            tasks: needed(self.low.tasks.take(), "--tasks")?,
-            command: needed(self.low.command.take(), "--command")?,
+            job: required(self.low.job.take(), "--job")?,
+            class: required(self.low.class.take(), "--class")?,
+            tasks: required(self.low.tasks.take(), "--tasks")?,
+            command: required(self.low.command.take(), "--command")?,
             resources,
         };
         Ok(Command::JobSubmit { source: JobSource::Flags(submit), servers: self.servers()? })
@@ -200,14 +200,13 @@
             return Ok(None);
         }
         Ok(Some(Resources {
-            cpu: needed(cpu, "--cpu")?,
-            memory: needed(memory, "--memory")?,
+            cpu: required(cpu, "--cpu")?,
+            memory: required(memory, "--memory")?,
             accelerators: accelerators.unwrap_or_default(),
         }))
     }
 
-    /// A flag that the command took no notice of. Passing over it would leave an operator
-    /// believing, say, that `config diff --base 7` compared with version 7.
+    /// Reports a flag that the command doesn't use, such as `--base` of `config diff`.
     fn check_unused(&self) -> Result<(), CliError> {
         let low = &self.low;
         let unused = [
@@ -231,7 +230,7 @@
     }
 }
 
-fn needed<T>(value: Option<T>, flag: &str) -> Result<T, CliError> {
+fn required<T>(value: Option<T>, flag: &str) -> Result<T, CliError> {
     value.ok_or_else(|| {
         CliError::Usage(format_compact!(
             "{flag} is missing; give it, or describe the job in a FILE"
@@ -239,14 +238,13 @@
     })
 }
 
-/// A workflow's id, as clients choose it.
-/// The id of a workflow, or of one of its tasks.
+/// Parses the id of a workflow, or of one of its tasks.
 fn subject_id(text: &str) -> Result<CompactString, CliError> {
-    let hex = |c: u8| c.is_ascii_digit() || (b'a'..=b'f').contains(&c);
+    let is_hex = |c: u8| c.is_ascii_digit() || (b'a'..=b'f').contains(&c);
     let (workflow, task) = text.split_once('.').unwrap_or((text, "0.0.0"));
     let numbers = task.split('.').filter(|number| number.parse::<u32>().is_ok()).count();
-    let whole = numbers == 3 && task.split('.').count() == 3;
-    if workflow.len() == 16 && workflow.bytes().all(hex) && whole {
+    let is_task = numbers == 3 && task.split('.').count() == 3;
+    if workflow.len() == 16 && workflow.bytes().all(is_hex) && is_task {
         return Ok(CompactString::new(text));
     }
     Err(CliError::Usage(format_compact!(
--- a/crates/cli/src/args/mod.rs
+++ b/crates/cli/src/args/mod.rs
@@ -1,8 +1,6 @@
-//! The command line: read in one pass into [`low::LowArgs`], then lowered into one checked
-//! [`Args`].
+//! The command line: parsed into [`low::LowArgs`], then checked and converted into [`Args`].
 //!
-//! The two steps keep apart what was typed and what it means, so that a flag which the command has
-//! no use for is an error instead of being passed over.
+//! The second step reports flags that the command doesn't use.
 
 mod low;
 mod lowered;
@@ -11,17 +9,17 @@
 
 use std::{env, ffi::OsString};
 
-/// What the command takes from its environment.
+/// Environment variables that the command reads.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Env {
-    /// `EGRETLB_SERVER`, the servers if `--server` isn't given.
+    /// `EGRETLB_SERVER`: default of `--server`.
     pub server: Option<OsString>,
-    /// `USER`, who proposes a configuration if `--by` isn't given.
+    /// `USER`: default of `--by`.
     pub user: Option<OsString>,
 }
 
 impl Env {
-    /// The environment of this process.
+    /// Reads the environment of this process.
     pub fn of_process() -> Self {
         Env { server: env::var_os("EGRETLB_SERVER"), user: env::var_os("USER") }
     }
--- a/crates/cli/src/calls.rs
+++ b/crates/cli/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the daemons' operators' addresses.
+//! Calls to the operators' addresses of daemons, with retries.
 
 use {
     crate::{args::Servers, error::CliError, retry::Retry},
@@ -20,32 +20,32 @@
     },
 };
 
-/// Why one call brought no answer of use.
+/// Failure of a single call.
 #[derive(Debug)]
-enum Miss {
-    /// No whole answer.
+enum CallError {
+    /// No complete answer.
     Failed(CallFailure),
-    /// The answer isn't what the interface says; perhaps something else listens there.
-    NotOurs(CompactString),
-    /// The daemon can't do it now.
+    /// The answer isn't of the expected form; the server may be another program.
+    Unexpected(CompactString),
+    /// The daemon can't process the call now; it may be retried.
     Busy(ApiError),
-    /// The daemon won't do it, now or later.
+    /// The daemon refuses the call; a retry doesn't help.
     Refused(ApiError),
 }
 
-impl fmt::Display for Miss {
+impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Miss::Failed(failure) => write!(f, "{failure}"),
-            Miss::NotOurs(found) => {
+            CallError::Failed(failure) => write!(f, "{failure}"),
+            CallError::Unexpected(found) => {
                 write!(f, "{found}; is this the operators' address of an egretlb daemon?")
             }
-            Miss::Busy(error) | Miss::Refused(error) => write!(f, "{error}"),
+            CallError::Busy(error) | CallError::Refused(error) => write!(f, "{error}"),
         }
     }
 }
 
-/// One call that may be made several times.
+/// A request that can be sent repeatedly.
 pub(crate) struct Call {
     method: Method,
     path: CompactString,
@@ -62,8 +62,9 @@
     }
 
     pub(crate) fn post(path: impl AsRef<str>, message: &impl Serialize) -> Result<Self, CliError> {
-        let body = serde_json::to_vec(message)
-            .map_err(|e| CliError::Refused(format_compact!("it can't be written as JSON: {e}")))?;
+        let body = serde_json::to_vec(message).map_err(|e| {
+            CliError::Refused(format_compact!("the message can't be serialized as JSON: {e}"))
+        })?;
         Ok(Call::new(Method::POST, path, body))
     }
 
@@ -71,7 +72,11 @@
         Call { method, path: CompactString::new(path), body }
     }
 
-    fn once<A: DeserializeOwned>(&self, addr: SocketAddr, timeout: Duration) -> Result<A, Miss> {
+    fn once<A: DeserializeOwned>(
+        &self,
+        addr: SocketAddr,
+        timeout: Duration,
+    ) -> Result<A, CallError> {
         let url = format!("http://{addr}{}", self.path);
         let json = (CONTENT_TYPE, HeaderValue::from_static("application/json"));
         let headers = (!self.body.is_empty()).then_some(json);
@@ -81,68 +86,72 @@
             Ok(answer) => debug!(url:% = url, status = answer.status.as_u16(); "answer"),
             Err(failure) => debug!(url:% = url, error:% = failure; "no_answer"),
         }
-        read_answer(&answer.map_err(Miss::Failed)?)
+        read_answer(&answer.map_err(CallError::Failed)?)
     }
 }
 
-/// Reads the answer as its type, whatever its status: the types tell the outcomes apart. What isn't
-/// of the type is an error message, or not from one of our daemons.
-fn read_answer<A: DeserializeOwned>(answer: &HttpAnswer) -> Result<A, Miss> {
+/// Parses an answer of any status as `A`, whose variants are the outcomes. An error status with an
+/// [`ApiError`] is a failure.
+fn read_answer<A: DeserializeOwned>(answer: &HttpAnswer) -> Result<A, CallError> {
     let status = answer.status;
     if !status.is_success()
         && let Ok(error) = serde_json::from_slice::<ApiError>(&answer.body)
     {
-        return Err(if is_final(status) { Miss::Refused(error) } else { Miss::Busy(error) });
+        return Err(if is_permanent(status) {
+            CallError::Refused(error)
+        } else {
+            CallError::Busy(error)
+        });
     }
     if let Ok(message) = serde_json::from_slice(&answer.body) {
         return Ok(message);
     }
     if status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS {
         let error = format_compact!("the daemon answers {status}");
-        return Err(Miss::Busy(ApiError { error, retry_after: told(answer) }));
+        return Err(CallError::Busy(ApiError { error, retry_after: retry_after_header(answer) }));
     }
     let body = String::from_utf8_lossy(&answer.body);
-    let start: String = body.chars().filter(|c| !c.is_control()).take(60).collect();
-    Err(Miss::NotOurs(format_compact!("status {status}, {start:?}")))
+    let excerpt: String = body.chars().filter(|c| !c.is_control()).take(60).collect();
+    Err(CallError::Unexpected(format_compact!("status {status}, {excerpt:?}")))
 }
 
-/// Whether asking again can't help.
-fn is_final(status: StatusCode) -> bool {
+/// Whether a retry can't succeed.
+fn is_permanent(status: StatusCode) -> bool {
     status.is_client_error()
         && status != StatusCode::REQUEST_TIMEOUT
         && status != StatusCode::TOO_MANY_REQUESTS
 }
 
-fn told(answer: &HttpAnswer) -> Option<RetryAfter> {
+fn retry_after_header(answer: &HttpAnswer) -> Option<RetryAfter> {
     let secs: u64 = answer.headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()?;
     Some(RetryAfter::from_wait(Duration::from_secs(secs)))
 }
 
-/// Asks the servers in turn, each once: for calls that only read.
-pub(crate) fn ask<A: DeserializeOwned>(
+/// Calls the servers in turn, each once, until one answers. For calls that only read.
+pub(crate) fn query<A: DeserializeOwned>(
     servers: &Servers,
     timeout: Duration,
     call: &Call,
 ) -> Result<A, CliError> {
-    let mut last = String::new();
+    let mut last_error = String::new();
     for addr in servers.iter() {
         match call.once(addr, timeout) {
             Ok(answer) => return Ok(answer),
-            Err(Miss::Refused(error)) => return Err(CliError::Refused(error.error)),
-            Err(miss) => last = format!("{addr}: {miss}"),
+            Err(CallError::Refused(error)) => return Err(CliError::Refused(error.error)),
+            Err(error) => last_error = format!("{addr}: {error}"),
         }
     }
-    Err(CliError::Unavailable { last, change: false })
+    Err(CliError::Unavailable { last_error, change: false })
 }
 
-/// An answer to a change, which may be that it can't be decided now.
-pub(crate) trait Decided {
-    /// When to ask again; `None` if it is decided.
-    fn undecided(&self) -> Option<RetryAfter>;
+/// Answer to a change, which may be unavailable for now.
+pub(crate) trait ChangeAnswer {
+    /// When to retry; `None` if the answer is final.
+    fn retry_after(&self) -> Option<RetryAfter>;
 }
 
-impl Decided for ProposeAnswer {
-    fn undecided(&self) -> Option<RetryAfter> {
+impl ChangeAnswer for ProposeAnswer {
+    fn retry_after(&self) -> Option<RetryAfter> {
         match self {
             ProposeAnswer::Unavailable { retry_after } => Some(*retry_after),
             _ => None,
@@ -150,8 +159,8 @@
     }
 }
 
-impl Decided for SubmitAnswer {
-    fn undecided(&self) -> Option<RetryAfter> {
+impl ChangeAnswer for SubmitAnswer {
+    fn retry_after(&self) -> Option<RetryAfter> {
         match self {
             SubmitAnswer::Unavailable { retry_after } => Some(*retry_after),
             _ => None,
@@ -159,8 +168,8 @@
     }
 }
 
-impl Decided for CancelAnswer {
-    fn undecided(&self) -> Option<RetryAfter> {
+impl ChangeAnswer for CancelAnswer {
+    fn retry_after(&self) -> Option<RetryAfter> {
         match self {
             CancelAnswer::Unavailable { retry_after } => Some(*retry_after),
             _ => None,
@@ -168,12 +177,10 @@
     }
 }
 
-/// Asks for a change until it is decided, turning from server to server.
+/// Requests a change from the servers in turn until the answer is final or `wait` has passed.
 ///
-/// An answer may be lost after the change took effect, and a daemon that got it may die. Asking
-/// again is safe, since every change has a name of its own; not asking again would leave the
-/// operator with a job of which nobody knows whether it runs.
-pub(crate) fn change<A: DeserializeOwned + Decided>(
+/// An answer may be lost after the change took effect. Retries are safe, since changes carry ids.
+pub(crate) fn change<A: DeserializeOwned + ChangeAnswer>(
     servers: &Servers,
     (timeout, wait): (Duration, Duration),
     call: &Call,
@@ -181,19 +188,19 @@
     let mut retry = Retry::new(Instant::now(), wait);
     let mut addrs = servers.iter().cycle();
     loop {
-        let Some(addr) = addrs.next() else { unreachable!("a command names a server") };
-        let (last, told) = match call.once::<A>(addr, timeout) {
-            Ok(answer) => match answer.undecided() {
+        let Some(addr) = addrs.next() else { unreachable!("`Servers` holds at least one address") };
+        let (last_error, retry_after) = match call.once::<A>(addr, timeout) {
+            Ok(answer) => match answer.retry_after() {
                 None => return Ok(answer),
-                Some(told) => (format!("{addr}: it can't be decided now"), Some(told)),
+                Some(delay) => (format!("{addr}: can't be decided now"), Some(delay)),
             },
-            Err(Miss::Refused(error)) => return Err(CliError::Refused(error.error)),
-            Err(Miss::Busy(error)) => (format!("{addr}: {error}"), error.retry_after),
-            Err(miss) => (format!("{addr}: {miss}"), None),
+            Err(CallError::Refused(error)) => return Err(CliError::Refused(error.error)),
+            Err(CallError::Busy(error)) => (format!("{addr}: {error}"), error.retry_after),
+            Err(error) => (format!("{addr}: {error}"), None),
         };
-        match retry.next(Instant::now(), told) {
-            Some(pause) => thread::sleep(pause),
-            None => return Err(CliError::Unavailable { last, change: true }),
+        match retry.next(Instant::now(), retry_after) {
+            Some(delay) => thread::sleep(delay),
+            None => return Err(CliError::Unavailable { last_error, change: true }),
         }
     }
 }
--- a/crates/cli/src/commands/config.rs
+++ b/crates/cli/src/commands/config.rs
@@ -4,7 +4,7 @@
     super::{Cx, read_file},
     crate::{
         args::Servers,
-        calls::{Call, ask, change},
+        calls::{Call, change, query},
         error::CliError,
     },
     compact_str::CompactString,
@@ -30,22 +30,22 @@
 
 pub(super) fn diff(cx: &mut Cx<'_, '_>, path: &Path, servers: &Servers) -> Result<(), CliError> {
     let document = read_document(cx, path)?;
-    let view = view(cx, servers)?;
+    let view = fetch_view(cx, servers)?;
     let lines = diff_documents(&view.document, &document);
     if cx.args.json {
         return cx.print_json(&json!({"version": view.version, "changes": lines}));
     }
-    cx.print(listed(&lines))?;
+    cx.print(render_lines(&lines))?;
     match view.version {
-        Some(version) => {
-            cx.tell(format!("compared with version {version}; apply with --base {version}"))
-        }
-        None => cx.tell("no configuration is in force yet"),
+        Some(version) => cx.report_progress(format!(
+            "compared with version {version}; apply with --base {version}"
+        )),
+        None => cx.report_progress("no configuration is in force yet"),
     }
 }
 
 pub(super) fn show(cx: &mut Cx<'_, '_>, servers: &Servers) -> Result<(), CliError> {
-    let view = view(cx, servers)?;
+    let view = fetch_view(cx, servers)?;
     if cx.args.json {
         return cx.print_json(&view);
     }
@@ -53,12 +53,11 @@
     cx.print(format!("// {version}\n{}", render(&view.document)))
 }
 
-/// Proposes the file's document in place of the one in force.
+/// Proposes the file's document as the new configuration.
 ///
-/// Two operators who change different classes at the same time would each undo the other's change,
-/// since a document is replaced as a whole. So a proposal names the version it was made from, and
-/// of two with the same base only the first in the log is accepted; the other operator sees here
-/// what differs, and brings it in.
+/// The document replaces the whole configuration. A proposal therefore names the version it is based
+/// on, and of concurrent proposals with the same base only the first in the log is accepted; the
+/// others are shown the differences.
 pub(super) fn apply(
     cx: &mut Cx<'_, '_>,
     path: &Path,
@@ -67,7 +66,7 @@
     servers: &Servers,
 ) -> Result<(), CliError> {
     let document = read_document(cx, path)?;
-    let view = view(cx, servers)?;
+    let view = fetch_view(cx, servers)?;
     let lines = diff_documents(&view.document, &document);
     if lines.is_empty()
         && view.version.is_some()
@@ -75,40 +74,42 @@
     {
         return report_applied(cx, view.version, "unchanged", "nothing to change;");
     }
-    cx.tell(listed(&lines).trim_end())?;
+    cx.report_progress(render_lines(&lines).trim_end())?;
     let base = base.or(view.version);
-    let proposal = new_proposal();
+    let proposal = new_proposal_id();
     let propose = ProposeConfig { proposal, base, document, by: by.clone() };
     let call = Call::post(CONFIG, &propose)?;
-    let times = (cx.args.timeout, cx.args.wait);
-    match change(servers, times, &call)? {
+    let timeout_and_wait = (cx.args.timeout, cx.args.wait);
+    match change(servers, timeout_and_wait, &call)? {
         ProposeAnswer::Accepted { version } => {
             report_applied(cx, Some(version), "accepted", "accepted; in force is")
         }
         ProposeAnswer::Lost { version, document } => {
-            lost(cx, version, &document, &propose.document)
+            report_lost_race(cx, version, &document, &propose.document)
+        }
+        ProposeAnswer::Invalid { faults } => Err(CliError::RejectedDocument(faults)),
+        ProposeAnswer::Unavailable { .. } => {
+            unreachable!("`change` retries until the answer is final")
         }
-        ProposeAnswer::Invalid { faults } => Err(CliError::InvalidThere(faults)),
-        ProposeAnswer::Unavailable { .. } => unreachable!("asked again until it is decided"),
     }
 }
 
-fn lost(
+fn report_lost_race(
     cx: &mut Cx<'_, '_>,
     version: Option<Offset>,
     current: &ConfigDocument,
-    ours: &ConfigDocument,
+    proposed: &ConfigDocument,
 ) -> Result<(), CliError> {
-    let lines = diff_documents(current, ours);
+    let lines = diff_documents(current, proposed);
     if lines.is_empty() {
-        // Someone else proposed the same, or an earlier answer to this proposal was lost.
+        // Another operator proposed the same document, or the answer to an earlier try was lost.
         return report_applied(cx, version, "unchanged", "nothing to change;");
     }
     if cx.args.json {
         cx.print_json(&json!({"result": "lost", "version": version, "changes": lines}))?;
     } else {
         cx.print(format!("from what is in force ({}) to yours:\n", version_text(version)))?;
-        cx.print(listed(&lines))?;
+        cx.print(render_lines(&lines))?;
     }
     Err(CliError::LostRace { version })
 }
@@ -125,11 +126,11 @@
     cx.print(format!("{text} {}\n", version_text(version)))
 }
 
-fn view(cx: &Cx<'_, '_>, servers: &Servers) -> Result<ConfigView, CliError> {
-    ask(servers, cx.args.timeout, &Call::get(CONFIG))
+fn fetch_view(cx: &Cx<'_, '_>, servers: &Servers) -> Result<ConfigView, CliError> {
+    query(servers, cx.args.timeout, &Call::get(CONFIG))
 }
 
-/// The file's document. With `--json` its faults are printed as JSON as well.
+/// Reads and parses the file. With `--json`, also prints its faults as JSON.
 fn read_document(cx: &mut Cx<'_, '_>, path: &Path) -> Result<ConfigDocument, CliError> {
     parse_config(&read_file(path)?).or_else(|faults| {
         if cx.args.json {
@@ -151,7 +152,7 @@
     json!({"ok": false, "faults": faults})
 }
 
-fn listed(lines: &[String]) -> String {
+fn render_lines(lines: &[String]) -> String {
     match lines {
         [] => "no difference\n".to_owned(),
         lines => lines.iter().flat_map(|line| [line, "\n"]).collect(),
@@ -165,8 +166,7 @@
     }
 }
 
-/// An id that no other proposal has: the standard library seeds each of its hashers from the
-/// operating system's randomness.
-fn new_proposal() -> ProposalId {
+/// Returns a random id: [`RandomState`] is seeded from the operating system's randomness.
+fn new_proposal_id() -> ProposalId {
     ProposalId(RandomState::new().build_hasher().finish())
 }
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! What became of a workflow, by the logs.
+//! `explain`: reconstructs the history of a workflow from logs.
 
 use {
     super::Cx,
@@ -19,11 +19,11 @@
 ) -> Result<(), CliError> {
     let mut builder = ExplanationBuilder::new(workflow);
     if files.is_empty() {
-        read(&mut builder, Path::new("standard input"), io::stdin().lock())?;
+        add_lines(&mut builder, Path::new("standard input"), io::stdin().lock())?;
     }
     for path in files {
-        let file = File::open(path).map_err(|error| unreadable(path, error))?;
-        read(&mut builder, path, BufReader::new(file))?;
+        let file = File::open(path).map_err(|error| read_error(path, error))?;
+        add_lines(&mut builder, path, BufReader::new(file))?;
     }
     let explanation = builder.finish();
     if cx.args.json {
@@ -45,25 +45,25 @@
         }
     }
     if explanation.findings.contains(&Finding::NotSeen) {
-        return Err(CliError::NoLines(workflow.clone()));
+        return Err(CliError::NoLogLines(workflow.clone()));
     }
     Ok(())
 }
 
-fn unreadable(path: &Path, error: io::Error) -> CliError {
+fn read_error(path: &Path, error: io::Error) -> CliError {
     CliError::ReadFile { path: path.to_path_buf(), error }
 }
 
-/// Takes in all lines. Logs may hold bytes that aren't text; such lines are read as far as they are.
-fn read(
+/// Adds all lines of a log. Invalid UTF-8 is replaced.
+fn add_lines(
     builder: &mut ExplanationBuilder,
     path: &Path,
-    mut from: impl BufRead,
+    mut reader: impl BufRead,
 ) -> Result<(), CliError> {
     let mut buf = Vec::new();
     loop {
         buf.clear();
-        if from.read_until(b'\n', &mut buf).map_err(|error| unreadable(path, error))? == 0 {
+        if reader.read_until(b'\n', &mut buf).map_err(|error| read_error(path, error))? == 0 {
             return Ok(());
         }
         builder.add_line(String::from_utf8_lossy(&buf).trim_end());
--- a/crates/cli/src/commands/job.rs
+++ b/crates/cli/src/commands/job.rs
@@ -4,7 +4,7 @@
     super::{Cx, read_file},
     crate::{
         args::{JobSource, Servers},
-        calls::{Call, ask, change},
+        calls::{Call, change, query},
         error::CliError,
     },
     compact_str::{CompactString, format_compact},
@@ -24,8 +24,8 @@
         JobSource::Flags(submit) => submit.clone(),
     };
     let call = Call::post(JOBS, &submit)?;
-    let times = (cx.args.timeout, cx.args.wait);
-    let answer: SubmitAnswer = change(servers, times, &call)?;
+    let timeout_and_wait = (cx.args.timeout, cx.args.wait);
+    let answer: SubmitAnswer = change(servers, timeout_and_wait, &call)?;
     if cx.args.json {
         cx.print_json(&answer)?;
     }
@@ -43,7 +43,9 @@
             "no VM could ever hold one of its tasks; ask for less, or split the task",
         ))),
         SubmitAnswer::Invalid { message } => Err(CliError::Refused(message)),
-        SubmitAnswer::Unavailable { .. } => unreachable!("asked again until it is decided"),
+        SubmitAnswer::Unavailable { .. } => {
+            unreachable!("`change` retries until the answer is final")
+        }
     }
 }
 
@@ -60,7 +62,7 @@
 }
 
 pub(super) fn status(cx: &mut Cx<'_, '_>, job: &JobId, servers: &Servers) -> Result<(), CliError> {
-    let answer: JobAnswer = ask(servers, cx.args.timeout, &Call::get(job_path(job)))?;
+    let answer: JobAnswer = query(servers, cx.args.timeout, &Call::get(job_path(job)))?;
     if cx.args.json {
         cx.print_json(&answer)?;
     }
@@ -72,22 +74,24 @@
         }
         JobAnswer::NotFound => Err(CliError::NoSuchJob(job.clone())),
         JobAnswer::Unavailable { retry_after } => {
-            let last = format!("the job's owner can't be reached; come back in {retry_after} s");
-            Err(CliError::Unavailable { last, change: false })
+            let last_error = format!("the job's owner can't be reached; retry in {retry_after} s");
+            Err(CliError::Unavailable { last_error, change: false })
         }
     }
 }
 
 pub(super) fn cancel(cx: &mut Cx<'_, '_>, job: &JobId, servers: &Servers) -> Result<(), CliError> {
     let call = Call::delete(job_path(job));
-    let times = (cx.args.timeout, cx.args.wait);
-    let answer: CancelAnswer = change(servers, times, &call)?;
+    let timeout_and_wait = (cx.args.timeout, cx.args.wait);
+    let answer: CancelAnswer = change(servers, timeout_and_wait, &call)?;
     if cx.args.json {
         cx.print_json(&answer)?;
     }
     match answer {
         CancelAnswer::NotFound => Err(CliError::NoSuchJob(job.clone())),
-        CancelAnswer::Unavailable { .. } => unreachable!("asked again until it is decided"),
+        CancelAnswer::Unavailable { .. } => {
+            unreachable!("`change` retries until the answer is final")
+        }
         _ if cx.args.json => Ok(()),
         CancelAnswer::Cancelled => {
             cx.print(format!("job {job} cancelled; what runs is being stopped\n"))
--- a/crates/cli/src/commands/look.rs
+++ b/crates/cli/src/commands/look.rs
@@ -4,7 +4,7 @@
     super::Cx,
     crate::{
         args::Servers,
-        calls::{Call, ask},
+        calls::{Call, query},
         error::CliError,
     },
     egretlb_api::{NodeStatus, STATE, STATUS, Status},
@@ -15,7 +15,7 @@
 };
 
 pub(super) fn status(cx: &mut Cx<'_, '_>, servers: &Servers) -> Result<(), CliError> {
-    let status: Status = ask(servers, cx.args.timeout, &Call::get(STATUS))?;
+    let status: Status = query(servers, cx.args.timeout, &Call::get(STATUS))?;
     if cx.args.json {
         return cx.print_json(&status);
     }
@@ -36,11 +36,11 @@
 }
 
 fn row(node: &NodeStatus, accepted: Option<Offset>) -> String {
-    let is_behind = node.config_version.is_some() && node.config_version != accepted;
-    let behind = if is_behind { "  behind" } else { "" };
-    let heard = node.heard_ms_ago.map_or("log only".to_owned(), |ms| format!("{ms} ms"));
+    let is_lagging = node.config_version.is_some() && node.config_version != accepted;
+    let mark = if is_lagging { "  behind" } else { "" };
+    let last_contact = node.heard_ms_ago.map_or("log only".to_owned(), |ms| format!("{ms} ms"));
     format!(
-        "{:<20} {:<10} {:<12} {:>6} {:>8} {heard:>10}  {}{behind}\n",
+        "{:<20} {:<10} {:<12} {:>6} {:>8} {last_contact:>10}  {}{mark}\n",
         node.name,
         node.role.to_string(),
         node.data_centre.as_str(),
@@ -56,7 +56,7 @@
 
 pub(super) fn dump(cx: &mut Cx<'_, '_>, addr: SocketAddr) -> Result<(), CliError> {
     let servers = Servers::one(addr);
-    let dump: Value = ask(&servers, cx.args.timeout, &Call::get(STATE))?;
+    let dump: Value = query(&servers, cx.args.timeout, &Call::get(STATE))?;
     if cx.args.json {
         return cx.print_json(&dump);
     }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Implementations of the commands.
 
 mod config;
 mod explain;
@@ -19,7 +19,7 @@
 
 pub(crate) fn run(args: &Args, streams: &mut Streams<'_>) -> Result<(), CliError> {
     if args.verbose > 0 {
-        // A caller of the library may have set its own logger; its choice stands.
+        // Fails if a user of the library has set a logger, which is then kept.
         let options = LogOptions::new("egretlb");
         let _ = egretlb_telemetry::init(options.verbosity(args.verbose, 0));
     }
@@ -40,14 +40,14 @@
     }
 }
 
-/// What every command needs.
+/// Arguments and output streams of a command.
 struct Cx<'a, 's> {
     args: &'a Args,
     streams: &'a mut Streams<'s>,
 }
 
 impl Cx<'_, '_> {
-    /// Prints what was asked for.
+    /// Prints a result to standard output.
     fn print(&mut self, text: impl AsRef<str>) -> Result<(), CliError> {
         Ok(self.streams.out.write_all(text.as_ref().as_bytes())?)
     }
@@ -58,8 +58,8 @@
         self.print("\n")
     }
 
-    /// Says what goes on, to whoever watches.
-    fn tell(&mut self, text: impl AsRef<str>) -> Result<(), CliError> {
+    /// Prints a progress message to standard error unless `--quiet`.
+    fn report_progress(&mut self, text: impl AsRef<str>) -> Result<(), CliError> {
         if self.args.quiet == 0 {
             writeln!(self.streams.err, "{}", text.as_ref())?;
         }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, and the exit code of each.
+//! Errors of the command and their exit codes.
 
 use {
     compact_str::CompactString,
@@ -7,24 +7,24 @@
     std::{fmt, io, path::PathBuf, process::ExitCode},
 };
 
-/// The command's exit codes. Scripts rely on them: none changes its meaning.
+/// Exit codes. Scripts rely on their meanings, which must not change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// What was asked for is done.
+    /// Success.
     Done = 0,
-    /// Something else went wrong, such as a file that can't be read.
+    /// Another error, such as an unreadable file.
     Failed = 1,
-    /// The command line is wrong; nothing was tried.
+    /// The command line is invalid; no call was made.
     Usage = 2,
-    /// The file, or the document made of it, has faults; nothing was changed.
+    /// The file or its document has faults; nothing was changed.
     Faults = 3,
     /// Another configuration was accepted first; nothing was changed.
     LostRace = 4,
     /// There is no such job.
     NotFound = 5,
-    /// No answer in time. A change may or may not have been made; the same command again is safe.
+    /// No answer in time. A change may or may not have been made; repeating the command is safe.
     Unavailable = 6,
-    /// The request was understood and refused; nothing was changed.
+    /// The daemon refused the request; nothing was changed.
     Refused = 7,
 }
 
@@ -34,16 +34,16 @@
     }
 }
 
-/// Why a command didn't do what it was asked for.
+/// Why a command failed.
 #[derive(Debug)]
 pub enum CliError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage(CompactString),
     /// A file can't be read.
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         error: io::Error,
     },
     /// A file has faults.
@@ -53,8 +53,8 @@
         /// The faults.
         faults: Faults,
     },
-    /// The daemon found faults that the command's own check didn't, as it is of another version.
-    InvalidThere(Vec<String>),
+    /// The daemon found faults that the local check didn't, since its version differs.
+    RejectedDocument(Vec<String>),
     /// Another configuration was accepted first.
     LostRace {
         /// The version now in force.
@@ -62,32 +62,32 @@
     },
     /// There is no such job.
     NoSuchJob(JobId),
-    /// No line of the logs names the workflow.
-    NoLines(CompactString),
-    /// No daemon gave a whole answer in time.
+    /// No log line names the workflow.
+    NoLogLines(CompactString),
+    /// No daemon gave a complete answer in time.
     Unavailable {
-        /// What the last try of each kind met with.
-        last: String,
-        /// Whether a change was asked for, which may have been made.
+        /// Error of the last call.
+        last_error: String,
+        /// Whether a change was requested, which may have been made.
         change: bool,
     },
-    /// The daemon refused.
+    /// The daemon refused the request.
     Refused(CompactString),
-    /// The reader of the output has gone.
+    /// The reader closed the output.
     OutputClosed,
-    /// The output can't be written.
+    /// Writing the output failed.
     Output(io::Error),
 }
 
 impl CliError {
-    /// The exit code.
+    /// Returns the exit code.
     pub fn exit(&self) -> Exit {
         match self {
             CliError::Usage(_) => Exit::Usage,
             CliError::ReadFile { .. } | CliError::Output(_) => Exit::Failed,
-            CliError::Faults { .. } | CliError::InvalidThere(_) => Exit::Faults,
+            CliError::Faults { .. } | CliError::RejectedDocument(_) => Exit::Faults,
             CliError::LostRace { .. } => Exit::LostRace,
-            CliError::NoSuchJob(_) | CliError::NoLines(_) => Exit::NotFound,
+            CliError::NoSuchJob(_) | CliError::NoLogLines(_) => Exit::NotFound,
             CliError::Unavailable { .. } => Exit::Unavailable,
             CliError::Refused(_) => Exit::Refused,
             CliError::OutputClosed => Exit::Done,
@@ -109,10 +109,10 @@
                 let listing = faults.to_string();
                 listing.lines().try_for_each(|line| write!(f, "\n{}:{line}", path.display()))
             }
-            CliError::InvalidThere(faults) => {
+            CliError::RejectedDocument(faults) => {
                 write!(
                     f,
-                    "the daemon finds faults in the document, and changed nothing; mend them, or \
+                    "the daemon found faults in the document and changed nothing; fix them, or \
                      use an egretlb of the daemon's version"
                 )?;
                 faults.iter().try_for_each(|fault| write!(f, "\n{fault}"))
@@ -133,20 +133,20 @@
                 "there is no job {job}; check its name, or it ended so long ago that it is \
                  forgotten"
             ),
-            CliError::NoLines(workflow) => write!(
+            CliError::NoLogLines(workflow) => write!(
                 f,
                 "no line names workflow {workflow}; check the id, and give the logs of all VMs"
             ),
-            CliError::Unavailable { last, change: true } => write!(
+            CliError::Unavailable { last_error, change: true } => write!(
                 f,
-                "no answer in time ({last}); it may or may not have been done: give the same \
+                "no answer in time ({last_error}); it may or may not have been done: give the same \
                  command again, which does it once"
             ),
-            CliError::Unavailable { last, change: false } => {
-                write!(f, "no answer in time ({last}); check --server and try again")
+            CliError::Unavailable { last_error, change: false } => {
+                write!(f, "no answer in time ({last_error}); check --server and try again")
             }
             CliError::Refused(message) => write!(f, "refused: {message}"),
-            CliError::OutputClosed => write!(f, "the output's reader has gone"),
+            CliError::OutputClosed => write!(f, "the reader closed the output"),
             CliError::Output(e) => write!(f, "the output can't be written: {e}"),
         }
     }
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -1,6 +1,6 @@
-//! The help texts.
+//! Help texts.
 
-/// What `-h` prints.
+/// Text of `-h`.
 pub(crate) const SHORT: &str = "\
 egretlb: configuration, jobs and state of an egretlb system
 
@@ -11,16 +11,16 @@
   config apply FILE     put FILE in force everywhere
   config show           print the configuration in force
   job submit FILE       submit a job
-  job status ID         show how far a job is
+  job status ID         show the state of a job
   job cancel ID         cancel a job
   status                list the nodes and what they have in force
-  dump ADDR             show what one process knows
-  explain ID [FILE...]  tell from logs what became of a workflow
+  dump ADDR             show the state of one process
+  explain ID [FILE...]  show the history of a workflow from logs
 
 --help says more, with all options and exit codes.
 ";
 
-/// What `--help` prints.
+/// Text of `--help`.
 pub(crate) const LONG: &str = "\
 egretlb: configuration, jobs and state of an egretlb system
 
@@ -30,9 +30,9 @@
 targets for each class and replaces what is in force as a whole.
 
   config check FILE     Find all faults of FILE, each with line, column and
-                        remedy. Asks no daemon.
-  config diff FILE      Show in a line each what FILE would change, and the
-                        version to name as --base.
+                        fix. Calls no daemon.
+  config diff FILE      Show what FILE would change, one line per change, and
+                        the version to give as --base.
   config apply FILE     Put FILE in force everywhere. A file with faults is
                         never sent. If another configuration was accepted
                         since the base version, nothing is changed and the
@@ -49,30 +49,29 @@
     --cpu 1500m --memory 2000MB --accelerators N
                         The last three together replace what the class
                         declares for a task.
-  job status ID         Show how far a job is.
+  job status ID         Show the state of a job.
   job cancel ID         Cancel a job; its running tasks are stopped.
 
 State.
 
   status                List the nodes with their shards and the version in
                         force at each.
-  dump ADDR             Show what the process at ADDR (ip:port, its operators'
-                        address) knows. No request bodies.
-  explain ID [FILE...]  Tell what became of the workflow ID, or of one task
-                        (ID.OCCURRENCE.STEP.INDEX), by the log lines of all VMs
-                        in FILE... or on standard input: what happened in order
-                        (~ marks its surroundings), then what follows. Asks no
-                        daemon.
+  dump ADDR             Show the state of the process at ADDR (its operators'
+                        address, ip:port), without request bodies.
+  explain ID [FILE...]  Show the history of the workflow ID, or of one task
+                        (ID.OCCURRENCE.STEP.INDEX), from the log lines of all
+                        VMs in FILE... or on standard input: events in order
+                        (~ marks related ones), then findings. Calls no daemon.
 
 Options.
 
   --server ADDR[,ADDR]  Operators' addresses of entries or schedulers, tried
                         in turn (default: $EGRETLB_SERVER). Any will do.
-  --timeout TIME        How long one call may be silent (default 5s).
-  --wait TIME           How long a change is asked for again while no answer
-                        comes (default 30s).
+  --timeout TIME        Timeout of a call (default 5s).
+  --wait TIME           How long a change is retried without an answer (default
+                        30s).
   --json                Print JSON, for scripts.
-  -q, --quiet           Print nothing but what was asked for, and errors.
+  -q, --quiet           Print only results and errors.
   -v, --verbose         Log each call to standard error; twice logs more.
   -h, --help            Short and long help.
   --version             Print the version.
@@ -80,15 +79,15 @@
 Exit codes.
 
   0  done
-  1  something else went wrong, such as a file that can't be read
-  2  the command line is wrong; nothing was tried
+  1  another error, such as a file that can't be read
+  2  the command line is invalid; no call was made
   3  the file has faults; nothing was changed
   4  another configuration was accepted first; nothing was changed
   5  there is no such job, or no line names the workflow
-  6  no answer in time; a change may have been made, and the same command
-     again is safe
+  6  no answer in time; a change may have been made, and repeating the
+     command is safe
   7  refused; nothing was changed
 ";
 
-/// What `--version` prints.
+/// Text of `--version`.
 pub(crate) const VERSION: &str = concat!("egretlb ", env!("CARGO_PKG_VERSION"), "\n");
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,10 +1,7 @@
-//! The operator's command, as a library: arguments in, text and an exit code out.
+//! The operator's command `egretlb` as a library, which takes arguments and returns an exit code.
 //!
-//! It can be driven without a process of its own, which the quick start does; the program
-//! `egretlb` only passes on its arguments, environment and streams.
-//!
-//! Every change it asks for may be asked for twice: a proposal carries an id and a job its name. So
-//! when an answer is lost the command asks again instead of leaving the operator to guess.
+//! Changes are idempotent, since proposals and jobs have ids. They are retried when no answer
+//! arrives.
 
 mod args;
 mod calls;
@@ -23,15 +20,15 @@
     std::{ffi::OsString, io::Write},
 };
 
-/// Where the command writes.
+/// Output streams of the command.
 pub struct Streams<'a> {
-    /// What was asked for.
+    /// Results.
     pub out: &'a mut dyn Write,
-    /// Everything else: progress, errors.
+    /// Progress messages and errors.
     pub err: &'a mut dyn Write,
 }
 
-/// Runs the command of these arguments, without the program's name.
+/// Runs a command. `args` doesn't include the program's name.
 pub fn run(args: Vec<OsString>, env: &Env, streams: &mut Streams<'_>) -> Exit {
     let result = parse(args, env).and_then(|action| match action {
         Action::Print(text) => Ok(write!(streams.out, "{text}")?),
@@ -39,11 +36,11 @@
     });
     match result {
         Ok(()) => Exit::Done,
-        // Whoever reads the output has seen enough of it, as `head` does.
+        // The reader closed the pipe, as `head` does.
         Err(CliError::OutputClosed) => Exit::Done,
         Err(e) => {
             let exit = e.exit();
-            // Nobody is left to be told if this fails.
+            // A failure to print the error can't be reported.
             let _ = writeln!(streams.err, "egretlb: {e}");
             exit
         }
--- a/crates/cli/tests/bad_input.rs
+++ b/crates/cli/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Wrong command lines, wrong files and servers that answer wrongly.
+//! Invalid command lines and files, and servers with unexpected answers.
 
 mod helper;
 
@@ -11,15 +11,15 @@
 };
 
 #[track_caller]
-fn fails(ended: Ended, code: i32, says: &str) {
+fn assert_fails(ended: Ended, code: i32, message: &str) {
     assert_eq!(ended.code, code, "{}", ended.err);
-    assert!(ended.err.contains(says), "{:?} should say {says:?}", ended.err);
+    assert!(ended.err.contains(message), "{:?} should say {message:?}", ended.err);
     assert!(ended.err.starts_with("egretlb: "), "{:?}", ended.err);
 }
 
 #[test]
 fn usage() {
-    for (line, says) in [
+    for (line, message) in [
         ("", "no command is given"),
         ("confg check x", "there is no command \"confg check x\""),
         ("config", "config needs a further word"),
@@ -41,25 +41,28 @@
     ] {
         let ended = egretlb(line.split_whitespace());
         assert!(ended.out.is_empty());
-        fails(ended, 2, says);
+        assert_fails(ended, 2, message);
     }
 }
 
 #[test]
 fn missing_file() {
-    fails(egretlb(["config", "check", "no-such.jsonc"]), 1, "no-such.jsonc: No such file");
-    fails(egretlb(["config", "check", &file("binary", [0xff, 0xfe])]), 1, "readable text file");
+    assert_fails(egretlb(["config", "check", "no-such.jsonc"]), 1, "no-such.jsonc: No such file");
+    assert_fails(
+        egretlb(["config", "check", &file("binary", [0xff, 0xfe])]),
+        1,
+        "readable text file",
+    );
 }
 
 #[test]
 fn faulty_file_stays_here() {
-    // The wrong file is applied, or one with a slip. It must never reach the log: not even the
-    // server is asked.
+    // A file with faults must be rejected without a call to the server.
     let daemon = FakeDaemon::start(|_, _| (500, String::new()));
     let path = file("faulty.jsonc", "{\n  \"teams\": [],\n  \"clases\": []\n}");
     let ended = egretlb(["--server", &daemon.addr(), "config", "apply", &path]);
     assert!(ended.err.contains(&format!("{path}:3:3: unknown field \"clases\"; did you mean")));
-    fails(ended, 3, "2 faults; nothing was changed");
+    assert_fails(ended, 3, "2 faults; nothing was changed");
     assert!(daemon.calls().is_empty());
 
     let json: Value =
@@ -67,9 +70,9 @@
     assert_eq!(json["faults"][1]["line"], 3);
 
     let settings = egretlb(["config", "check", &example("settings-entry.jsonc")]);
-    fails(settings, 3, "unknown field \"data_centre\"");
+    assert_fails(settings, 3, "unknown field \"data_centre\"");
     let job = file("job.jsonc", "{\"job\": \"a b\", \"class\": \"c\", \"tasks\": 0}");
-    fails(egretlb(["--server", "127.0.0.1:1", "job", "submit", &job]), 3, "3 faults");
+    assert_fails(egretlb(["--server", "127.0.0.1:1", "job", "submit", &job]), 3, "3 faults");
 }
 
 #[test]
@@ -84,25 +87,24 @@
     });
     let path = example("classes-bogota.jsonc");
     let ended = egretlb(["-q", "--server", &daemon.addr(), "config", "apply", &path]);
-    fails(ended, 3, "classes[0].within: too short");
+    assert_fails(ended, 3, "classes[0].within: too short");
 }
 
 #[test]
 fn unreachable() {
     let ended = egretlb(["--server", "127.0.0.1:1", "status"]);
-    fails(ended, 6, "127.0.0.1:1: not sent");
+    assert_fails(ended, 6, "127.0.0.1:1: not sent");
 }
 
 #[test]
 fn change_without_answer() {
-    // The log is out of reach for long. The operator must learn that the job may or may not be
-    // submitted, and that the same command again does no harm.
+    // The error must say that the job may have been submitted, and that a retry is safe.
     let retry_after = RetryAfter::from_wait(Duration::from_secs(1));
     let answer = serde_json::to_string(&SubmitAnswer::Unavailable { retry_after }).unwrap();
     let daemon = FakeDaemon::start(move |_, _| (503, answer.clone()));
     let path = example("job-reconciliation.jsonc");
     let ended = egretlb(["--server", &daemon.addr(), "--wait", "150ms", "job", "submit", &path]);
-    fails(ended, 6, "it may or may not have been done: give the same command again");
+    assert_fails(ended, 6, "it may or may not have been done: give the same command again");
     let calls = daemon.calls();
     let same = |call: &helper::Called| call.path == "/jobs" && call.body == calls[0].body;
     assert!(!calls.is_empty() && calls.iter().all(same), "{calls:?}");
@@ -110,7 +112,7 @@
 
 #[test]
 fn refusals() {
-    for (answer, says) in [
+    for (answer, message) in [
         (SubmitAnswer::Conflict, "there is a job reconciliation-2026-01-31 with other contents"),
         (SubmitAnswer::UnknownClass, "title-reconciliation is no batch class"),
         (SubmitAnswer::NeverFits, "no VM could ever hold one of its tasks"),
@@ -120,28 +122,27 @@
         let body = serde_json::to_string(&answer).unwrap();
         let daemon = FakeDaemon::start(move |_, _| (status, body.clone()));
         let path = example("job-reconciliation.jsonc");
-        fails(egretlb(["--server", &daemon.addr(), "job", "submit", &path]), 7, says);
+        assert_fails(egretlb(["--server", &daemon.addr(), "job", "submit", &path]), 7, message);
     }
     let error = ApiError { error: "the body isn't JSON".into(), retry_after: None };
     let body = serde_json::to_string(&error).unwrap();
     let daemon = FakeDaemon::start(move |_, _| (400, body.clone()));
-    fails(egretlb(["dump", &daemon.addr()]), 7, "the body isn't JSON");
+    assert_fails(egretlb(["dump", &daemon.addr()]), 7, "the body isn't JSON");
 }
 
 #[test]
 fn not_our_server() {
-    // The address of something else that speaks HTTP: the operator must not be shown its page as
-    // an empty status.
+    // The answer of another HTTP server must not be shown as an empty status.
     for (status, body) in [(200, "<html>\x1b[2J hello"), (404, ""), (200, "{\"a\": 1}")] {
         let daemon = FakeDaemon::start(move |_, _| (status, body.to_owned()));
         let ended = egretlb(["--server", &daemon.addr(), "status"]);
         assert!(!ended.err.contains('\x1b'));
-        fails(ended, 6, "is this the operators' address of an egretlb daemon?");
+        assert_fails(ended, 6, "is this the operators' address of an egretlb daemon?");
     }
 }
 
 #[test]
 fn truncated_answer() {
     let daemon = FakeDaemon::start(|_, _| (0, String::new()));
-    fails(egretlb(["dump", &daemon.addr()]), 6, "isn't whole");
+    assert_fails(egretlb(["dump", &daemon.addr()]), 6, "isn't whole");
 }
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, against a server in a daemon's place.
+//! The commands, against a fake daemon.
 
 mod helper;
 
@@ -29,12 +29,13 @@
     parse_config(BOGOTA).unwrap()
 }
 
-/// The Bogotá example with another target, as a file.
+/// Writes the Bogotá example with a changed latency target to a file.
 fn changed_file(name: &str) -> String {
     file(name, BOGOTA.replace("\"within\": \"400ms\"", "\"within\": \"350ms\""))
 }
 
-/// A daemon with the Bogotá example in force as version 12, and `answers` to proposals in turn.
+/// Starts a daemon with the Bogotá example in force as version 12, which gives `answers` to proposals
+/// in turn.
 fn daemon_with_answers(answers: Vec<(u16, String)>) -> FakeDaemon {
     let view = ConfigView { version: Some(Offset(12)), document: bogota() };
     FakeDaemon::start(move |called, number| match called.method.as_str() {
@@ -85,7 +86,7 @@
     let proposed = &daemon.calls()[1].body;
     assert_eq!((&proposed["base"], &proposed["by"]), (&json!(12), &json!("ana")));
 
-    // What is in force already isn't proposed again.
+    // An unchanged configuration isn't proposed.
     let ended =
         egretlb(["--server", &daemon.addr(), "config", "apply", &example("classes-bogota.jsonc")]);
     assert_eq!((ended.code, ended.out.as_str()), (0, "nothing to change; version 12\n"));
@@ -94,9 +95,7 @@
 
 #[test]
 fn apply_after_lost_answer() {
-    // The daemon puts the proposal into the log and dies before it answers; the next one is busy.
-    // Were the proposal given a new id each time, the second would lose against the first, and the
-    // operator would be told that somebody else was faster.
+    // Retries must keep the proposal's id; with a new id the retry would lose to the first try.
     let retry_after = RetryAfter::from_wait(Duration::from_secs(1));
     let daemon = daemon_with_answers(vec![
         (0, String::new()),
@@ -114,8 +113,7 @@
 
 #[test]
 fn apply_loses_race() {
-    // Two operators change different classes at the same time. The second must be told, and be
-    // shown what the first changed, since a document replaces the other as a whole.
+    // The operator whose proposal loses must see the differences to the configuration in force.
     let mut theirs = bogota();
     theirs.classes.retain(|class| class.name.as_str() != "gazette-watch");
     let lost = ProposeAnswer::Lost { version: Some(Offset(14)), document: Box::new(theirs) };
@@ -199,7 +197,7 @@
         nodes: vec![node("scheduler-1", 12), node("scheduler-2", 9)],
     };
     let daemon = FakeDaemon::start(move |_, _| ok(&status));
-    // The first server is down; any other will do.
+    // The first server is down; the next one is called.
     let servers = format!("127.0.0.1:1,{}", daemon.addr());
     let ended = egretlb(["status", "--server", &servers]);
     assert_eq!(ended.code, 0, "{}", ended.err);
--- a/crates/cli/tests/explain_command.rs
+++ b/crates/cli/tests/explain_command.rs
@@ -1,4 +1,4 @@
-//! `egretlb explain`, as an on-call engineer uses it.
+//! `egretlb explain`.
 
 mod helper;
 
@@ -60,7 +60,7 @@
     assert_eq!(egretlb(["explain"]).code, 2);
 }
 
-/// A camera is dark; its operator gives the task's id.
+/// The id of a task selects the events of this task only.
 #[test]
 fn one_task() {
     const TASK: &str = "97aa5350f2a720be.0.0.3";
--- a/crates/cli/tests/helper/mod.rs
+++ b/crates/cli/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! Drives the program `egretlb`, and answers it in a daemon's place.
+//! Runs the program `egretlb` against a fake daemon.
 
 #![allow(dead_code)]
 
@@ -15,14 +15,14 @@
     },
 };
 
-/// How a run of the program ended.
+/// Exit code and output of a run of the program.
 pub struct Ended {
     pub code: i32,
     pub out: String,
     pub err: String,
 }
 
-/// Runs the program with these arguments and nothing in its environment.
+/// Runs the program with these arguments and an empty environment.
 pub fn egretlb<S: AsRef<str>>(args: impl IntoIterator<Item = S>) -> Ended {
     let args: Vec<String> = args.into_iter().map(|arg| arg.as_ref().to_owned()).collect();
     let output = Command::new(env!("CARGO_BIN_EXE_egretlb"))
@@ -37,20 +37,20 @@
     }
 }
 
-/// A committed example's path.
+/// Returns the path of a file in `examples`.
 pub fn example(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(name);
     path.to_str().expect("the path is text").to_owned()
 }
 
-/// Writes a file for one test.
+/// Writes a temporary file and returns its path.
 pub fn file(name: &str, text: impl AsRef<[u8]>) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("the target folder takes a file");
     path.to_str().expect("the path is text").to_owned()
 }
 
-/// A call that the program made.
+/// A call received from the program.
 #[derive(Clone, Debug)]
 pub struct Called {
     pub method: String,
@@ -58,18 +58,18 @@
     pub body: Value,
 }
 
-/// A server in a daemon's place, with a record of its calls.
+/// HTTP server that records calls and gives prepared answers.
 pub struct FakeDaemon {
     server: HttpServer,
     calls: Arc<Mutex<Vec<Called>>>,
 }
 
 impl FakeDaemon {
-    /// Answers each call by `answer`: a status and a body. Status 0 breaks the answer off, as a
-    /// daemon does that dies after it did what it was asked for.
+    /// Starts a server whose answers are the status and body from `answer`, given the call and its
+    /// number. Status 0 truncates the answer, as if the daemon crashed after processing the call.
     pub fn start(answer: impl Fn(&Called, usize) -> (u16, String) + Send + Sync + 'static) -> Self {
         let calls = Arc::new(Mutex::new(Vec::new()));
-        let seen = Arc::clone(&calls);
+        let recorded = Arc::clone(&calls);
         let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let server = HttpServer::start(ip, 0, Duration::from_secs(5), 16, move |req| {
             let body = read_body(req, 10_000_000).expect("the program sends whole bodies");
@@ -79,12 +79,12 @@
                 body: serde_json::from_slice(&body).unwrap_or(Value::Null),
             };
             let number = {
-                let mut seen = seen.lock().expect("no test panics in here");
-                seen.push(called.clone());
-                seen.len() - 1
+                let mut recorded = recorded.lock().expect("no test panics in here");
+                recorded.push(called.clone());
+                recorded.len() - 1
             };
             match answer(&called, number) {
-                (0, _) => broken_off(),
+                (0, _) => truncated_answer(),
                 (status, text) => {
                     Response::builder().status(status).body(Body::from(text)).expect("a status")
                 }
@@ -102,13 +102,13 @@
     }
 }
 
-/// An answer whose connection closes within the body.
-fn broken_off() -> Response<Body> {
-    struct Breaks;
-    impl std::io::Read for Breaks {
+/// Returns an answer whose connection closes within the body.
+fn truncated_answer() -> Response<Body> {
+    struct FailingReader;
+    impl std::io::Read for FailingReader {
         fn read(&mut self, _: &mut [u8]) -> std::io::Result<usize> {
             Err(std::io::Error::other("the daemon dies here"))
         }
     }
-    Response::new(Body::from_read(Breaks))
+    Response::new(Body::from_read(FailingReader))
 }
