--- a/crates/cli/src/args/lowered.rs
+++ b/crates/cli/src/args/lowered.rs
@@ -27,7 +27,7 @@
     pub(crate) json: bool,
     pub(crate) quiet: usize,
     pub(crate) verbose: usize,
-    /// Timeout of a call.
+    /// Timeout of the connect and of each read and write of a call.
     pub(crate) timeout: Duration,
     /// How long a change is retried.
     pub(crate) wait: Duration,
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -67,7 +67,8 @@
 
   --server ADDR[,ADDR]  Operators' addresses of entries or schedulers, tried
                         in turn (default: $EGRETLB_SERVER). Any will do.
-  --timeout TIME        Timeout of a call (default 5s).
+  --timeout TIME        Timeout to connect, and of each read and write of a call
+                        (default 5s).
   --wait TIME           How long a change is retried without an answer (default
                         30s).
   --json                Print JSON, for scripts.
--- a/crates/telemetry/src/metrics/scheduler.rs
+++ b/crates/telemetry/src/metrics/scheduler.rs
@@ -149,7 +149,7 @@
         set_seconds(&self.authority_age, authority_age);
     }
 
-    /// Sets the size of unacknowledged journal entries and the number of consecutive append failures.
+    /// Sets the size of unacknowledged journal entries and the number of consecutive failures.
     pub fn set_journal(&self, held_bytes: usize, failures: u32) {
         self.journal_held.set(held_bytes as i64);
         self.journal_failures.set(i64::from(failures));
