--- a/crates/workflow/src/colocation/demand.rs
+++ b/crates/workflow/src/colocation/demand.rs
@@ -2,8 +2,8 @@
 
 use {super::model::ImageNo, smallvec::SmallVec, std::time::Duration};
 
-/// Averaging time. Best-effort tasks run for seconds, but the latency-critical tasks placed by it
-/// run for minutes.
+/// Time constant of the moving average. Longer than single best-effort tasks run, since the average
+/// decides where latency-critical tasks run for minutes.
 const DEMAND_SPAN: Duration = Duration::from_secs(5);
 
 /// Moving average of the CPU demand of running and waiting best-effort tasks, in cores per image.
@@ -13,14 +13,14 @@
 }
 
 impl Demand {
-    /// Updates the averages with the current demand.
+    /// Updates the averages with the current demand. A new image starts at its current demand.
     pub fn update(&mut self, elapsed: Duration, current: impl IntoIterator<Item = (ImageNo, f32)>) {
         let alpha = 1.0 - (-elapsed.as_secs_f32() / DEMAND_SPAN.as_secs_f32()).exp();
         for (_, mean) in &mut self.by_image {
             *mean *= 1.0 - alpha;
         }
         for (image, cores) in current {
-            match self.by_image.iter_mut().find(|(known, _)| *known == image) {
+            match self.by_image.iter_mut().find(|(other, _)| *other == image) {
                 Some((_, mean)) => *mean += alpha * cores,
                 None => self.by_image.push((image, cores)),
             }
--- a/crates/workflow/src/colocation/groups.rs
+++ b/crates/workflow/src/colocation/groups.rs
@@ -1,9 +1,9 @@
-//! Groups latency-critical images that tolerate the same best-effort images, and finds tasks to
-//! migrate so that each worker holds few groups.
+//! Finds latency-critical tasks to migrate so that the images on a worker tolerate the same
+//! best-effort images. Such images are in the same colocation group.
 //!
 //! Without migration nearly every worker soon runs tasks of every image, since each new task goes
-//! where capacity was just freed. A best-effort image that interferes with only some of them then
-//! finds no worker that tolerates it.
+//! where capacity was just freed. A best-effort image that interferes with only some of them is then
+//! tolerated by no worker.
 
 use {
     super::{
@@ -16,19 +16,19 @@
 };
 
 /// Interference weight at which a latency-critical image tolerates no task of a best-effort image.
-/// A task that uses a tenth of the worker then takes 0.6 of the headroom.
+/// The interference of a task that uses a tenth of the worker is then 0.6.
 const BLOCKING_WEIGHT: f32 = 6.0;
 
-/// Minimum gain in cores for best-effort tasks per migrated task, which is down for one to two
-/// seconds.
+/// Minimum gain in cores for best-effort tasks per migrated task, since that task is down for one to
+/// two seconds.
 const MIN_GAIN_CORES: f32 = 1.0;
 
-/// Two images are in different groups if together they reject this much more of the best-effort
-/// demand than either does alone.
+/// Two images are in different colocation groups if their acceptance together is lower by more than
+/// this than that of each alone.
 const GROUP_THRESHOLD: f32 = 0.1;
 
-/// Maximum number of task groups considered for migration per pass, those with the highest gain
-/// first.
+/// Maximum number of candidates that are considered as the first or only migrated task, those with
+/// the highest gain first.
 const MAX_CANDIDATES: usize = 12;
 
 /// Returns the share of best-effort demand that the given latency-critical images tolerate, from 0
@@ -79,14 +79,14 @@
     pub second: Option<usize>,
 }
 
-/// Computes and caches how much best-effort demand combinations of latency-critical images
-/// tolerate.
+/// Compares the acceptance of combinations of latency-critical images, to tell which are in the same
+/// colocation group. Results are cached.
 #[derive(Debug)]
 pub struct ColocationGroups<'a> {
     model: &'a InterferenceModel,
     demand: &'a Demand,
     acceptance_cache: BTreeMap<Images, f32>,
-    differ_cache: BTreeMap<(ImageNo, ImageNo), bool>,
+    different_groups_cache: BTreeMap<(ImageNo, ImageNo), bool>,
 }
 
 /// Sorted latency-critical images of a worker.
@@ -123,7 +123,7 @@
             model,
             demand,
             acceptance_cache: BTreeMap::new(),
-            differ_cache: BTreeMap::new(),
+            different_groups_cache: BTreeMap::new(),
         }
     }
 
@@ -136,36 +136,37 @@
         value
     }
 
-    /// Returns whether two images are in different colocation groups.
+    /// Returns whether two images are in different colocation groups; see [`GROUP_THRESHOLD`].
     fn in_different_groups(&mut self, left: ImageNo, right: ImageNo) -> bool {
         let pair = (left.min(right), left.max(right));
-        if let Some(differ) = self.differ_cache.get(&pair) {
+        if let Some(differ) = self.different_groups_cache.get(&pair) {
             return *differ;
         }
-        let alone = |groups: &mut Self, image| groups.acceptance(Images::from_slice(&[image]));
+        let alone = |this: &mut Self, image| this.acceptance(Images::from_slice(&[image]));
         let lower_acceptance = alone(self, left).min(alone(self, right));
         let both = self.acceptance(Images::from_slice(&[pair.0, pair.1]));
         let in_different_groups = left != right && lower_acceptance - both > GROUP_THRESHOLD;
-        self.differ_cache.insert(pair, in_different_groups);
+        self.different_groups_cache.insert(pair, in_different_groups);
         in_different_groups
     }
 
-    /// Returns the cores gained for best-effort tasks if all tasks of the image's group left, per
-    /// leaving task. Dividing by the number of tasks prefers hosts that are nearly sorted.
+    /// Returns the cores gained for best-effort tasks if all tasks of the image's colocation group
+    /// left the host, divided by their number. This prefers hosts with few tasks to migrate.
     fn cores_gained_without(&mut self, host: &Host, image: ImageNo) -> f32 {
         let images = host.images();
-        let others: Images = images
+        let staying_images: Images = images
             .iter()
             .copied()
             .filter(|other| self.in_different_groups(image, *other))
             .collect();
-        if others.is_empty() {
+        if staying_images.is_empty() {
             return 0.0;
         }
-        let stay: u32 = others.iter().map(|other| host.count(*other)).sum();
-        let leave = host.latency_critical.iter().map(|(_, count)| count).sum::<u32>() - stay;
-        let gained = self.acceptance(others) - self.acceptance(images);
-        host.best_effort_cores * gained / leave.max(1) as f32
+        let staying_tasks: u32 = staying_images.iter().map(|other| host.count(*other)).sum();
+        let leaving_tasks =
+            host.latency_critical.iter().map(|(_, count)| count).sum::<u32>() - staying_tasks;
+        let gained = self.acceptance(staying_images) - self.acceptance(images);
+        host.best_effort_cores * gained / leaving_tasks.max(1) as f32
     }
 
     /// Returns the cores lost for best-effort tasks if a task of `image` joined `images`.
@@ -177,7 +178,7 @@
         best_effort_cores * (self.acceptance(images) - self.acceptance(with_image))
     }
 
-    /// Returns the number of tasks on the host that are in another group than `image`.
+    /// Returns the number of tasks on the host that are in another colocation group than `image`.
     fn other_group_tasks(&mut self, host: &Host, image: ImageNo) -> u32 {
         let mut other_group_tasks = 0;
         for (other, count) in &host.latency_critical {
@@ -188,117 +189,139 @@
         other_group_tasks
     }
 
-    /// Returns the migration or swap with the highest gain, if one is worthwhile. `is_eligible`
-    /// tells whether a task may run on a host, apart from capacity.
+    /// Returns the migration or swap with the highest gain, if it exceeds [`MIN_GAIN_CORES`] per
+    /// migrated task. `is_eligible(task, host)` tells whether a task may run on a host, apart from
+    /// capacity.
     pub fn best_regrouping(
         &mut self,
         hosts: &[Host],
         tasks: &[MovableTask],
         is_eligible: impl Fn(usize, usize) -> bool,
     ) -> Option<Regrouping> {
-        let groups = self.task_groups(hosts, tasks);
+        let candidates = self.migration_candidates(hosts, tasks);
+        // The regrouping with its gain beyond the minimum.
         let mut best: Option<(f32, Regrouping)> = None;
-        for group in groups.iter().take(MAX_CANDIDATES) {
-            let best_gain = |best: &Option<(f32, Regrouping)>| best.map_or(0.0, |(gain, _)| gain);
+        for candidate in candidates.iter().take(MAX_CANDIDATES) {
+            let best_net_gain =
+                |best: &Option<(f32, Regrouping)>| best.map_or(0.0, |(net_gain, _)| net_gain);
             for (index, host) in hosts.iter().enumerate() {
-                let gain = self.gain_of_move(group, host) - MIN_GAIN_CORES;
-                if index == group.host || gain <= best_gain(&best) {
+                let net_gain = self.gain_of_move(candidate, host) - MIN_GAIN_CORES;
+                if index == candidate.host || net_gain <= best_net_gain(&best) {
                     continue;
                 }
                 let fits = |task: &&usize| {
                     tasks[**task].resources.fits(&host.free) && is_eligible(**task, index)
                 };
-                if let Some(first) = group.tasks.iter().find(fits) {
-                    best = Some((gain, Regrouping { first: *first, second: None }));
+                if let Some(first) = candidate.tasks.iter().find(fits) {
+                    best = Some((net_gain, Regrouping { first: *first, second: None }));
                 }
             }
-            for other in &groups {
-                let gain = self.gain_of_swap(hosts, group, other) - 2.0 * MIN_GAIN_CORES;
-                if other.host == group.host || gain <= best_gain(&best) {
+            for other in &candidates {
+                let net_gain = self.gain_of_swap(hosts, candidate, other) - 2.0 * MIN_GAIN_CORES;
+                if other.host == candidate.host || net_gain <= best_net_gain(&best) {
                     continue;
                 }
                 let can_swap_pair = |first: usize, second: usize| {
                     can_swap(hosts, &tasks[first], &tasks[second])
                         && is_eligible(first, other.host)
-                        && is_eligible(second, group.host)
+                        && is_eligible(second, candidate.host)
                 };
-                let pairs = group
+                let pairs = candidate
                     .tasks
                     .iter()
                     .flat_map(|first| other.tasks.iter().map(move |second| (*first, *second)));
                 if let Some((first, second)) =
                     pairs.into_iter().find(|(a, b)| can_swap_pair(*a, *b))
                 {
-                    best = Some((gain, Regrouping { first, second: Some(second) }));
+                    best = Some((net_gain, Regrouping { first, second: Some(second) }));
                 }
             }
         }
         best.map(|(_, regrouping)| regrouping)
     }
 
-    /// Groups tasks by host and image, sorted by descending gain.
-    fn task_groups(&mut self, hosts: &[Host], tasks: &[MovableTask]) -> Vec<TaskGroup> {
+    /// Returns the movable tasks by host and image, sorted by descending gain.
+    fn migration_candidates(
+        &mut self,
+        hosts: &[Host],
+        tasks: &[MovableTask],
+    ) -> Vec<MigrationCandidate> {
         let mut by_host_and_image: BTreeMap<(usize, ImageNo), Vec<usize>> = BTreeMap::new();
         for (index, task) in tasks.iter().enumerate() {
             by_host_and_image.entry((task.host, task.image)).or_default().push(index);
         }
-        let mut groups: Vec<TaskGroup> = Vec::with_capacity(by_host_and_image.len());
+        let mut candidates: Vec<MigrationCandidate> = Vec::with_capacity(by_host_and_image.len());
         for ((host, image), tasks) in by_host_and_image {
             let gain_cores = self.cores_gained_without(&hosts[host], image);
             let other_group_tasks = self.other_group_tasks(&hosts[host], image);
-            groups.push(TaskGroup { host, image, tasks, gain_cores, other_group_tasks });
+            candidates.push(MigrationCandidate {
+                host,
+                image,
+                tasks,
+                gain_cores,
+                other_group_tasks,
+            });
         }
-        groups.sort_by(|left, right| right.gain_cores.total_cmp(&left.gain_cores));
-        groups
+        candidates.sort_by(|left, right| right.gain_cores.total_cmp(&left.gain_cores));
+        candidates
     }
 
-    /// Returns the cores gained by moving one task of the group to a host, or 0 unless it shares
-    /// the destination with fewer tasks of other groups.
-    fn gain_of_move(&mut self, group: &TaskGroup, host: &Host) -> f32 {
-        if group.gain_cores <= 0.0
-            || self.other_group_tasks(host, group.image) >= group.other_group_tasks
+    /// Returns the cores gained by moving one of the candidate's tasks to a host, or 0 unless the task
+    /// shares the destination with fewer tasks of other colocation groups than its current host.
+    fn gain_of_move(&mut self, candidate: &MigrationCandidate, host: &Host) -> f32 {
+        if candidate.gain_cores <= 0.0
+            || self.other_group_tasks(host, candidate.image) >= candidate.other_group_tasks
         {
             return 0.0;
         }
-        group.gain_cores - self.cores_lost_with(host.best_effort_cores, host.images(), group.image)
+        candidate.gain_cores
+            - self.cores_lost_with(host.best_effort_cores, host.images(), candidate.image)
     }
 
-    /// Returns the cores gained by swapping a task of each group, or 0 unless they then share their
-    /// hosts with fewer tasks of other groups, which prevents swapping back and forth.
-    fn gain_of_swap(&mut self, hosts: &[Host], group: &TaskGroup, other: &TaskGroup) -> f32 {
-        if group.image == other.image || group.gain_cores + other.gain_cores <= 0.0 {
+    /// Returns the cores gained by swapping a task of each candidate, or 0 unless they then share their
+    /// hosts with fewer tasks of other colocation groups, which prevents swapping back and forth.
+    fn gain_of_swap(
+        &mut self,
+        hosts: &[Host],
+        candidate: &MigrationCandidate,
+        other: &MigrationCandidate,
+    ) -> f32 {
+        if candidate.image == other.image || candidate.gain_cores + other.gain_cores <= 0.0 {
             return 0.0;
         }
-        let (source, destination) = (&hosts[group.host], &hosts[other.host]);
-        let others_after = self.other_group_tasks(destination, group.image)
+        let (source, destination) = (&hosts[candidate.host], &hosts[other.host]);
+        let other_group_tasks_after = self.other_group_tasks(destination, candidate.image)
             + self.other_group_tasks(source, other.image);
-        // `others_after` still counts each task beside the one it replaces.
-        let swapped_pair = 2 * u32::from(self.in_different_groups(group.image, other.image));
-        if others_after >= group.other_group_tasks + other.other_group_tasks + swapped_pair {
+        // If the two images are in different groups, `other_group_tasks_after` counts each of the two
+        // tasks as sharing a host with the other, although they change places.
+        let swapped_pair = 2 * u32::from(self.in_different_groups(candidate.image, other.image));
+        if other_group_tasks_after
+            >= candidate.other_group_tasks + other.other_group_tasks + swapped_pair
+        {
             return 0.0;
         }
         let lost = self.cores_lost_with(
             source.best_effort_cores,
-            source.images_without_one(group.image),
+            source.images_without_one(candidate.image),
             other.image,
         ) + self.cores_lost_with(
             destination.best_effort_cores,
             destination.images_without_one(other.image),
-            group.image,
+            candidate.image,
         );
-        group.gain_cores + other.gain_cores - lost
+        candidate.gain_cores + other.gain_cores - lost
     }
 }
 
-/// Movable tasks of one image on one host.
-struct TaskGroup {
+/// Movable tasks of one image on one host, any of which may be migrated.
+struct MigrationCandidate {
     host: usize,
     image: ImageNo,
     /// Indexes into the list of movable tasks.
     tasks: Vec<usize>,
-    /// Cores gained for best-effort tasks per leaving task.
+    /// See [`ColocationGroups::cores_gained_without`].
     gain_cores: f32,
-    /// Number of tasks on the host that are in another group.
+    /// Number of tasks on the host that are in another colocation group.
     other_group_tasks: u32,
 }
 
--- a/crates/workflow/src/colocation/load.rs
+++ b/crates/workflow/src/colocation/load.rs
@@ -1,21 +1,24 @@
-//! Tracks the headroom that a workflow's latency-critical tasks have without best-effort tasks.
+//! Forecasts the headroom that a workflow's latency-critical tasks have without best-effort tasks,
+//! which varies with their load. Double exponential smoothing: a level and a slope are corrected by
+//! a share of each prediction error.
 
 use {egretlb_types::Time, std::time::Duration};
 
-/// Share of a prediction error attributed to a change of level.
+/// Share of a prediction error that is added to the level.
 const LEVEL_GAIN: f32 = 0.5;
 
-/// Share of a prediction error attributed to a change of slope.
+/// Share of a prediction error, per second of elapsed time, that is added to the slope.
 const SLOPE_GAIN: f32 = 0.06;
 
 /// Maximum slope per second. A load that varies threefold over 14 to 20 s changes the headroom by
 /// at most 0.5 per second.
 const MAX_SLOPE: f32 = 0.6;
 
-/// Forecast span: samples are 400 ms old on average, and decisions hold for about as long.
+/// How far ahead the headroom is forecast. Samples are 400 ms old on average, and decisions hold for
+/// about as long.
 const FORECAST_SPAN: Duration = Duration::from_millis(500);
 
-/// Bounds on the elapsed time per update.
+/// Lower and upper bound of the time since the last update, as used for the slope.
 const MIN_ELAPSED: Duration = Duration::from_millis(50);
 const MAX_ELAPSED: Duration = Duration::from_secs(1);
 
--- a/crates/workflow/src/colocation/mod.rs
+++ b/crates/workflow/src/colocation/mod.rs
@@ -1,19 +1,23 @@
 //! Colocation of latency-critical and best-effort tasks on shared workers.
 //!
 //! Latency-critical tasks are long-running, and their tail latency must stay below a target.
-//! Best-effort tasks are short and use the CPU time that others leave unused. They raise the tail
-//! latency of the latency-critical tasks beside them, for some pairs of images greatly and for most
-//! hardly.
+//! Best-effort tasks are short and use the CPU time that others leave unused. A few best-effort
+//! images greatly raise the tail latency of a latency-critical image on the same worker; most
+//! hardly do.
 //!
-//! - Input: the samples that workers report, as [`Observation`]s in each worker's [`Neighbours`],
-//!   and the best-effort demand.
-//! - Model: a weight with a standard error for each pair of images ([`InterferenceModel`]), the
-//!   headroom of each workflow without best-effort tasks (`load`), and the [`Demand`].
-//! - Output: whether a worker tolerates one more best-effort task
-//!   ([`Colocation::added_interference`]), the pace of its best-effort tasks
-//!   ([`Colocation::tolerated_paces`]), the share of best-effort demand that it accepts
-//!   ([`Colocation::acceptance`]), and which latency-critical tasks to migrate
-//!   ([`ColocationGroups::best_regrouping`]).
+//! - Headroom: target divided by tail latency; 1 just meets the target.
+//! - Own headroom: the headroom that a task would have without best-effort tasks on its worker.
+//! - Interference: the headroom that best-effort tasks take from a latency-critical task.
+//! - Pace: the share of its CPU demand that a best-effort task may use, from 0 to 1.
+//! - Acceptance: the share of best-effort demand that a worker's latency-critical tasks tolerate.
+//!
+//! Input: the samples that workers report, as [`Observation`]s in each worker's [`Neighbours`], and
+//! the best-effort demand ([`Demand`]). Model: an interference weight with a standard error for each
+//! pair of images ([`InterferenceModel`]), and the own headroom of each workflow (`load`). Output:
+//! whether a worker tolerates one more best-effort task ([`Colocation::added_interference`]), the
+//! pace of its best-effort tasks ([`Colocation::tolerated_paces`]), its acceptance
+//! ([`Colocation::acceptance`]), and which latency-critical tasks to migrate
+//! ([`ColocationGroups::best_regrouping`]).
 
 mod caution;
 mod demand;
@@ -31,7 +35,7 @@
 };
 
 use {
-    self::{caution::Caution, load::OwnHeadroom, model::median},
+    self::{caution::SafetyFactor, load::OwnHeadroom, model::median},
     crate::WorkflowId,
     compact_str::CompactString,
     egretlb_types::Time,
@@ -39,39 +43,42 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Interval between updates of the model.
+/// Minimum interval between updates of the model.
 const LEARN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Maximum age of samples that are compared, since load changes within seconds.
+/// Maximum age of the samples used in an update, since load changes within seconds.
 const MAX_SAMPLE_AGE: Duration = Duration::from_millis(500);
 
-/// Minimum headroom left to latency-critical tasks; 1 just meets the target.
+/// Minimum headroom left to latency-critical tasks.
 const SAFE_HEADROOM: f32 = 1.05;
 
-/// Assumed headroom of a latency-critical task without samples, which is typical of peak load.
+/// Assumed own headroom of a latency-critical task without samples, typical of peak load.
 const DEFAULT_OWN_HEADROOM: f32 = 1.6;
 
-/// Interference below this is ignored: headroom is 2.2 at typical load, and half of the samples are
-/// off by 5%.
+/// Interference below this, in headroom, is ignored. It is within the noise: half of the samples
+/// are off by 5% or more, and headroom is 2.2 at typical load.
 const MIN_NOTICEABLE_INTERFERENCE: f32 = 0.08;
 
-/// Minimum pace of a best-effort task that runs at all; a slower one shows no measurable effect.
+/// Minimum pace of a best-effort task whose interference is to be measured; a slower one has no
+/// measurable effect.
 const MIN_PACE: f32 = 0.1;
 
-/// An estimate is uncertain if its upper bound is at least this many times the expected value.
+/// An interference estimate is uncertain if its upper bound is at least this many times its
+/// expected value.
 const UNCERTAIN_RATIO: f32 = 3.0;
 
-/// Resolution at which interference is compared.
+/// Unit of [`Colocation::added_interference`], in headroom: smaller differences between workers
+/// don't matter for placement.
 const INTERFERENCE_STEP: f32 = 0.1;
 
-/// The leader's model of colocated tasks.
+/// The leader's estimates of interference, own headroom and best-effort demand.
 #[derive(Debug)]
 pub(crate) struct Colocation {
     model: InterferenceModel,
-    /// Headroom of each workflow with latency-critical tasks.
-    loads: BTreeMap<WorkflowId, OwnHeadroom>,
+    /// Own headroom of each workflow with latency-critical tasks.
+    own_headrooms: BTreeMap<WorkflowId, OwnHeadroom>,
     demand: Demand,
-    caution: Caution,
+    safety_factor: SafetyFactor,
     updated_at: Time,
 }
 
@@ -84,32 +91,33 @@
 }
 
 impl Colocation {
-    pub(crate) fn new(now: Time, learned: InterferenceModel) -> Colocation {
+    pub(crate) fn new(now: Time, learned_model: InterferenceModel) -> Colocation {
         Colocation {
-            model: learned,
-            loads: BTreeMap::new(),
+            model: learned_model,
+            own_headrooms: BTreeMap::new(),
             demand: Demand::default(),
-            caution: Caution::new(now),
+            safety_factor: SafetyFactor::new(now),
             updated_at: now,
         }
     }
 
-    /// What was learned of pairs of images.
+    /// Returns the interference weights of all pairs of images.
     pub(crate) fn model(&self) -> &InterferenceModel {
         &self.model
     }
 
-    /// Returns the recent demand of best-effort tasks.
+    /// Returns the average recent demand of best-effort tasks.
     pub(crate) fn demand(&self) -> &Demand {
         &self.demand
     }
 
-    /// Returns the number of an image.
+    /// Returns the number that stands for an image in the model, assigning one if needed.
     pub(crate) fn image(&mut self, name: &CompactString) -> ImageNo {
         self.model.image(name)
     }
 
-    /// Converts the CPU use of best-effort images on a worker, in cores, to an exposure.
+    /// Converts the CPU use of best-effort images on a worker, in cores, to shares of the worker.
+    /// Images that exceed the size of the model are left out.
     pub(crate) fn exposure(
         &mut self,
         worker: &Neighbours,
@@ -125,9 +133,9 @@
         exposure
     }
 
-    /// Updates the caution factor with the longest current wait of a best-effort task.
-    pub(crate) fn adapt_caution(&mut self, now: Time, longest: Duration) {
-        self.caution.adapt(now, longest);
+    /// Updates the safety factor on interference; it falls while best-effort tasks wait long.
+    pub(crate) fn update_safety_factor(&mut self, now: Time, longest_wait: Duration) {
+        self.safety_factor.update(now, longest_wait);
     }
 
     /// Returns whether the model is due for an update.
@@ -135,8 +143,8 @@
         now.since(self.updated_at) >= LEARN_INTERVAL
     }
 
-    /// Updates the model with recent samples of all workers, and the demand with `demand_cores`.
-    /// Returns whether there were samples.
+    /// Updates the model and the own headrooms with recent samples of all workers, and the demand
+    /// with `demand_cores`. Returns whether there were samples.
     pub(crate) fn learn<'a>(
         &mut self,
         now: Time,
@@ -160,39 +168,42 @@
         self.model.solve(elapsed);
         for (workflow, (image, samples)) in &groups {
             let own = self.model.own_headroom(*image, samples);
-            self.loads
+            self.own_headrooms
                 .entry(*workflow)
-                .and_modify(|load| load.update(now, own))
+                .and_modify(|own_headroom| own_headroom.update(now, own))
                 .or_insert_with(|| OwnHeadroom::new(now, own));
         }
         !groups.is_empty()
     }
 
-    /// Drops the headroom of a workflow that ended.
+    /// Removes the own headroom of a workflow that ended.
     pub(crate) fn forget(&mut self, workflow: WorkflowId) {
-        self.loads.remove(&workflow);
+        self.own_headrooms.remove(&workflow);
     }
 
-    /// Updates the forecast headroom of a worker's latency-critical tasks.
+    /// Updates the forecast own headroom of each latency-critical image on a worker from that of the
+    /// workflows with tasks there.
     pub(crate) fn update_own_headroom(
         &self,
         worker: &mut Neighbours,
         latency_critical: impl Iterator<Item = (WorkflowId, ImageNo)>,
     ) {
         let own = |(workflow, image)| {
-            let load = self.loads.get(&workflow);
-            (image, load.map_or(DEFAULT_OWN_HEADROOM, OwnHeadroom::forecast))
+            let own_headroom = self.own_headrooms.get(&workflow);
+            (image, own_headroom.map_or(DEFAULT_OWN_HEADROOM, OwnHeadroom::forecast))
         };
         worker.update_own_headroom(latency_critical.map(own));
     }
 
-    /// Returns the interference that a latency-critical image on the worker tolerates in total.
-    fn budget(&self, worker: &Neighbours, latency_critical: ImageNo) -> f32 {
+    /// Returns the total estimated interference that a latency-critical image on the worker
+    /// tolerates: its own headroom above [`SAFE_HEADROOM`], divided by the safety factor. Negative if
+    /// there is too little headroom even without best-effort tasks.
+    fn interference_budget(&self, worker: &Neighbours, latency_critical: ImageNo) -> f32 {
         (worker.own_headroom(latency_critical).unwrap_or(DEFAULT_OWN_HEADROOM) - SAFE_HEADROOM)
-            / self.caution.factor()
+            / self.safety_factor.get()
     }
 
-    /// Returns an upper bound of the headroom that a best-effort task takes from a latency-critical
+    /// Returns an upper bound of the interference of a best-effort task with a latency-critical
     /// image.
     fn interference_bound(
         &self,
@@ -203,7 +214,8 @@
         self.model.interference_bound(latency_critical, best_effort, worker.share(cores))
     }
 
-    /// Returns the expected value of the same, which is 0 for a pair without samples.
+    /// Returns the expected interference of a best-effort task with a latency-critical image, which
+    /// is 0 for a pair without samples.
     fn expected_interference(
         &self,
         worker: &Neighbours,
@@ -213,7 +225,7 @@
         self.model.expected_interference(latency_critical, best_effort, worker.share(cores))
     }
 
-    /// Returns an upper bound of the headroom that all best-effort tasks on the worker take from a
+    /// Returns an upper bound of the interference of all best-effort tasks on the worker with a
     /// latency-critical image.
     fn total_interference_bound(&self, worker: &Neighbours, latency_critical: ImageNo) -> f32 {
         let interference_bound = |(image, cpu): &(ImageNo, u32)| {
@@ -222,8 +234,9 @@
         worker.best_effort().iter().map(interference_bound).sum()
     }
 
-    /// Returns the interference of one more best-effort task in units of [`INTERFERENCE_STEP`], or
-    /// `None` if a latency-critical task would miss its target.
+    /// Returns an upper bound of the interference of one more best-effort task with the most affected
+    /// latency-critical image on a worker, in units of [`INTERFERENCE_STEP`], or `None` if one of
+    /// these images wouldn't tolerate it.
     pub(crate) fn added_interference(
         &self,
         worker: &Neighbours,
@@ -236,7 +249,7 @@
             let noticeable = added >= MIN_NOTICEABLE_INTERFERENCE;
             if noticeable
                 && self.total_interference_bound(worker, *latency_critical) + added
-                    > self.budget(worker, *latency_critical)
+                    > self.interference_budget(worker, *latency_critical)
             {
                 return None;
             }
@@ -244,30 +257,30 @@
         Some((max_added / INTERFERENCE_STEP) as u32)
     }
 
-    /// Returns whether a worker may run a best-effort task to learn about it: the estimate is
-    /// uncertain, its expected value is tolerated, and so is its upper bound at [`MIN_PACE`].
+    /// Returns whether a worker may run a best-effort task to measure its interference: the estimate
+    /// is uncertain or unnoticeable, its expected value is tolerated, and so is its upper bound at [`MIN_PACE`].
     pub(crate) fn may_probe(&self, worker: &Neighbours, best_effort: (ImageNo, f32)) -> bool {
         worker.latency_critical().iter().all(|(latency_critical, _)| {
-            let remaining = self.budget(worker, *latency_critical)
+            let remaining = self.interference_budget(worker, *latency_critical)
                 - self.total_interference_bound(worker, *latency_critical);
             let expected = self.expected_interference(worker, *latency_critical, best_effort);
-            let pessimistic = self.interference_bound(worker, *latency_critical, best_effort);
-            let uncertain = pessimistic < MIN_NOTICEABLE_INTERFERENCE
-                || pessimistic >= UNCERTAIN_RATIO * expected;
-            uncertain && expected <= remaining && pessimistic * MIN_PACE <= remaining
+            let upper_bound = self.interference_bound(worker, *latency_critical, best_effort);
+            let uncertain = upper_bound < MIN_NOTICEABLE_INTERFERENCE
+                || upper_bound >= UNCERTAIN_RATIO * expected;
+            uncertain && expected <= remaining && upper_bound * MIN_PACE <= remaining
         })
     }
 
-    /// Returns, for each latency-critical image on a worker, the pace of best-effort tasks that it
-    /// tolerates, as a share of full pace.
+    /// Returns, for each latency-critical image on a worker, the pace at which it tolerates the given
+    /// best-effort tasks. Above 1 they could use more CPU than they demand.
     pub(crate) fn tolerated_paces(
         &self,
         worker: &Neighbours,
         best_effort_tasks: impl Iterator<Item = (ImageNo, f32)> + Clone,
     ) -> SmallVec<[(ImageNo, f32); 4]> {
-        let share = |latency_critical: ImageNo| {
-            let budget = self.budget(worker, latency_critical).max(0.0);
-            let pessimistic: f32 = best_effort_tasks
+        let pace = |latency_critical: ImageNo| {
+            let budget = self.interference_budget(worker, latency_critical).max(0.0);
+            let upper_bound: f32 = best_effort_tasks
                 .clone()
                 .map(|best_effort| self.interference_bound(worker, latency_critical, best_effort))
                 .sum();
@@ -277,22 +290,23 @@
                     self.expected_interference(worker, latency_critical, best_effort)
                 })
                 .sum();
-            let share = budget / pessimistic.max(f32::MIN_POSITIVE);
-            // A single task with an uncertain estimate keeps a minimum pace; if it were paused,
-            // nothing more could be learned about it.
+            let pace = budget / upper_bound.max(f32::MIN_POSITIVE);
+            // A single task with an uncertain estimate keeps a minimum pace, since its interference
+            // can't be measured while it is paused.
             let uncertain =
-                pessimistic >= UNCERTAIN_RATIO * expected && worker.best_effort().len() == 1;
+                upper_bound >= UNCERTAIN_RATIO * expected && worker.best_effort().len() == 1;
             let keep_min_pace = uncertain && budget > 0.0 && expected * MIN_PACE <= budget;
-            if keep_min_pace { share.max(MIN_PACE) } else { share }
+            if keep_min_pace { pace.max(MIN_PACE) } else { pace }
         };
         worker
             .latency_critical()
             .iter()
-            .map(|(latency_critical, _)| (*latency_critical, share(*latency_critical)))
+            .map(|(latency_critical, _)| (*latency_critical, pace(*latency_critical)))
             .collect()
     }
 
-    /// Returns the pace at which a best-effort task may run, from 0 to 1.
+    /// Returns the pace at which a best-effort task may run, from 0 to 1: the lowest of the worker's
+    /// limit and of what the latency-critical images that it interferes with tolerate.
     pub(crate) fn allowed_pace(
         &self,
         worker: &Neighbours,
@@ -305,11 +319,10 @@
         };
         let tolerated =
             tolerated.iter().filter(|(latency_critical, _)| interferes(*latency_critical));
-        tolerated.fold(worker.pace_limit(), |share, (_, pace)| share.min(*pace)).clamp(0.0, 1.0)
+        tolerated.fold(worker.pace_limit(), |lowest, (_, pace)| lowest.min(*pace)).clamp(0.0, 1.0)
     }
 
-    /// Returns the share of best-effort demand that a worker's latency-critical tasks tolerate,
-    /// from 0 to 1.
+    /// Returns a worker's acceptance, from 0 to 1.
     pub(crate) fn acceptance(&self, worker: &Neighbours) -> f32 {
         worker
             .acceptance
@@ -325,18 +338,19 @@
         acceptance(&self.model, &self.demand, latency_critical.map(|(image, _)| image))
     }
 
-    /// Returns how much acceptance drops with one more latency-critical task of an image.
+    /// Returns how much a worker's acceptance drops with one more latency-critical task of an image.
     pub(crate) fn acceptance_loss_with(&self, worker: &Neighbours, image: ImageNo) -> f32 {
         let with_image = worker.latency_critical().iter().copied().chain([(image, 1)]);
         self.acceptance(worker) - self.acceptance_of(with_image)
     }
 
-    /// Returns how much acceptance rises without a latency-critical image, per task of it.
+    /// Returns how much a worker's acceptance rises without a latency-critical image, divided by the
+    /// number of its tasks there.
     pub(crate) fn acceptance_gain_without(&self, worker: &Neighbours, image: ImageNo) -> f32 {
-        let count = worker.latency_critical().iter().find(|(other, _)| *other == image);
-        let Some((_, count)) = count else { return 0.0 };
+        let tasks = worker.latency_critical().iter().find(|(other, _)| *other == image);
+        let Some((_, tasks)) = tasks else { return 0.0 };
         let others = worker.latency_critical().iter().copied().filter(|(other, _)| *other != image);
-        (self.acceptance_of(others) - self.acceptance(worker)) / *count as f32
+        (self.acceptance_of(others) - self.acceptance(worker)) / *tasks as f32
     }
 }
 
--- a/crates/workflow/src/colocation/neighbours.rs
+++ b/crates/workflow/src/colocation/neighbours.rs
@@ -1,4 +1,4 @@
-//! Tasks that share a worker.
+//! The latency-critical and best-effort tasks that share a worker, and their latency samples.
 
 use {
     super::model::{ImageNo, Sample},
@@ -13,7 +13,8 @@
 /// Increase of the pace limit for each sample without a miss.
 const PACE_LIMIT_INCREASE: f32 = 0.25;
 
-/// Relative noise of a single sample; headroom within it below 1 isn't a miss.
+/// Relative noise of the headroom of a single task. Headroom below 1 by less than the noise doesn't
+/// count as a missed target.
 const LATENCY_NOISE: f32 = 0.2;
 
 /// The last sample of a workflow's latency-critical tasks on a worker.
@@ -25,28 +26,31 @@
     pub(crate) sample: Sample,
 }
 
-/// The latency-critical and best-effort tasks of a worker.
+/// The tasks that share a worker, with their samples, headroom and pace limit.
 #[derive(Debug)]
 pub(crate) struct Neighbours {
+    /// CPU capacity of the worker, in cores.
     cores: f32,
     /// Latency-critical images and the number of tasks of each.
     latency_critical: SmallVec<[(ImageNo, u32); 4]>,
-    /// Best-effort images and the CPU time allowed at their paces, in millicores.
+    /// Best-effort images and the CPU that their tasks may use at their current paces, in millicores.
     best_effort: SmallVec<[(ImageNo, u32); 6]>,
+    /// The last one of each workflow.
     observations: SmallVec<[Observation; 4]>,
-    /// Lowest headroom of each latency-critical image without best-effort tasks.
+    /// Forecast headroom of each latency-critical image without best-effort tasks; the lowest of its
+    /// workflows.
     own_headroom: SmallVec<[(ImageNo, f32); 4]>,
     /// Cached acceptance; `None` after a change of latency-critical tasks.
     pub(super) acceptance: Option<f32>,
-    /// Maximum pace of best-effort tasks, from 0 to 1. Reduced after a target is missed for an
-    /// unknown reason.
+    /// Maximum pace of best-effort tasks, from 0 to 1. Reduced after a missed target, whatever the
+    /// model expects, and raised step by step afterwards.
     pace_limit: f32,
 }
 
 impl Neighbours {
     pub(crate) fn new(cpu: MilliCores) -> Neighbours {
         Neighbours {
-            cores: cores(cpu),
+            cores: capacity_cores(cpu),
             latency_critical: SmallVec::new(),
             best_effort: SmallVec::new(),
             observations: SmallVec::new(),
@@ -56,9 +60,9 @@
         }
     }
 
-    /// Sets the capacity once the worker's own entry has been read.
+    /// Sets the capacity once the worker's directory entry has been read.
     pub(crate) fn set_capacity(&mut self, cpu: MilliCores) {
-        self.cores = cores(cpu);
+        self.cores = capacity_cores(cpu);
     }
 
     pub(crate) fn add_latency_critical(&mut self, image: ImageNo) {
@@ -67,7 +71,7 @@
     }
 
     pub(crate) fn remove_latency_critical(&mut self, image: ImageNo) {
-        take(&mut self.latency_critical, image, 1);
+        subtract(&mut self.latency_critical, image, 1);
         self.acceptance = None;
     }
 
@@ -76,7 +80,7 @@
     }
 
     pub(crate) fn remove_best_effort(&mut self, image: ImageNo, cpu: MilliCores) {
-        take(&mut self.best_effort, image, cpu.0);
+        subtract(&mut self.best_effort, image, cpu.0);
     }
 
     /// Returns the latency-critical images and the number of tasks of each.
@@ -93,7 +97,7 @@
         cores / self.cores
     }
 
-    /// Returns the maximum pace of best-effort tasks.
+    /// Returns the maximum pace of best-effort tasks, which is 1 without latency-critical tasks.
     pub(super) fn pace_limit(&self) -> f32 {
         if self.latency_critical.is_empty() { 1.0 } else { self.pace_limit }
     }
@@ -121,7 +125,7 @@
         &self.observations
     }
 
-    /// Stores the lowest headroom per latency-critical image.
+    /// Replaces the own headrooms; an image with several values gets the lowest.
     pub(super) fn update_own_headroom(
         &mut self,
         own_headroom: impl Iterator<Item = (ImageNo, f32)>,
@@ -143,33 +147,33 @@
     }
 }
 
-/// Converts to cores, at least one, in case the capacity isn't known yet.
-fn cores(cpu: MilliCores) -> f32 {
+/// Converts a capacity to cores. Returns at least one, since the capacity is 0 until it is known.
+fn capacity_cores(cpu: MilliCores) -> f32 {
     (cpu.0 as f32 / 1_000.0).max(1.0)
 }
 
-/// Adds to an image's sum.
+/// Adds an amount to an image's total.
 fn add(
-    sums: &mut SmallVec<impl smallvec::Array<Item = (ImageNo, u32)>>,
+    totals: &mut SmallVec<impl smallvec::Array<Item = (ImageNo, u32)>>,
     image: ImageNo,
     amount: u32,
 ) {
-    match sums.iter_mut().find(|(other, _)| *other == image) {
-        Some((_, sum)) => *sum += amount,
-        None => sums.push((image, amount)),
+    match totals.iter_mut().find(|(other, _)| *other == image) {
+        Some((_, total)) => *total += amount,
+        None => totals.push((image, amount)),
     }
 }
 
-/// Subtracts from an image's sum, and removes the image at 0.
-fn take(
-    sums: &mut SmallVec<impl smallvec::Array<Item = (ImageNo, u32)>>,
+/// Subtracts an amount from an image's total, and removes the image at 0.
+fn subtract(
+    totals: &mut SmallVec<impl smallvec::Array<Item = (ImageNo, u32)>>,
     image: ImageNo,
     amount: u32,
 ) {
-    for (other, sum) in sums.iter_mut() {
+    for (other, total) in totals.iter_mut() {
         if *other == image {
-            *sum = sum.saturating_sub(amount);
+            *total = total.saturating_sub(amount);
         }
     }
-    sums.retain(|(_, sum)| *sum > 0);
+    totals.retain(|(_, total)| *total > 0);
 }
--- a/crates/workflow/src/scheduler/placement.rs
+++ b/crates/workflow/src/scheduler/placement.rs
@@ -44,7 +44,7 @@
             }
         }
         self.best_effort_wait = longest_wait;
-        self.colocation.adapt_caution(now, longest_wait);
+        self.colocation.update_safety_factor(now, longest_wait);
     }
 
     /// Places the waiting tasks of a step; returns whether none is left.
