--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -215,9 +215,9 @@
     /// Whether this leader's reads lag behind its appends. Other processes may then have acknowledged cancellations
     /// that this one hasn't read. While the store is unavailable, neither reads nor appends advance.
     fn is_lagging(&self) -> bool {
-        self.work_progress
-            .complete_until
-            .is_none_or(|read| self.leadership.last_confirmed().since(read) >= LAGGING_AFTER)
+        self.work_progress.complete_until.is_none_or(|read| {
+            self.leadership.last_acknowledged_sent().since(read) >= LAGGING_AFTER
+        })
     }
 
     /// Address of the leader for records, if another process leads.
--- a/crates/runtime/src/leader_append.rs
+++ b/crates/runtime/src/leader_append.rs
@@ -127,7 +127,7 @@
         }
         let release = {
             let mut core = self.core.borrow_mut();
-            core.leadership.retire();
+            core.leadership.stop_claiming();
             core.leadership.heartbeat(self.clock.now(), true)
         };
         let Some((epoch, seq, heartbeat)) = release else { return };
--- a/crates/runtime/src/node.rs
+++ b/crates/runtime/src/node.rs
@@ -210,7 +210,7 @@
 
     /// Sets the address at which this process takes followers' records when it leads.
     pub(crate) fn set_listen_addr(&self, addr: SocketAddr) {
-        self.core.borrow_mut().leadership.listen_at(addr);
+        self.core.borrow_mut().leadership.set_addr(addr);
     }
 
     /// Adds a client's record to the leader's next append; false if appends are stuck.
--- a/crates/workflow/src/colocation/groups.rs
+++ b/crates/workflow/src/colocation/groups.rs
@@ -292,8 +292,8 @@
         let (source, destination) = (&hosts[candidate.host], &hosts[other.host]);
         let other_group_tasks_after = self.other_group_tasks(destination, candidate.image)
             + self.other_group_tasks(source, other.image);
-        // If the two images are in different groups, `other_group_tasks_after` counts each of the two
-        // tasks as sharing a host with the other, although they change places.
+        // If the two images are in different groups, this also counts the two swapped tasks, each on
+        // the host that it leaves.
         let swapped_pair = 2 * u32::from(self.in_different_groups(candidate.image, other.image));
         if other_group_tasks_after
             >= candidate.other_group_tasks + other.other_group_tasks + swapped_pair
--- a/crates/workflow/src/colocation/load.rs
+++ b/crates/workflow/src/colocation/load.rs
@@ -7,7 +7,7 @@
 /// Share of a prediction error that is added to the level.
 const LEVEL_GAIN: f32 = 0.5;
 
-/// Share of a prediction error, per second of elapsed time, that is added to the slope.
+/// Share of a prediction error, divided by the elapsed seconds, that is added to the slope.
 const SLOPE_GAIN: f32 = 0.06;
 
 /// Maximum slope per second. A load that varies threefold over 14 to 20 s changes the headroom by
--- a/crates/workflow/src/leadership/authority.rs
+++ b/crates/workflow/src/leadership/authority.rs
@@ -1,4 +1,4 @@
-//! Limits how long a leader may send commands.
+//! Authority: how long a leader may send commands after its last acknowledged append.
 
 use {
     super::{AppendResult, Leadership, LeadershipEffect, MAX_READ_AGE, Role},
@@ -10,7 +10,7 @@
     /// command is sent, since the process may have been paused in between.
     pub fn authority(&self, now: Time) -> Option<Epoch> {
         match self.role {
-            Role::Leader { epoch } if now < self.last_confirmed + self.limits.authority => {
+            Role::Leader { epoch } if now < self.last_acknowledged_sent + self.limits.authority => {
                 Some(epoch)
             }
             _ => None,
@@ -18,8 +18,8 @@
     }
 
     /// Returns when the last acknowledged append of this term was sent.
-    pub fn last_confirmed(&self) -> Time {
-        self.last_confirmed
+    pub fn last_acknowledged_sent(&self) -> Time {
+        self.last_acknowledged_sent
     }
 
     /// Handles the result of an append of this term that was sent at `sent`.
@@ -31,7 +31,9 @@
         out: &mut Vec<LeadershipEffect>,
     ) {
         match result {
-            AppendResult::Done => self.last_confirmed = self.last_confirmed.max(sent),
+            AppendResult::Done => {
+                self.last_acknowledged_sent = self.last_acknowledged_sent.max(sent)
+            }
             AppendResult::Fenced => self.resign(now, out),
             AppendResult::Conflict | AppendResult::Rejected | AppendResult::Unknown => {}
         }
@@ -51,16 +53,18 @@
             }
             return;
         }
-        let sign_ms = now.since(self.last_confirmed).as_millis() as u64;
+        let sign_ms = now.since(self.last_acknowledged_sent).as_millis() as u64;
         let since = *self.lapsed_at.get_or_insert_with(|| {
             log::warn!(epoch:% = epoch, sign_ms; "orders_suspended");
             now
         });
         let silence = now.since(since.max(self.no_heartbeat_since));
-        if silence >= self.limits.takeover_after && now.since(self.read_at) < MAX_READ_AGE {
+        if silence >= self.limits.takeover_after
+            && now.since(self.last_read_answered) < MAX_READ_AGE
+        {
             log::warn!(epoch:% = epoch, sign_ms; "term_ended");
             self.resign(now, out);
-            // The term was this process's own, so there is no leader to wait for.
+            // This process was the leader, so it needn't wait for another one's heartbeat.
             self.released = true;
         }
     }
--- a/crates/workflow/src/leadership/mod.rs
+++ b/crates/workflow/src/leadership/mod.rs
@@ -1,25 +1,26 @@
 //! Leader election.
 //!
-//! One process sends all commands; the others follow the same records and can take over at once. A
-//! leader writes a heartbeat with each append, and at least every [`Limits::heartbeat`]. A follower
-//! that reads no heartbeat for [`Limits::takeover_after`] appends a claim under the next epoch. The
-//! store accepts one claim per epoch, since the claims' sequence numbers differ. The epoch fences
-//! the previous leader at the store, and the new leader's first command fences it at each worker.
+//! Only the leader sends commands to workers; the other processes follow the same records and can
+//! take over at once. A leader writes a heartbeat with each append, and at least every
+//! [`Limits::heartbeat`]. A follower that reads no heartbeat for [`Limits::takeover_after`] appends a
+//! claim under the next epoch. The store accepts one claim per epoch, since the claims' sequence
+//! numbers differ. From then on it rejects appends under lower epochs (fencing), and each worker
+//! rejects commands under lower epochs once it has received a command of the new leader.
 //!
 //! A claimant leads once it *reads* its claim: it has then read everything before the claim, and
 //! nothing of the previous leader can follow. Appending on condition of the log's end would avoid
 //! that read, but without a leader every process appends its clients' submissions, so that on a
 //! slow store no claim would succeed.
 //!
-//! A leader that can't reach the store may still reach workers. It sends no more commands once
-//! [`Limits::authority`] has passed since it *sent* its last acknowledged append. Its successor
-//! waits for the same time after reading its own claim, which is later, and then for a lease,
-//! before it treats the runs on workers it can't reach as ended.
+//! A leader that can't reach the store may still reach workers. So its authority to send commands
+//! ends [`Limits::authority`] after it *sent* its last acknowledged append. Its successor waits for
+//! the same time after reading its own claim, which is later, and then until the leases of runs have
+//! expired, before it treats the runs on workers it can't reach as ended.
 //!
-//! A leader without authority only sends heartbeats. One that is stored shows that nobody has
-//! claimed, and the term continues. If the store answers reads but stores no heartbeat for
-//! [`Limits::takeover_after`], the leader ends its term. Otherwise, with no other process to take
-//! over, it would stay leader without sending commands and all leases would lapse.
+//! A leader without authority only sends heartbeats. If one is stored, nobody has claimed, and the
+//! term continues. If the store answers reads but stores no heartbeat for
+//! [`Limits::takeover_after`], the leader ends its term and may claim again. Otherwise, with no other
+//! process to take over, it would stay leader without sending commands and all leases would expire.
 
 mod authority;
 mod succession;
@@ -102,39 +103,45 @@
     /// Takeover delay of this process, in thousandths of [`Limits::takeover_spread`].
     takeover_delay: u32,
     role: Role,
+    /// Start of the wait for a heartbeat that ends with a takeover. Besides heartbeats and other
+    /// records of a leader, failed reads, pauses of this process and a lost term or claim restart it.
     no_heartbeat_since: Time,
     /// Earliest time of the next claim, after a rejected one.
     claim_after: Time,
     last_tick: Time,
-    /// Whether the last leader was an earlier process at this address, which must have ended.
+    /// Whether the last leader was another process at this process's address. It must have ended,
+    /// since this process has the address now.
     last_leader_at_own_addr: bool,
-    /// Whether the last leader ended its term by itself.
+    /// Whether the last leader ended its term, so that nobody leads.
     released: bool,
     /// The newest leader's last heartbeat.
     last_heartbeat: Option<Heartbeat>,
-    /// Start of this process's term.
+    /// When the claim of this process's term was sent.
     term_start: Time,
     max_epoch: Epoch,
     /// Epoch of an abandoned claim, which may still take effect.
     abandoned_claim: Option<Epoch>,
-    /// When the last read was sent, and when a read was last answered.
-    read_sent: Time,
-    read_at: Time,
+    /// When the last read of the records was sent.
+    last_read_sent: Time,
+    /// When a read of the records was last answered.
+    last_read_answered: Time,
     /// When the last acknowledged append of this term was sent.
-    last_confirmed: Time,
+    last_acknowledged_sent: Time,
     /// When this leader noticed that its authority had lapsed.
     lapsed_at: Option<Time>,
+    /// Sequence number of the next append.
     seq: Seq,
-    may_lead: bool,
+    /// Whether this process may claim a term.
+    claims_enabled: bool,
 }
 
-/// Interval between ticks beyond which the process counts as paused, so that its last read is out
-/// of date. Ticks come every 50 ms; a busy VM delays them by tenths of a second.
+/// Interval between ticks beyond which the process counts as paused, so that it may have missed
+/// heartbeats. Ticks come every 50 ms; a busy VM delays them by tenths of a second.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
 
-/// Upper bound of the first sequence number, which is random. The store treats a second append with
-/// the same epoch and number as a retry, so equal numbers would let several processes win the same
-/// epoch.
+/// Upper bound of the first sequence number, which is derived from the random incarnation. The store
+/// treats a second append with the same epoch and number as a retry, so equal numbers would let
+/// several processes win the same epoch.
 const SEQ_START_RANGE: u64 = 1 << 31;
 
 /// Maximum takeover delay, in thousandths of [`Limits::takeover_spread`].
@@ -154,7 +161,8 @@
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl Leadership {
-    /// Creates a follower. `takeover_delay` is in thousandths of [`Limits::takeover_spread`]: up to
+    /// Creates a follower. `incarnation` is a random number that identifies the process.
+    /// `takeover_delay` is in thousandths of [`Limits::takeover_spread`]: up to
     /// 999 for processes that are fit to lead, up to 5,000 for others.
     pub fn new(
         now: Time,
@@ -179,17 +187,17 @@
             term_start: now,
             max_epoch: Epoch(0),
             abandoned_claim: None,
-            read_sent: now,
-            read_at: now,
-            last_confirmed: Time::ZERO,
+            last_read_sent: now,
+            last_read_answered: now,
+            last_acknowledged_sent: Time::ZERO,
             lapsed_at: None,
             seq: Seq(incarnation % SEQ_START_RANGE),
-            may_lead: true,
+            claims_enabled: true,
         }
     }
 
     /// Sets the address at which this process, as leader, accepts records from followers.
-    pub fn listen_at(&mut self, addr: SocketAddr) {
+    pub fn set_addr(&mut self, addr: SocketAddr) {
         self.addr = Some(addr);
     }
 
@@ -228,9 +236,9 @@
         Record::new(Key::Leader, &record)
     }
 
-    /// Returns whether an append of this term has been read.
-    pub fn has_read(&self, last_heartbeat: &LeaderRecord, epoch: Epoch, seq: Seq) -> bool {
-        self.is_own(last_heartbeat) && last_heartbeat.epoch == epoch && last_heartbeat.seq >= seq
+    /// Returns whether an append of this process has been read, given the newest leader record.
+    pub fn has_read(&self, newest: &LeaderRecord, epoch: Epoch, seq: Seq) -> bool {
+        self.is_own(newest) && newest.epoch == epoch && newest.seq >= seq
     }
 
     fn next_seq(&mut self) -> Seq {
@@ -240,11 +248,11 @@
     }
 
     /// Stops claiming, because the process is about to exit.
-    pub fn retire(&mut self) {
-        self.may_lead = false;
+    pub fn stop_claiming(&mut self) {
+        self.claims_enabled = false;
     }
 
-    /// Ends this process's term.
+    /// Ends this process's term or claim, if any.
     pub fn resign(&mut self, now: Time, out: &mut Vec<LeadershipEffect>) {
         if matches!(self.role, Role::Leader { .. }) {
             out.push(LeadershipEffect::Deposed);
@@ -253,7 +261,8 @@
         self.no_heartbeat_since = now;
     }
 
-    /// Handles a newly read leader record.
+    /// Handles a newly read leader record: a claim or heartbeat. This process's own claim makes it
+    /// the leader; one under a higher epoch ends its term.
     pub fn on_leader_record(
         &mut self,
         now: Time,
@@ -269,13 +278,13 @@
             Role::Claiming { epoch, sent } if own && record.epoch == epoch => {
                 self.elect(now, sent, epoch, out);
             }
-            // A delayed claim has fenced the current leader, so this process takes over. Nobody
-            // else had claimed when the read was sent.
+            // A claim that was given up took effect late and has fenced the current leader, so this
+            // process takes over. Nobody else had claimed when the read was sent.
             Role::Follower
                 if own && self.abandoned_claim == Some(record.epoch) && !record.released =>
             {
                 self.abandoned_claim = None;
-                self.elect(now, self.read_sent, record.epoch, out);
+                self.elect(now, self.last_read_sent, record.epoch, out);
             }
             Role::Claiming { epoch, .. } if record.epoch >= epoch => self.role = Role::Follower,
             Role::Leader { epoch } if record.epoch > epoch => self.resign(now, out),
@@ -287,27 +296,29 @@
         self.last_heartbeat = Some(Heartbeat::new(record, now, ended));
     }
 
-    /// Handles another newly read record that only a leader writes.
+    /// Handles a newly read record other than the leader record that only a leader writes.
     pub fn on_leader_activity(&mut self, now: Time) {
         self.no_heartbeat_since = now;
     }
 
-    /// A read of the records was sent.
+    /// Notes that a read of the records was sent.
     pub fn on_read_sent(&mut self, now: Time) {
-        self.read_sent = now;
+        self.last_read_sent = now;
     }
 
-    /// A read of the records was answered.
+    /// Notes that a read of the records was answered.
     pub fn on_read(&mut self, now: Time) {
-        self.read_at = now;
+        self.last_read_answered = now;
     }
 
-    /// A read failed, so missing heartbeats are no evidence against the leader.
+    /// Handles a failed read: heartbeats may have been stored and not read, so the wait for one
+    /// restarts.
     pub fn on_read_failed(&mut self, now: Time) {
         self.no_heartbeat_since = now;
     }
 
-    /// Advances time. `caught_up` tells whether the last read reached the end of the records.
+    /// Ends a claim or term that has lasted too long without success, and claims a term if one is due.
+    /// `caught_up` tells whether the last read reached the end of the records.
     pub fn tick(&mut self, now: Time, caught_up: bool, out: &mut Vec<LeadershipEffect>) {
         if now.since(self.last_tick) > PAUSE_THRESHOLD {
             self.no_heartbeat_since = now;
@@ -316,9 +327,9 @@
         self.abandon_claim(now);
         self.check_authority(now, out);
         let may_claim = caught_up
-            && self.may_lead
+            && self.claims_enabled
             && now >= self.claim_after
-            && now.since(self.read_at) < MAX_READ_AGE;
+            && now.since(self.last_read_answered) < MAX_READ_AGE;
         if self.role != Role::Follower || !may_claim || !self.takeover_due(now) {
             return;
         }
@@ -332,7 +343,6 @@
     fn takeover_due(&self, now: Time) -> bool {
         let silence = now.since(self.no_heartbeat_since);
         let delay = self.limits.takeover_spread * self.takeover_delay / 1_000;
-        // This process now owns the address, so the last leader must have ended.
         if self.last_leader_at_own_addr {
             return true;
         }
@@ -378,13 +388,13 @@
     fn elect(&mut self, now: Time, sent: Time, epoch: Epoch, out: &mut Vec<LeadershipEffect>) {
         self.role = Role::Leader { epoch };
         self.max_epoch = epoch;
-        self.last_confirmed = sent;
+        self.last_acknowledged_sent = sent;
         self.term_start = sent;
         let succession = Succession::new(now, sent, &self.limits, self.last_heartbeat, epoch);
         out.push(LeadershipEffect::Elected { epoch, succession });
     }
 
-    /// A worker has accepted a command under a higher epoch.
+    /// Ends this process's term, since a worker has accepted a command under a higher epoch.
     pub fn on_outranked(&mut self, now: Time, out: &mut Vec<LeadershipEffect>) {
         self.resign(now, out);
     }
--- a/crates/workflow/src/leadership/succession.rs
+++ b/crates/workflow/src/leadership/succession.rs
@@ -1,4 +1,4 @@
-//! State that a new leader inherits from earlier terms.
+//! What a new leader knows of earlier terms.
 
 use {
     crate::{LeaderRecord, Limits},
@@ -6,13 +6,14 @@
     std::time::Duration,
 };
 
-/// The newest heartbeat of a leader.
+/// The newest leader record that was read.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Heartbeat {
     epoch: Epoch,
     read_at: Time,
+    /// Time since the start of that leader's term at which it was sent, in milliseconds.
     term_ms: u64,
-    /// Whether that leader sends no more commands: it released its term, or its process has ended.
+    /// Whether that leader sends no more commands: it ended its term, or its process has ended.
     ended: bool,
 }
 
@@ -22,20 +23,25 @@
     }
 }
 
-/// How long earlier leaders may still send commands, and how to interpret times recorded by the
-/// last one.
+/// How long earlier leaders may still send commands, and how to convert times recorded by the last
+/// one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Succession {
-    /// Start of this term, the origin of its recorded times.
+    /// Start of this term, when its claim was sent. Recorded times count from here.
     pub began: Time,
+    /// Epoch of the last leader; 0 if there was none.
     predecessor: Epoch,
     commands_until: Time,
+    /// When the last leader's newest heartbeat was read.
     read_at: Time,
+    /// Time since the start of the last leader's term at which that heartbeat was sent, in
+    /// milliseconds.
     term_ms: u64,
 }
 
 impl Succession {
-    /// Creates the state for a term that starts now, after a leader with the given last heartbeat.
+    /// Creates the state for the term of epoch `claimed`, whose claim was sent at `began` and read
+    /// now. `heartbeat` is the newest one of the last leader.
     pub(super) fn new(
         now: Time,
         began: Time,
@@ -66,7 +72,8 @@
         }
     }
 
-    /// Returns whether `writer` is the last leader, whose recorded times can be interpreted.
+    /// Returns whether `writer` is the epoch of the last leader, whose recorded times can be
+    /// converted.
     pub(crate) fn follows(&self, writer: Epoch) -> bool {
         self.predecessor == writer
     }
--- a/crates/workflow/tests/support/node.rs
+++ b/crates/workflow/tests/support/node.rs
@@ -44,7 +44,7 @@
         let port = 2_000 + u16::try_from(name).unwrap_or(0);
         let mut leadership =
             Leadership::new(now, format!("node-{name}"), incarnation, place, limits);
-        leadership.listen_at(([127, 0, 0, 1], port).into());
+        leadership.set_addr(([127, 0, 0, 1], port).into());
         Node {
             name,
             up: true,
