--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -1,4 +1,5 @@
-//! Inputs and outputs of the control reducer.
+//! Inputs and outputs of the control reducer, which tracks members, owners of shards and the
+//! configuration.
 
 use {
     crate::{
@@ -32,7 +33,8 @@
     },
     /// A peer's heartbeat arrived.
     HeartbeatReceived(Heartbeat),
-    /// The platform's VM list no longer holds the VM with this address. Only a hint.
+    /// The platform's VM list no longer holds the VM with this address. Its process has probably
+    /// ended, but may still be running.
     VmGone {
         /// The VM's IP address, without a port.
         addr: CompactString,
@@ -44,7 +46,8 @@
         /// The epoch of [`ControlEffect::Recover`].
         epoch: Epoch,
     },
-    /// The shards that this node owns need no record of its journal before `from`.
+    /// The shards that this node owns need no record of its journal before `from`, so that older
+    /// records may be deleted.
     JournalLowWaterMark {
         /// The oldest record needed.
         from: Offset,
@@ -53,7 +56,7 @@
     Propose {
         /// Random id, set by the operator's command.
         id: ProposalId,
-        /// The version that the operator changed.
+        /// The version that the operator's change is based on.
         base: ConfigVersion,
         /// Name of the operator.
         by: CompactString,
@@ -71,12 +74,12 @@
     Shutdown,
 }
 
-/// The last settled owner of a shard.
+/// The last settled owner of a shard: one whose journal holds a snapshot of it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Predecessor {
     /// The process whose journal holds the shard.
     pub node: NodeId,
-    /// The epoch of the owner's entries.
+    /// The epoch of the owner's journal entries for the shard.
     pub epoch: Epoch,
     /// The offset to read the journal from.
     pub start: Offset,
@@ -90,7 +93,7 @@
         /// The version.
         version: ConfigVersion,
     },
-    /// Another change was accepted first, so the proposal is void.
+    /// Another change was accepted first, so the proposal is rejected.
     Superseded {
         /// The version accepted instead.
         version: ConfigVersion,
@@ -102,9 +105,9 @@
         /// All faults.
         faults: CompactString,
     },
-    /// The log can't be reached and doesn't hold the proposal; it can be proposed again.
+    /// The log can't be reached and the proposal isn't stored; it can be proposed again.
     Unavailable,
-    /// The log may hold the proposal: check the version in force before proposing again.
+    /// The proposal may be stored: check the version in force before proposing again.
     Unconfirmed,
 }
 
@@ -138,7 +141,7 @@
     LogOutOfReach,
     /// The beginning of the control stream has expired and no snapshot is left.
     StateLost,
-    /// Some shards have had no settled owner for 30 s.
+    /// Some shards have had no settled owner for 30 s; see [`Predecessor`].
     ShardsWithoutOwner,
     /// This process has recent contact with at most half of the schedulers.
     FewPeersHeard,
@@ -186,14 +189,15 @@
         /// The journal to recover from.
         from: Option<Predecessor>,
     },
-    /// This node owns the shard and may act for it while [`egretlb_types::Authority`] allows it.
+    /// This node owns the shard and may act for it until its [`egretlb_types::Authority`] expires.
     ShardOwned {
         /// The shard.
         shard: ShardId,
         /// The epoch.
         epoch: Epoch,
     },
-    /// This node no longer owns the shard, or another claim replaced its claim before it settled.
+    /// This node no longer owns the shard, or another claim replaced its claim before it was
+    /// settled.
     ShardLost {
         /// The shard.
         shard: ShardId,
--- a/crates/control/src/gossip.rs
+++ b/crates/control/src/gossip.rs
@@ -1,8 +1,9 @@
-//! Heartbeats, which spread the time of last contact with each process.
+//! Heartbeats, and the time of last contact with each process that they report.
 //!
-//! Each scheduler sends two heartbeats a second to random peers, with the schedulers that it has
-//! had recent contact with. Sending to every peer would exceed a node's network budget for control.
-//! Gossip is only a hint: it decides who claims a shard when, never who may act for it.
+//! Each scheduler sends two heartbeats a second, each to one peer, mostly at random. They report
+//! which schedulers it had recent contact with, directly or through others. Sending to every peer
+//! would exceed a node's network budget for control messages. Gossip only affects which process
+//! claims a shard and when; ownership of a shard is decided by the log.
 
 use {
     crate::{
@@ -18,20 +19,21 @@
 /// Time between two heartbeats of a scheduler.
 const SCHEDULER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two heartbeats of an entry. An entry is removed only after minutes without contact.
+/// Time between two heartbeats of an entry process. It is removed from the members only after
+/// minutes without contact.
 const ENTRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Share of a scheduler's heartbeats sent to any process, to spread the configuration version. The
 /// others go to schedulers, as only they claim shards.
 const ANY_PROCESS_SHARE: f64 = 0.125;
 
-/// A process without contact for this long is probed, and answers at once. This prevents most wrong
-/// suspicions.
+/// A scheduler without contact for this long gets a heartbeat (a probe), which it answers at once.
+/// This prevents most false suspicions of failure.
 pub(crate) const PROBE_AFTER: Duration = Duration::from_millis(2_500);
 
-/// A process without contact for longer than this is suspected and gets only every other heartbeat,
-/// so that failed processes don't delay contact between live ones.
-const PROBE_FIRST_UNTIL: Duration = Duration::from_secs(4);
+/// A scheduler without contact for this long, which is then suspected to have failed, is probed with
+/// at most every other heartbeat, so that failed processes don't delay contact between live ones.
+const PROBE_ALTERNATELY_AFTER: Duration = Duration::from_secs(4);
 
 /// A process without contact for this long is no longer probed, only sent random heartbeats.
 const PROBE_UNTIL: Duration = Duration::from_secs(10);
@@ -39,8 +41,9 @@
 /// The unit of [`LastContact::age`], in milliseconds.
 const AGE_UNIT_MS: u64 = 100;
 
-/// The last contact with a process, which is named by the low 32 bits of its id. If two processes
-/// share a tag, a failure of one stays undetected until the other restarts.
+/// The last contact with a process, as reported in a heartbeat. The process is identified by a tag,
+/// the low 32 bits of its id. If two processes have the same tag, a failure of one stays undetected
+/// until the other restarts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LastContact {
     /// The low 32 bits of the process's id.
@@ -49,7 +52,7 @@
     pub age: u8,
 }
 
-/// A message that says its sender is alive, and with whom it had contact.
+/// A message that shows that its sender is alive, and reports which schedulers it had contact with.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
@@ -69,13 +72,13 @@
     (node.0 as u32).to_le_bytes()
 }
 
-/// The last contact with a peer.
+/// Contact with a peer, as known to this process.
 #[derive(Clone, Copy, Debug)]
 struct PeerContact {
-    /// The last heartbeat, received here or reported by others.
+    /// When the peer last sent a heartbeat to this process or to others that reported it.
     last_contact: Option<Time>,
-    /// Earliest start of the peer's idle time. Not reported to others, or a peer that was just
-    /// pruned would seem alive to them.
+    /// The peer's idle time doesn't start before this. Not reported to others, since it doesn't show
+    /// that the peer is alive.
     idle_from: Time,
 }
 
@@ -85,65 +88,69 @@
     }
 }
 
-/// Times of last contact with each peer.
+/// The last contact with each peer, and the schedule of this process's heartbeats.
 #[derive(Clone, Debug)]
 pub(crate) struct Gossip {
-    me: NodeInfo,
+    own_info: NodeInfo,
     rng: SmallRng,
     peers: BTreeMap<NodeId, PeerContact>,
     last_received: Option<Time>,
+    /// When the next heartbeat is due.
     next_at: Time,
-    probe_next: bool,
+    /// Whether the current heartbeat may probe a suspected process; alternates.
+    may_probe_suspected: bool,
 }
 
 impl Gossip {
-    pub(crate) fn new(me: NodeInfo, seed: u64) -> Self {
+    pub(crate) fn new(own_info: NodeInfo, seed: u64) -> Self {
         Gossip {
-            me,
+            own_info,
             rng: SmallRng::seed_from_u64(seed),
             peers: BTreeMap::new(),
             last_received: None,
             next_at: Time::ZERO,
-            probe_next: false,
+            may_probe_suspected: false,
         }
     }
 
-    /// Follows the membership; a new member's idle time starts now.
+    /// Adds new members, whose idle time starts now, and removes former ones.
     pub(crate) fn update_members(&mut self, now: Time, state: &ControlState) {
         self.peers.retain(|node, _| state.member(*node).is_some());
-        for info in state.members().filter(|info| info.node != self.me.node) {
+        for info in state.members().filter(|info| info.node != self.own_info.node) {
             self.peers
                 .entry(info.node)
                 .or_insert(PeerContact { last_contact: None, idle_from: now });
         }
     }
 
-    /// Restarts every idle time, after this process was without a fresh read itself.
+    /// Restarts every idle time, after this process had no fresh read of the log.
     pub(crate) fn reset_idle_times(&mut self, now: Time) {
         for peer in self.peers.values_mut() {
             peer.idle_from = now;
         }
     }
 
-    /// Time since the last contact with the process; `None` if it isn't a member.
+    /// Idle time of the process: time since the last contact, since it became a member or since the
+    /// last reset; `None` if it isn't another member.
     pub(crate) fn time_since_contact(&self, now: Time, node: NodeId) -> Option<Duration> {
         self.peers.get(&node).map(|peer| now.since(peer.idle_since()))
     }
 
-    /// When the last contact with the process was.
+    /// When the last contact with the process was; `None` if there was none.
     pub(crate) fn last_contact(&self, node: NodeId) -> Option<Time> {
         self.peers.get(&node).and_then(|peer| peer.last_contact)
     }
 
     /// Whether a heartbeat of any process arrived within `span`.
     ///
-    /// A process that is cut off loses contact with its peers one after the other. Without this
-    /// check it would claim the shards of the first while it still seems to have contact with most.
+    /// A process that can't be reached any more loses contact with its peers one after the other.
+    /// Without this check it would claim the shards of the first while it still seems to have contact
+    /// with most.
     pub(crate) fn received_within(&self, now: Time, span: Duration) -> bool {
         self.last_received.is_some_and(|at| now.since(at) <= span)
     }
 
-    /// Handles a heartbeat. Returns `true` if the sender has no recent contact with this process
+    /// Handles a heartbeat. Returns `true` if the sender has had no recent contact with this scheduler
     /// and should get an answer at once.
     pub(crate) fn receive(&mut self, now: Time, heartbeat: &Heartbeat) -> bool {
         self.last_received = Some(now);
@@ -157,12 +164,14 @@
                 self.record_contact(node, now - age);
             }
         }
-        let limit = PROBE_AFTER.as_millis() as u64 / AGE_UNIT_MS;
-        let sees_me = |c: &LastContact| c.tag == tag(self.me.node) && u64::from(c.age) < limit;
-        let lost_contact = !heartbeat.last_contacts.iter().any(sees_me);
+        let max_age = PROBE_AFTER.as_millis() as u64 / AGE_UNIT_MS;
+        let had_recent_contact = |contact: &LastContact| {
+            contact.tag == tag(self.own_info.node) && u64::from(contact.age) < max_age
+        };
+        let lost_contact = !heartbeat.last_contacts.iter().any(had_recent_contact);
         // An answer is never answered, or a peer that doesn't know this process yet would cause a
         // loop.
-        lost_contact && !heartbeat.answer && self.me.role == Role::Scheduler
+        lost_contact && !heartbeat.answer && self.own_info.role == Role::Scheduler
     }
 
     /// The process to send a heartbeat to now, if one is due.
@@ -175,11 +184,12 @@
             return None;
         }
         // Jitter, so that processes started together don't send in step.
-        let is_entry = self.me.role == Role::Entry;
+        let is_entry = self.own_info.role == Role::Entry;
         let interval = if is_entry { ENTRY_INTERVAL } else { SCHEDULER_INTERVAL };
         self.next_at = now + interval.mul_f64(self.rng.random_range(0.9..1.1));
-        let others: Vec<&NodeInfo> = members.filter(|info| info.node != self.me.node).collect();
-        self.probe_next = !self.probe_next;
+        let others: Vec<&NodeInfo> =
+            members.filter(|info| info.node != self.own_info.node).collect();
+        self.may_probe_suspected = !self.may_probe_suspected;
         let idle_time =
             |info: &NodeInfo| self.time_since_contact(now, info.node).unwrap_or_default();
         let probe_target = others
@@ -187,9 +197,10 @@
             .copied()
             .filter(|info| info.role == Role::Scheduler)
             .filter(|info| (PROBE_AFTER..PROBE_UNTIL).contains(&idle_time(info)))
-            // Longest idle first; suspected processes come last.
-            .max_by_key(|info| (idle_time(info) < PROBE_FIRST_UNTIL, idle_time(info)));
-        let may_probe = |info: &NodeInfo| self.probe_next || idle_time(info) < PROBE_FIRST_UNTIL;
+            // The longest idle one, but a suspected one only if there are no others.
+            .max_by_key(|info| (idle_time(info) < PROBE_ALTERNATELY_AFTER, idle_time(info)));
+        let may_probe =
+            |info: &NodeInfo| self.may_probe_suspected || idle_time(info) < PROBE_ALTERNATELY_AFTER;
         match probe_target.filter(|info| may_probe(info)) {
             Some(info) => Some(info),
             None => self.random_recipient(&others),
@@ -199,7 +210,8 @@
     fn random_recipient<'a>(&mut self, others: &[&'a NodeInfo]) -> Option<&'a NodeInfo> {
         let is_scheduler = |info: &&&NodeInfo| info.role == Role::Scheduler;
         let schedulers: Vec<&NodeInfo> = others.iter().filter(is_scheduler).copied().collect();
-        let to_anyone = self.me.role == Role::Scheduler && self.rng.random_bool(ANY_PROCESS_SHARE);
+        let to_anyone =
+            self.own_info.role == Role::Scheduler && self.rng.random_bool(ANY_PROCESS_SHARE);
         if to_anyone || schedulers.is_empty() {
             return others.choose(&mut self.rng).copied();
         }
@@ -221,7 +233,7 @@
                 Some(LastContact { tag: tag(node), age })
             })
             .collect();
-        Heartbeat { from: self.me.node, has_fresh_read, config, answer: false, last_contacts }
+        Heartbeat { from: self.own_info.node, has_fresh_read, config, answer: false, last_contacts }
     }
 
     fn record_contact(&mut self, node: NodeId, at: Time) {
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -17,12 +17,12 @@
 
 /// Encoding version of [`PeerMessage`], the first byte of each encoded message. Messages of another
 /// version, sent during a rolling update, are dropped.
-const LAYOUT: u8 = 1;
+const ENCODING_VERSION: u8 = 1;
 
 /// A message between processes. Messages may be lost, repeated, delayed or reordered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Times of last contact with the schedulers.
+    /// Shows that the sender is alive, and reports its last contact with the schedulers.
     Heartbeat(Heartbeat),
     /// Requests the configuration in force.
     ConfigRequest,
@@ -53,7 +53,8 @@
     ShareRequest(ShareRequest),
     /// The answer to [`PeerMessage::ShareRequest`].
     Shares(ShareGrant),
-    /// Other entries lack shares, so the receiver should request its shares again soon.
+    /// Tells an entry that other entries lack shares, so that it requests its shares again soon and
+    /// can be granted fewer. Sent by the rack's owner.
     RecallShares {
         /// The rack's shard.
         shard: ShardId,
@@ -65,16 +66,16 @@
         /// The measurements.
         load: ClassLoad,
     },
-    /// To a scheduler, independent of its shards.
+    /// A message to a scheduler that doesn't concern one of its shards.
     ToNode(NodeMsg),
-    /// To the owner of a rack's shard.
+    /// A message to the owner of a rack's shard.
     ToRack {
         /// The shard.
         shard: ShardId,
         /// The message.
         msg: RackMsg,
     },
-    /// To the owner of a job's shard.
+    /// A message to the owner of a job's shard.
     ToJob {
         /// The shard.
         shard: ShardId,
@@ -83,14 +84,14 @@
     },
     /// An operator's call, forwarded to the job's owner.
     JobCall {
-        /// The sender's id for the call.
+        /// The caller's id for the call, returned with the answer.
         call: CallId,
         /// The call.
         request: JobRequest,
     },
     /// The answer to [`PeerMessage::JobCall`].
     JobReply {
-        /// The receiver's id for the call.
+        /// The caller's id for the call.
         call: CallId,
         /// The answer.
         reply: JobReply,
@@ -121,13 +122,13 @@
 impl PeerMessage {
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Can't fail: no type here holds a map of unknown length.
-        postcard::to_extend(self, vec![LAYOUT]).unwrap_or_default()
+        // Can't fail: the length of every sequence and map is known.
+        postcard::to_extend(self, vec![ENCODING_VERSION]).unwrap_or_default()
     }
 
     /// Decodes a message; `None` if it is invalid or has another encoding version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let (layout, rest) = bytes.split_first()?;
-        (*layout == LAYOUT).then(|| postcard::from_bytes(rest).ok())?
+        let (version, rest) = bytes.split_first()?;
+        (*version == ENCODING_VERSION).then(|| postcard::from_bytes(rest).ok())?
     }
 }
--- a/crates/workflow/src/crash.rs
+++ b/crates/workflow/src/crash.rs
@@ -1,8 +1,9 @@
 //! Attributes worker crashes to tasks.
 //!
-//! A crashed worker loses all its runs without reporting a cause. Runs that had just started are
-//! suspects; runs that had worked for a while are probably not the cause. If exactly one run had
-//! just started, it is the most likely cause.
+//! When a worker crashes, all its runs end without a reported cause. Runs that had just started are
+//! suspected; runs that had worked for a while are probably not the cause. If exactly one run had
+//! just started, it is the most likely cause. A task that has crashed too many workers is given up:
+//! it isn't started again, and its workflow fails.
 
 use {
     crate::{RunId, WorkerId},
@@ -10,22 +11,24 @@
     std::fmt,
 };
 
-/// Number of crashes of any kind after which a task is given up. The platform allows at most two
-/// starts after the third.
+/// Number of lost workers with a run of a task, for whatever reason, after which it is given up. The
+/// platform allows at most two starts after the third loss.
 const MAX_CRASHES: usize = 5;
 
 /// Number of confirmed worker crashes right after the task's start after which it is given up.
-const MAX_CERTAIN_CRASHES: usize = 3;
+const MAX_CONFIRMED_CRASHES: usize = 3;
 
-/// Number of crashes right after the task's start, confirmed or not, after which it is given up.
+/// Number of worker crashes right after the task's start, confirmed or not, after which it is given
+/// up.
 const MAX_SUSPECTED_CRASHES: usize = 4;
 
-/// How strongly a worker's loss implicates one of its runs, from weakest to strongest.
+/// How likely a run is the cause of its worker's loss, from least to most likely.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub enum CrashEvidence {
     /// The run had been working for a while.
     Late,
-    /// The worker may only be unreachable, or the run may never have started.
+    /// The run may have just started, but the worker may only be unreachable, or the run may never
+    /// have started.
     Unsure,
     /// The worker crashed, but other runs had also just started there, or other workers crashed at
     /// the same time.
@@ -34,12 +37,12 @@
     Alone,
 }
 
-/// The loss of a worker under a run of a task.
+/// The loss of a worker on which a run of a task was active.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Crash {
     /// The run. Each run counts once, even if two leaders record its crash.
     pub run: RunId,
-    /// How strongly the loss implicates the run.
+    /// How likely the run is the cause.
     pub evidence: CrashEvidence,
 }
 
@@ -75,7 +78,7 @@
         |min_evidence| crashes.iter().filter(|crash| crash.evidence >= min_evidence).count();
     let last_alone = crashes.last().is_some_and(|crash| crash.evidence == CrashEvidence::Alone);
     (last_alone && count(CrashEvidence::Shared) >= 2)
-        || count(CrashEvidence::Shared) >= MAX_CERTAIN_CRASHES
+        || count(CrashEvidence::Shared) >= MAX_CONFIRMED_CRASHES
         || count(CrashEvidence::Unsure) >= MAX_SUSPECTED_CRASHES
         || crashes.len() >= MAX_CRASHES
 }
--- a/crates/workflow/src/directory.rs
+++ b/crates/workflow/src/directory.rs
@@ -30,14 +30,14 @@
     pub data_centre: CompactString,
     /// Total resources.
     pub capacity: Resources,
-    /// Machine type and rack.
+    /// Machine type and rack; the rack is last.
     pub labels: SmallVec<[CompactString; 2]>,
     /// Whether it accepts new tasks.
     pub state: WorkerState,
 }
 
 impl WorkerInfo {
-    /// Returns the worker's rack, which is its last label.
+    /// Returns the worker's rack.
     pub fn rack(&self) -> Option<&str> {
         self.labels.last().map(CompactString::as_str)
     }
@@ -47,8 +47,8 @@
         self.labels.iter().any(|own| own == label)
     }
 
-    /// Handles a newest entry that can't be read: a ready worker gets no new tasks until it can be,
-    /// and a draining worker keeps draining.
+    /// Notes that the worker's newest entry can't be read: a ready worker gets no new tasks until it
+    /// can be, and a draining worker keeps draining.
     pub fn mark_unreadable(&mut self) {
         if self.state == WorkerState::Ready {
             self.state = WorkerState::Other;
--- a/crates/workflow/src/ids.rs
+++ b/crates/workflow/src/ids.rs
@@ -12,7 +12,7 @@
 /// Why a text can't be parsed as an ID.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IdError {
-    /// A workflow ID must be 16 hexadecimal digits.
+    /// A workflow ID must be 16 hexadecimal digits, letters in lower case.
     Workflow,
     /// A task ID must be a workflow ID and three numbers, separated by dots.
     Task,
--- a/crates/workflow/src/leadership/mod.rs
+++ b/crates/workflow/src/leadership/mod.rs
@@ -116,7 +116,7 @@
     released: bool,
     /// The newest leader's last heartbeat.
     last_heartbeat: Option<Heartbeat>,
-    /// When the claim of this process's term was sent.
+    /// Start of this process's term, shortly before its claim was read.
     term_start: Time,
     max_epoch: Epoch,
     /// Epoch of an abandoned claim, which may still take effect.
--- a/crates/workflow/src/leadership/succession.rs
+++ b/crates/workflow/src/leadership/succession.rs
@@ -27,7 +27,7 @@
 /// one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Succession {
-    /// Start of this term, when its claim was sent. Recorded times count from here.
+    /// Start of this term, shortly before its claim was read. Recorded times count from here.
     pub began: Time,
     /// Epoch of the last leader; 0 if there was none.
     predecessor: Epoch,
@@ -40,8 +40,8 @@
 }
 
 impl Succession {
-    /// Creates the state for the term of epoch `claimed`, whose claim was sent at `began` and read
-    /// now. `heartbeat` is the newest one of the last leader.
+    /// Creates the state for the term of epoch `claimed`, which starts at `began` and whose claim was
+    /// read now. `heartbeat` is the newest one that was read before.
     pub(super) fn new(
         now: Time,
         began: Time,
--- a/crates/workflow/src/ledger/mod.rs
+++ b/crates/workflow/src/ledger/mod.rs
@@ -1,9 +1,11 @@
-//! State of all workflows, folded from the store's records.
+//! State of all workflows, built from the store's records.
 //!
-//! Every process folds the same records, so each can report the state of any workflow and can lead
-//! at once. Pages of the newest records aren't a consistent snapshot: a later page may hold records
-//! written after the first, which appear again when the log's tail is read. So a record only counts
-//! if its offset is higher than that of the last one with the same key.
+//! Every process applies the same records, so each can report the state of any workflow, and can act
+//! as leader as soon as it is elected. A process first reads the newest record of each key, page by
+//! page, and then the records appended since. The pages aren't a consistent snapshot: a later page
+//! may hold records written after the first page was read, which are then read again. So a record
+//! that replaces earlier ones only counts if its offset is higher than that of the last one with the
+//! same key. Submissions and cancellations have no later versions; the first one counts.
 
 use {
     crate::{
@@ -32,7 +34,7 @@
 /// Recorded state of a workflow.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
-    /// The queue's name.
+    /// Name of the queue that the workflow was submitted to.
     pub route: CompactString,
     /// The submission; `None` once the workflow has ended.
     pub submission: Option<Arc<Submission>>,
@@ -40,9 +42,12 @@
     pub cancelled: bool,
     /// Progress recorded by the leader.
     pub progress: Progress,
+    /// Whether the submission was read.
     submitted: bool,
-    scheduled: bool,
-    progress_at: Option<Offset>,
+    /// Whether the workflow has a schedule of repetitions.
+    repeats: bool,
+    /// Offset of the newest progress record.
+    progress_offset: Option<Offset>,
 }
 
 impl Entry {
@@ -62,16 +67,17 @@
         self.submitted
     }
 
-    /// Returns whether the workflow waits for its first start.
+    /// Returns whether the workflow waits for its first start. One with a schedule of repetitions
+    /// doesn't count, since it may wait for its time.
     fn is_pending(&self) -> bool {
-        self.submitted && !self.scheduled && self.state() == WorkflowState::Queued
+        self.submitted && !self.repeats && self.state() == WorkflowState::Queued
     }
 }
 
-/// The change made by a record.
+/// The change of the ledger that a record made.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LedgerChange {
-    /// No change.
+    /// No change, or one that needs no action.
     None,
     /// A new workflow.
     Submitted(WorkflowId),
@@ -81,17 +87,18 @@
     Progressed(WorkflowId),
     /// The leader record changed.
     Leader,
-    /// The roster changed.
+    /// The list of workers that may run tasks on a leader's command changed.
     Roster,
 }
 
-/// State folded from all records.
+/// State built from all records.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     entries: HashMap<WorkflowId, Entry>,
     leader: Option<(Offset, LeaderRecord)>,
     roster: Option<(Offset, Roster)>,
     interference_model: Option<(Offset, InterferenceModel)>,
+    /// Progress of maintenance waves by number.
     waves: BTreeMap<u64, (Offset, WaveProgress)>,
 }
 
@@ -106,7 +113,7 @@
         self.entries.len()
     }
 
-    /// Returns whether there are no records of any workflow.
+    /// Returns whether no workflow has any record.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -131,7 +138,7 @@
         self.interference_model.as_ref().map(|(_, interference_model)| interference_model)
     }
 
-    /// Returns the progress of a maintenance wave.
+    /// Returns the progress of the maintenance wave with this number.
     pub fn wave(&self, number: u64) -> Option<&WaveProgress> {
         self.waves.get(&number).map(|(_, progress)| progress)
     }
@@ -146,7 +153,7 @@
     }
 
     /// Returns the number of a queue's workflows that wait for their first start, not counting
-    /// those with a schedule.
+    /// those with a schedule of repetitions.
     pub fn pending(&self, route: &str) -> usize {
         self.entries.values().filter(|entry| entry.route == route && entry.is_pending()).count()
     }
@@ -229,22 +236,22 @@
         Ok(LedgerChange::None)
     }
 
-    /// Only the first submission of an ID counts. A client without an answer submits again,
-    /// possibly after another process has recorded the first.
+    /// Applies the first submission of an ID. A client that got no answer submits again, so another
+    /// process may already have recorded the workflow.
     fn apply_submission(
         &mut self,
         id: WorkflowId,
         value: &[u8],
     ) -> Result<LedgerChange, RecordError> {
-        // Repeated submissions are read too: an unreadable one replaces the readable one in the
-        // store, which later processes depend on.
+        // Repeated submissions are decoded too, so that an unreadable one is reported: it replaces the
+        // first one in the store, and processes that start later read only the newest.
         let submission: Submission = read_value(value)?;
         if self.entries.get(&id).is_some_and(|entry| entry.submitted) {
             return Ok(LedgerChange::None);
         }
         let entry = self.entries.entry(id).or_default();
         entry.submitted = true;
-        entry.scheduled = submission.workflow.repeat.is_some();
+        entry.repeats = submission.workflow.repeat.is_some();
         entry.route = submission.route.clone();
         if entry.progress.outcome.is_none() {
             entry.submission = Some(Arc::new(submission));
@@ -258,15 +265,15 @@
         offset: Offset,
         value: &[u8],
     ) -> Result<LedgerChange, RecordError> {
-        let last_offset = self.entries.get(&id).and_then(|entry| entry.progress_at);
+        let last_offset = self.entries.get(&id).and_then(|entry| entry.progress_offset);
         if last_offset.is_some_and(|stored_offset| stored_offset >= offset) {
             return Ok(LedgerChange::None);
         }
-        // Read first, so that an unreadable record leaves no entry behind.
+        // Decoded before the entry is created, so that an unreadable record creates none.
         let progress = read_value(value)?;
         let entry = self.entries.entry(id).or_default();
         entry.progress = progress;
-        entry.progress_at = Some(offset);
+        entry.progress_offset = Some(offset);
         if entry.progress.outcome.is_some() {
             entry.submission = None;
         }
--- a/crates/workflow/src/lib.rs
+++ b/crates/workflow/src/lib.rs
@@ -1,7 +1,7 @@
 //! Workflows: multi-step jobs whose tasks run on workers under leases.
 //!
-//! This crate makes decisions and performs no I/O. [`Ledger`] folds the store's records into the
-//! state of every workflow; each process keeps one. [`Leadership`] decides which process leads. The
+//! This crate makes decisions and performs no I/O. [`Ledger`] builds the state of every workflow from
+//! the store's records; each process has one. [`Leadership`] decides which process leads. The
 //! leader's [`Scheduler`] places, renews, stops and records tasks. Time is an argument everywhere,
 //! and effects are returned as data.
 
--- a/crates/workflow/src/limits.rs
+++ b/crates/workflow/src/limits.rs
@@ -2,13 +2,14 @@
 
 use std::time::Duration;
 
-/// Time limits and thresholds. Those marked as platform limits come from its settings.
+/// Time limits and thresholds. Those marked as platform limits come from the platform's settings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Requested lease duration, at most the platform limit. It must outlast a leader change (2 s)
     /// and most store outages; a longer one delays restarts after a worker is lost.
     pub lease: Duration,
-    /// Maximum rate, in percent, by which a worker's clock may lag. Platform limit.
+    /// Maximum percentage by which a worker's clock runs slower than the leader's, so that leases end
+    /// later. Platform limit.
     pub clock_slow_percent: u32,
     /// How long after sending its last recorded heartbeat a leader may send commands. Covers store
     /// outages of a few seconds. A new leader waits this long for unreachable workers.
@@ -33,14 +34,14 @@
     pub poll_wait: Duration,
     /// Pause between polls of a worker, so that simultaneous ends are read in one call.
     pub poll_gap: Duration,
-    /// Time since last contact after which a worker gets no new tasks and no lease renewals, which
-    /// fixes the time by which its runs have lapsed.
+    /// Time since last contact after which a worker gets no new tasks and no lease renewals, so that
+    /// the leases of its runs expire at a known time.
     pub unresponsive_after: Duration,
     /// How long a command may be unanswered before its outcome counts as unconfirmed.
     pub command_timeout: Duration,
     /// How long ends and progress are batched before they are recorded.
     pub record_gap: Duration,
-    /// How long the state of an ended workflow is kept. Twice the platform's retention of states.
+    /// How long the state of an ended workflow is kept: twice as long as the platform requires.
     pub retention: Duration,
 }
 
--- a/crates/workflow/src/maintenance.rs
+++ b/crates/workflow/src/maintenance.rs
@@ -1,4 +1,5 @@
-//! Maintenance waves requested by the operator, and the platform's list of VMs.
+//! Maintenance waves, in which an operator has a list of VMs maintained a few at a time, and the
+//! platform's list of VMs.
 
 use {
     crate::WorkerId,
@@ -22,7 +23,7 @@
 pub enum VmState {
     /// Its worker runs.
     Up,
-    /// Moving to another pool, in maintenance or down.
+    /// Not available: moving to another pool, in maintenance or down.
     Away,
 }
 
@@ -46,12 +47,12 @@
     pub complete: bool,
 }
 
-/// A request for maintenance of VMs.
+/// An operator's request for maintenance of VMs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Wave {
     /// The VMs.
     pub vms: Vec<VmId>,
-    /// Deadline, relative to the request.
+    /// Time from the request within which maintenance of all VMs is to be complete.
     pub within: Duration,
     /// Maximum number of VMs in maintenance at once.
     pub max_down: u32,
@@ -62,7 +63,7 @@
 pub enum WaveState {
     /// Maintenance of some VMs isn't complete.
     Running,
-    /// Maintenance of all remaining VMs is complete, and they are up again.
+    /// Maintenance of all VMs that still exist is complete, and they are up again.
     Completed,
 }
 
--- a/crates/workflow/src/record.rs
+++ b/crates/workflow/src/record.rs
@@ -18,16 +18,16 @@
 /// Version of the value encoding. Records of other versions are skipped.
 const FORMAT_VERSION: u8 = 5;
 
-/// The subject of a record.
+/// What a record describes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Key {
     /// The current leader.
     Leader,
     /// Workers that may run tasks on a leader's command.
     Roster,
-    /// The learned interference model.
+    /// The interference model that the leader learned.
     InterferenceModel,
-    /// Progress of a maintenance wave.
+    /// Progress of the maintenance wave with this number.
     Wave(u64),
     /// A workflow's submission.
     Submission(WorkflowId),
@@ -40,7 +40,7 @@
 /// Why a record can't be read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RecordError {
-    /// The key has an unknown form.
+    /// The key isn't one of the forms of [`Key`].
     UnknownKey,
     /// The value has another format version.
     UnsupportedVersion {
@@ -145,23 +145,24 @@
     pub id: WorkerId,
     /// Address that accepts commands.
     pub addr: SocketAddr,
-    /// What a new leader must assume about its runs.
+    /// What may run there, as far as the leader knows.
     pub state: RosterState,
 }
 
-/// What may run on a worker. Times are in milliseconds of the writer's term. A new leader uses the
-/// writer's last heartbeat to work out how much of them has passed.
+/// What may run on a worker, and whether runs may be started there. Times are in milliseconds since
+/// the start of the writer's term. A new leader converts them with the writer's last heartbeat.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum RosterState {
     /// The worker answered in this term, and any task may be started there.
     Open,
-    /// No start or renewal is sent until a roster that allows it is recorded.
+    /// The worker lost contact with the leader. No start or renewal is sent to it until a roster that
+    /// lists it as open or draining is recorded.
     Unresponsive {
         /// All runs that may be active there.
         runs: Vec<(TaskId, RunId)>,
-        /// Runs that had just started when contact was lost and may have crashed the worker.
+        /// The runs that had just started when contact was lost: one may have crashed the worker.
         just_started: Vec<(TaskId, RunId)>,
-        /// When these runs have lapsed.
+        /// When the leases of these runs have expired, in milliseconds of the writer's term.
         lapses_ms: u64,
     },
     /// The worker is shutting down: no new starts, but leases may be renewed.
@@ -171,7 +172,7 @@
     },
     /// The worker hasn't answered in this term. An earlier leader may have started any task there.
     Unreconciled {
-        /// When all runs there have lapsed.
+        /// When the leases of all runs there have expired, in milliseconds of the writer's term.
         lapses_ms: u64,
     },
 }
@@ -180,7 +181,7 @@
 /// deleted.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// The queue's name.
+    /// Name of the queue that the workflow was submitted to.
     pub route: CompactString,
     /// The service whose workers run the tasks.
     pub service: CompactString,
@@ -205,7 +206,7 @@
 pub enum Outcome {
     /// All tasks completed.
     Completed,
-    /// A task used up its attempts, or crashes the workers that start it.
+    /// A task used up its attempts, or has crashed too many workers.
     Failed,
     /// It was cancelled.
     Cancelled,
@@ -216,13 +217,14 @@
 pub struct StepProgress {
     /// Finished tasks.
     pub done: Bits,
-    /// Failed runs. Each counts once, however often its end is read.
+    /// Failed runs with their task indexes. Each counts once, however often its end is read.
     pub failed: Vec<(u32, RunId)>,
-    /// Runs whose worker was lost.
+    /// Runs whose worker was lost, with their task indexes.
     pub crashes: Vec<(u32, Crash)>,
-    /// Isolated starts, and runs that may have crashed an unresponsive worker.
+    /// Isolated starts, and runs that may have crashed an unresponsive worker, with their task
+    /// indexes.
     pub announced: Vec<(u32, AnnouncedRun)>,
-    /// Checkpoints of tasks that aren't running.
+    /// Checkpoints of tasks that aren't running, with the tasks' indexes.
     pub saved: Vec<(u32, CompactString)>,
 }
 
--- a/crates/workflow/src/routes.rs
+++ b/crates/workflow/src/routes.rs
@@ -1,11 +1,12 @@
-//! The active configuration, which maps requests to queues.
+//! The queues of the active configuration, and which of them a request is for.
 
 use {
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
 };
 
-/// Cost and validity of a policy decision on which workers may run a step.
+/// Duration and validity of a decision of the policy service, which allows some of the candidate
+/// workers to run a step and issues a ticket for each.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AdviceTerms {
     /// Fixed duration of a decision, in milliseconds.
@@ -39,7 +40,7 @@
     pub advice: Option<AdviceTerms>,
 }
 
-/// One version of the configuration.
+/// The queues in one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
     /// Version number, which only increases.
@@ -50,11 +51,12 @@
 
 impl RouteTable {
     /// Returns the queue for a request: the one for its host with the longest matching path prefix.
+    /// The host's port and case are ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or(host);
-        let fits = |route: &&Route| {
+        let matches = |route: &&Route| {
             route.host.eq_ignore_ascii_case(host) && path.starts_with(route.prefix.as_str())
         };
-        self.routes.iter().filter(fits).max_by_key(|route| route.prefix.len())
+        self.routes.iter().filter(matches).max_by_key(|route| route.prefix.len())
     }
 }
--- a/crates/workflow/src/spec.rs
+++ b/crates/workflow/src/spec.rs
@@ -105,7 +105,7 @@
         /// The step it depends on.
         after: u16,
     },
-    /// Repetitions with an interval of zero.
+    /// The workflow repeats more than once with an interval of zero.
     Repeat,
 }
 
@@ -139,7 +139,7 @@
 impl std::error::Error for SpecError {}
 
 impl Workflow {
-    /// Checks all limits, and that steps depend only on earlier ones.
+    /// Checks the sizes and the schedule, and that steps depend only on earlier ones.
     ///
     /// # Errors
     ///
