--- a/crates/workflow/src/colocation/groups.rs
+++ b/crates/workflow/src/colocation/groups.rs
@@ -189,7 +189,7 @@
         other_group_tasks
     }
 
-    /// Returns the migration or swap with the highest gain, if it exceeds [`MIN_GAIN_CORES`] per
+    /// Returns the migration or swap with the highest gain, if it exceeds `MIN_GAIN_CORES` per
     /// migrated task. `is_eligible(task, host)` tells whether a task may run on a host, apart from
     /// capacity.
     pub fn best_regrouping(
--- a/crates/workflow/src/colocation/model.rs
+++ b/crates/workflow/src/colocation/model.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns the column of a best-effort image, assigning one if needed, or `None` if there are
-    /// [`MAX_BEST_EFFORT_IMAGES`] others.
+    /// `MAX_BEST_EFFORT_IMAGES` others.
     pub fn column(&mut self, best_effort: ImageNo) -> Option<usize> {
         let columns = self.columns;
         let image = self.images.get_mut(usize::from(best_effort.0))?;
--- a/crates/workflow/tests/missing_entries.rs
+++ b/crates/workflow/tests/missing_entries.rs
@@ -121,7 +121,7 @@
 /// The entry of a worker that crashed long ago is read again, as after a store outage that delayed its expiry, and then
 /// the leader changes. Nothing was started on that worker meanwhile, so the new leader must not wait for it.
 #[test]
-fn stale_entry() {
+fn stale_entry_delays_nothing() {
     for seed in 0..6 {
         let mut world = world(seed);
         world.workers[0].crash(&mut world.checker);
