--- a/crates/control/src/gossip.rs
+++ b/crates/control/src/gossip.rs
@@ -130,9 +130,9 @@
         }
     }
 
-    /// Idle time of the process: time since the last contact, since it became a member or since the
+    /// Time since the last contact with the process, since it became a member or since the
     /// last reset; `None` if it isn't another member.
-    pub(crate) fn time_since_contact(&self, now: Time, node: NodeId) -> Option<Duration> {
+    pub(crate) fn idle_time(&self, now: Time, node: NodeId) -> Option<Duration> {
         self.peers.get(&node).map(|peer| now.since(peer.idle_since()))
     }
 
@@ -190,8 +190,7 @@
         let others: Vec<&NodeInfo> =
             members.filter(|info| info.node != self.own_info.node).collect();
         self.may_probe_suspected = !self.may_probe_suspected;
-        let idle_time =
-            |info: &NodeInfo| self.time_since_contact(now, info.node).unwrap_or_default();
+        let idle_time = |info: &NodeInfo| self.idle_time(now, info.node).unwrap_or_default();
         let probe_target = others
             .iter()
             .copied()
--- a/crates/control/src/reducer/mod.rs
+++ b/crates/control/src/reducer/mod.rs
@@ -172,9 +172,10 @@
         (self.owned_shards.len(), self.succession.takeovers())
     }
 
-    /// Time since the last contact with the process; `None` if it isn't a member.
-    pub fn time_since_contact(&self, now: Time, node: NodeId) -> Option<Duration> {
-        self.gossip.time_since_contact(now, node)
+    /// Time since the last contact with the process, since it became a member or since the last reset;
+    /// `None` if it isn't another member.
+    pub fn idle_time(&self, now: Time, node: NodeId) -> Option<Duration> {
+        self.gossip.idle_time(now, node)
     }
 
     fn me(&self) -> NodeId {
--- a/crates/control/src/reducer/suspicion.rs
+++ b/crates/control/src/reducer/suspicion.rs
@@ -95,7 +95,7 @@
         self.observations.retain(|node, _| state.member(*node).is_some());
         for (node, observations) in &mut self.observations {
             let unresponsive =
-                gossip.time_since_contact(now, *node).is_none_or(|idle| idle >= SUSPECT_AFTER);
+                gossip.idle_time(now, *node).is_none_or(|idle| idle >= SUSPECT_AFTER);
             observations.check_requested = observations.check_requested.filter(|_| unresponsive);
             let no_contact_since =
                 |at: &Time| gossip.last_contact(*node).is_none_or(|contact| contact <= *at);
@@ -189,8 +189,7 @@
         gossip: &Gossip,
         limit: Duration,
     ) -> bool {
-        let unresponsive =
-            gossip.time_since_contact(now, info.node).is_some_and(|idle| idle >= limit);
+        let unresponsive = gossip.idle_time(now, info.node).is_some_and(|idle| idle >= limit);
         let last_log_record =
             self.observations.get(&info.node).and_then(|observations| observations.last_log_record);
         let recent_log_record = last_log_record.is_some_and(|at| now < at + limit);
@@ -198,8 +197,7 @@
     }
 
     fn is_unresponsive(&self, now: Time, node: NodeId, gossip: &Gossip) -> bool {
-        let unresponsive =
-            gossip.time_since_contact(now, node).is_none_or(|idle| idle >= SUSPECT_AFTER);
+        let unresponsive = gossip.idle_time(now, node).is_none_or(|idle| idle >= SUSPECT_AFTER);
         unresponsive
             || self
                 .observations
--- a/crates/control/tests/gossip_spread.rs
+++ b/crates/control/tests/gossip_spread.rs
@@ -38,7 +38,7 @@
     for node in &world.nodes[..schedulers] {
         let now = node.clock.read(world.now);
         for other in &world.nodes[..schedulers] {
-            let idle_time = node.control.as_ref().unwrap().time_since_contact(now, other.info.node);
+            let idle_time = node.control.as_ref().unwrap().idle_time(now, other.info.node);
             idle_times.extend(idle_time.map(|idle_time| idle_time.as_millis()));
         }
     }
--- a/crates/node/src/node/core.rs
+++ b/crates/node/src/node/core.rs
@@ -313,11 +313,8 @@
         } else {
             self.peer_config_versions.get(&info.node).copied()
         };
-        let idle_time = if is_self {
-            Some(Duration::ZERO)
-        } else {
-            self.control.time_since_contact(now, info.node)
-        };
+        let idle_time =
+            if is_self { Some(Duration::ZERO) } else { self.control.idle_time(now, info.node) };
         NodeStatus {
             node: info.node,
             name: format_compact!("{}", info.http_addr),
--- a/crates/workflow/src/crash.rs
+++ b/crates/workflow/src/crash.rs
@@ -11,8 +11,8 @@
     std::fmt,
 };
 
-/// Number of lost workers with a run of a task, for whatever reason, after which it is given up. The
-/// platform allows at most two starts after the third loss.
+/// Number of recorded crashes, however likely the task is their cause, after which it is given up.
+/// The platform allows at most two starts after the third.
 const MAX_CRASHES: usize = 5;
 
 /// Number of confirmed worker crashes right after the task's start after which it is given up.
