--- a/crates/workflow/src/scheduler/isolated_start.rs
+++ b/crates/workflow/src/scheduler/isolated_start.rs
@@ -29,9 +29,9 @@
 pub(super) enum IsolatedStart {
     /// The task may start on this worker now.
     Now(WorkerId),
-    /// The task has to wait: workers have free capacity, but none is ready for an isolated start.
+    /// The task has to wait: no worker is ready for an isolated start yet, or this tick doesn't search for one.
     Later,
-    /// No worker has free capacity.
+    /// No worker can take the task, and none is reserved.
     NoCapacity,
 }
 
@@ -70,7 +70,7 @@
 }
 
 impl Attempt {
-    /// Marks the attempt as the first of a suspected task since a crash.
+    /// Sets whether the attempt is an isolated start.
     pub(super) fn with_isolation(mut self, isolated: bool) -> Attempt {
         self.isolated = isolated;
         self
@@ -153,11 +153,11 @@
         service: &CompactString,
         requirements: &Requirements<'_>,
     ) -> IsolatedStart {
-        let (mut fit_workers, mut reserved_workers) = (0_usize, 0_usize);
+        let (mut eligible_workers, mut reserved_workers) = (0_usize, 0_usize);
         let mut best: Option<(IsolationCost, &WorkerId)> = None;
         let of_service = |(_, worker): &(&WorkerId, &Worker)| worker.info.service == *service;
         for (id, worker) in self.workers.iter().filter(of_service) {
-            fit_workers += usize::from(worker.is_eligible(now, &self.limits));
+            eligible_workers += usize::from(worker.is_eligible(now, &self.limits));
             // A reserved worker that has probably crashed doesn't count against the limit.
             let responsive =
                 worker.last_contact.is_some_and(|at| now.since(at) < PROBABLY_CRASHED_AFTER);
@@ -172,7 +172,7 @@
                 best = Some((isolation_cost, id));
             }
         }
-        self.stats.workers_scanned += fit_workers as u64;
+        self.stats.workers_scanned += eligible_workers as u64;
         let Some(id) = best.map(|(_, id)| id.clone()) else {
             return if reserved_workers > 0 {
                 IsolatedStart::Later
@@ -181,7 +181,8 @@
             };
         };
         let down_too_long = requirements.step.long_running && self.is_down_too_long(now, task);
-        if reserved_workers >= (fit_workers / WORKERS_PER_RESERVATION).max(1) && !down_too_long {
+        if reserved_workers >= (eligible_workers / WORKERS_PER_RESERVATION).max(1) && !down_too_long
+        {
             return IsolatedStart::Later;
         }
         self.reserve_worker(now, &id);
--- a/crates/workflow/src/scheduler/lost_workers.rs
+++ b/crates/workflow/src/scheduler/lost_workers.rs
@@ -44,7 +44,7 @@
 /// How long a lost worker is remembered, to find workers lost together with it.
 const LOSS_RETENTION: Duration = Duration::from_secs(10);
 
-/// Minimum number of other workers of the same rack lost together for a common cause.
+/// Minimum number of other workers of the same service and rack lost together for a common cause.
 const MIN_RACK_LOSSES: usize = 1;
 
 /// Minimum number of other workers of the same service lost together for a common cause.
@@ -177,7 +177,7 @@
     }
 
     /// How strongly the loss of this worker suggests that an attempt crashed it; none if it isn't counted as a crash.
-    /// `alone` if no other attempt here can be the cause.
+    /// `alone` if no other attempt here and no common cause with other workers can explain it.
     fn crash_evidence(
         &self,
         attempt: &Attempt,
@@ -280,7 +280,7 @@
         same_rack >= MIN_RACK_LOSSES || racks.len() >= MIN_SERVICE_LOSSES
     }
 
-    /// The runs of a lost worker, with the evidence that they crashed it. None for an expected loss.
+    /// The runs of a lost worker, with the evidence that they crashed it; an expected loss is no evidence.
     fn lost_runs(&self, now: Time, id: &WorkerId, loss: WorkerLoss) -> Vec<LostRun> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
         let expected = loss == WorkerLoss::Left || self.is_in_maintenance(id);
