--- a/crates/workflow/src/scheduler/fallback.rs
+++ b/crates/workflow/src/scheduler/fallback.rs
@@ -135,7 +135,7 @@
 
     /// Moves the first task that avoids no worker to the front of the queue, so that a failed task doesn't block the
     /// others of its step. Returns whether there is one.
-    pub(super) fn move_unrestricted_to_front(&mut self, now: Time, key: QueuedStep) -> bool {
+    pub(super) fn move_non_avoiding_to_front(&mut self, now: Time, key: QueuedStep) -> bool {
         if !self.front_avoids_worker(now, key) {
             return false;
         }
--- a/crates/workflow/src/scheduler/placement.rs
+++ b/crates/workflow/src/scheduler/placement.rs
@@ -74,6 +74,7 @@
                 && demand.resources.fits(&step.resources)
         };
         let demand_is_unmet = unmet.iter().any(is_unmet);
+        // The last resort of a long-running task are quarantined and reserved workers, which `unmet` doesn't cover.
         if demand_is_unmet && !(step.long_running && self.has_last_resort(now, key.task(0))) {
             return false;
         }
@@ -110,7 +111,7 @@
                 self.choose_worker(now, task, service, &requirements, &mut candidates)
             };
             let Some(worker) = worker else {
-                if !found_only && self.move_unrestricted_to_front(now, key) {
+                if !found_only && self.move_non_avoiding_to_front(now, key) {
                     continue;
                 }
                 let avoids_worker = self.front_avoids_worker(now, key);
@@ -326,7 +327,8 @@
     ///
     /// Latency-critical tasks go where they reduce best-effort capacity least, then to workers with the same image,
     /// spread so that a slow worker affects few tasks of each step. Other tasks go where the fewest best-effort
-    /// tasks could run; best-effort tasks then go where they interfere least and most CPU is left over.
+    /// tasks could run. Then best-effort tasks go where they interfere least, and the rest to workers with
+    /// latency-critical tasks; among equal ones, where most best-effort CPU is left over.
     pub(super) fn fitness(
         &self,
         now: Time,
@@ -418,7 +420,7 @@
 /// a worker tolerate.
 const ACCEPTANCE_UNIT: f32 = 0.1;
 
-/// Maximum best-effort capacity that a latency-critical task may reduce without waiting, in units of
+/// Maximum amount by which a latency-critical task may reduce best-effort capacity without waiting, in units of
 /// [`CAPACITY_UNIT_MILLICORES`]. For more, it first waits [`BETTER_WORKER_WAIT`], since it runs for a minute or longer.
 const MAX_LOST_CAPACITY_UNITS: i64 = 1;
 
@@ -464,9 +466,9 @@
     if requirements.rack.is_some() && requirements.rack != worker.info.rack() {
         return false;
     }
-    let overcommitted =
+    let refuses_best_effort =
         worker.over_target || worker.free_best_effort_cpu() < i64::from(step.resources.cpu.0);
-    if step.best_effort && overcommitted {
+    if step.best_effort && refuses_best_effort {
         return false;
     }
     step.per_worker == 0 || count_siblings(worker, task) < step.per_worker as usize
