--- a/crates/runtime/src/relays/leader.rs
+++ b/crates/runtime/src/relays/leader.rs
@@ -218,8 +218,8 @@
         relays_wanted(self.core.borrow().directory.len())
     }
 
-    /// Answers a VM's offer to be a relay. Declines it if enough relays and spares are connected, or if `upgrading` is
-    /// `None`: the request doesn't ask for the protocol.
+    /// Answers a follower's offer to be a relay. Declines it if enough relays and spares are connected, or if
+    /// `upgrading` is `None`: the request doesn't ask for the protocol.
     pub(crate) fn answer_offer(self: &Rc<Self>, upgrading: Option<Upgrading>) -> Response {
         let wanted = self.wanted_relays();
         let term = self.term.borrow();
@@ -285,8 +285,8 @@
             }
         };
         let read = async {
-            // A spare relay sends no frames. `None` until a frame is received, or a timeout ends while the relay is in
-            // use; the next timeout ends the connection.
+            // A spare relay sends no frames. Once a frame was received, or a timeout found the relay in use, this is
+            // set, and the next timeout ends the connection.
             let mut frames_due_since = None;
             loop {
                 let frame = match timeout(UNRESPONSIVE_AFTER, source.next()).await {
