--- a/crates/workflow/src/scheduler/candidates.rs
+++ b/crates/workflow/src/scheduler/candidates.rs
@@ -2,8 +2,8 @@
 //!
 //! Scanning all workers for each task would be too expensive: steps have dozens of tasks, and there are thousands of
 //! starts each second on hundreds of workers. A start only changes its own worker, so the other workers are
-//! scanned once for all tasks of a step that are placed together. If none qualifies, only workers contacted since
-//! are scanned again, and all workers after [`FULL_SCAN_INTERVAL`].
+//! scanned once for all tasks of a step that are placed together. If none qualifies, only workers polled or
+//! changed since are scanned again, and all workers after [`FULL_SCAN_INTERVAL`].
 
 use {
     super::{
@@ -22,7 +22,7 @@
     },
 };
 
-/// Interval of full scans: a worker can also become eligible without contact, such as by the end of its quarantine.
+/// Interval of full scans: a worker can also become eligible without a poll or change, such as by the end of its quarantine.
 const FULL_SCAN_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Maximum number of contacts kept; large fleets have over a thousand within [`FULL_SCAN_INTERVAL`].
@@ -53,7 +53,7 @@
     }
 }
 
-/// The workers that most recently replied or changed, in order.
+/// The workers whose polls ended, answered or not, or that changed most recently, in order.
 #[derive(Debug, Default)]
 pub(super) struct ContactLog {
     ids: VecDeque<WorkerId>,
@@ -62,7 +62,7 @@
 }
 
 impl ContactLog {
-    /// Adds a worker that replied or changed.
+    /// Adds a worker after a poll or a change.
     pub(super) fn note(&mut self, id: &WorkerId) {
         self.ids.push_back(id.clone());
         if self.ids.len() > MAX_CONTACTS {
--- a/crates/workflow/src/scheduler/preempt.rs
+++ b/crates/workflow/src/scheduler/preempt.rs
@@ -26,8 +26,8 @@
 /// first stops take effect.
 const MAX_STOPS_PER_PASS: usize = 3;
 
-/// Value of preempting a task: best-effort capacity gained, in units of [`CAPACITY_UNIT_MILLICORES`], then how small
-/// the task is.
+/// Value of preempting a task: best-effort capacity gained, in units of [`CAPACITY_UNIT_MILLICORES`], then the
+/// task's CPU, smallest first.
 type PreemptionValue = (i64, Reverse<MilliCores>);
 
 impl Scheduler {
@@ -93,8 +93,7 @@
     }
 
     /// The long-running task whose stop frees enough capacity for a task of `step` and gains most best-effort
-    /// capacity, or the smallest of equal ones. It restarts where it costs less, which improves the colocation of
-    /// latency-critical tasks.
+    /// capacity, or the smallest of equal ones. It restarts where it reduces best-effort capacity less.
     fn choose_victim(
         &self,
         now: Time,
--- a/crates/workflow/src/scheduler/stragglers.rs
+++ b/crates/workflow/src/scheduler/stragglers.rs
@@ -21,20 +21,19 @@
 /// How long a worker with a stalled task gets no new tasks.
 const STALL_BACKOFF: Duration = Duration::from_secs(2);
 
-/// A task is slow once it has run for this share of its estimate, in percent; estimates of interactive steps are
-/// off by a fifth.
+/// A task is slow once it has run for this share of its estimate, in percent, plus [`SLOW_MARGIN`].
 const SLOW_PERCENT: u32 = 180;
 
 /// Added to [`SLOW_PERCENT`] of the estimate, since a short task takes this long to start.
 const SLOW_MARGIN: Duration = Duration::from_millis(200);
 
-/// A slow task with more progress than this stays, since elsewhere it starts over.
+/// A task slow by [`SLOW_PERCENT`] isn't moved once its progress has reached this, since elsewhere it starts over.
 const MAX_MOVED_PROGRESS_PERCENT: u32 = 50;
 
 /// Maximum number of tasks of one worker moved at a time.
 const MAX_MOVES_PER_REPLY: usize = 6;
 
-/// Minimum run time before a run is judged by its progress: a third of a task of 0.8 s.
+/// Minimum run time before a run is judged by its progress: about a quarter of a task of 0.8 s.
 const MIN_JUDGED_RUN_TIME: Duration = Duration::from_millis(220);
 
 /// Minimum run time before a task with checkpoints is judged by its progress; it makes none for up to 250 ms while it
@@ -103,9 +102,9 @@
     }
 
     /// Whether its remaining time exceeds that of a new attempt elsewhere.
-    fn is_slower_than_restart(&self, now: Time, resumed: bool) -> bool {
+    fn is_slower_than_restart(&self, now: Time, has_checkpoints: bool) -> bool {
         let ran = now.since(self.running_since);
-        let min_run_time = if resumed { MIN_RESUMED_RUN_TIME } else { MIN_JUDGED_RUN_TIME };
+        let min_run_time = if has_checkpoints { MIN_RESUMED_RUN_TIME } else { MIN_JUDGED_RUN_TIME };
         if self.estimate_ms == 0 || ran < min_run_time.max(self.min_sample_span()) {
             return false;
         }
@@ -136,7 +135,7 @@
     Slow,
 }
 
-fn classify(now: Time, attempt: &Attempt, step: &Step, resumed: bool) -> Option<Straggler> {
+fn classify(now: Time, attempt: &Attempt, step: &Step, has_checkpoints: bool) -> Option<Straggler> {
     if step.long_running || step.gang || !matches!(attempt.phase, Phase::Running { .. }) {
         return None;
     }
@@ -148,7 +147,7 @@
     if now.since(attempt.progressed_at) >= STALLED_AFTER && ran >= STALLED_AFTER {
         return Some(Straggler::Stalled);
     }
-    if attempt.is_slower_than_restart(now, resumed) {
+    if attempt.is_slower_than_restart(now, has_checkpoints) {
         return Some(Straggler::Slow);
     }
     // Best-effort tasks are slowed down by others, and their estimates are unreliable.
@@ -174,8 +173,8 @@
                 continue;
             }
             let Some(step) = self.step(*task) else { continue };
-            let resumed = step.checkpoints;
-            match classify(now, attempt, step, resumed) {
+            let has_checkpoints = step.checkpoints;
+            match classify(now, attempt, step, has_checkpoints) {
                 Some(Straggler::Stalled) => stalled += 1,
                 Some(Straggler::Slow) => {}
                 None => continue,
