--- a/crates/workflow/src/scheduler/pacing.rs
+++ b/crates/workflow/src/scheduler/pacing.rs
@@ -36,8 +36,7 @@
 /// Paces are multiples of this many percent; finer steps are within the noise of the measurements.
 const PACE_STEP_PERCENT: f32 = 10.0;
 
-/// A smaller change, in percentage points, is only sent if it stops a task entirely or restores its
-/// full pace.
+/// A smaller change, in percentage points, is only sent if it pauses a task or restores its full pace.
 const MIN_PACE_CHANGE_PERCENT: u32 = 20;
 
 /// A best-effort task at or below this pace, in percent, is moved if another worker can take it.
@@ -90,6 +89,7 @@
             worker.set_pace(task, run, percent);
             if let Some(attempt) = worker.attempts.get_mut(&(task, run)) {
                 attempt.pace_sent = Some(percent);
+                // Restarts the timeout for stalled tasks.
                 attempt.progressed_at = now;
                 let slow = percent <= SLOW_PACE_PERCENT;
                 attempt.throttled_since = slow.then(|| attempt.throttled_since.unwrap_or(now));
@@ -97,10 +97,10 @@
             log::debug!(task:%, run:%, worker:% = id, percent; "filler_paced");
             out.push(Effect::Pace { worker: id.clone(), addr, epoch, task, run, percent });
         }
-        self.move_slowed(now, id, out);
+        self.move_throttled(now, id, out);
     }
 
-    /// Records the headrooms of a worker's latency-critical tasks without best-effort tasks.
+    /// Updates the headroom that a worker's latency-critical tasks would have without best-effort tasks.
     fn update_own_headrooms(&mut self, id: &WorkerId) {
         let Some(Worker { attempts, neighbours, .. }) = self.workers.get_mut(id) else { return };
         let latency_critical = attempts.iter().filter(|(_, attempt)| attempt.latency_critical);
@@ -134,23 +134,23 @@
         changes
     }
 
-    /// Moves best-effort tasks that have been slow for [`MOVE_SLOW_AFTER`] if another worker can take them.
-    fn move_slowed(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
+    /// Moves best-effort tasks that were throttled for [`MOVE_SLOW_AFTER`] if another worker can take them.
+    fn move_throttled(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
         let Some(worker) = self.workers.get(id) else { return };
-        let is_slow_for_long = |attempt: &Attempt| {
+        let is_throttled_for_long = |attempt: &Attempt| {
             let running = matches!(attempt.phase, Phase::Running { .. });
             let worth_moving = attempt.movable || attempt.percent < MAX_MOVED_PROGRESS_PERCENT;
             running
                 && worth_moving
                 && attempt.throttled_since.is_some_and(|at| now.since(at) >= MOVE_SLOW_AFTER)
         };
-        let slowed: Vec<(TaskId, RunId)> = worker
+        let throttled: Vec<(TaskId, RunId)> = worker
             .attempts
             .iter()
-            .filter(|(_, attempt)| is_slow_for_long(attempt))
+            .filter(|(_, attempt)| is_throttled_for_long(attempt))
             .map(|(key, _)| *key)
             .collect();
-        for (task, run) in slowed {
+        for (task, run) in throttled {
             if self.fits_elsewhere(now, id, task) {
                 self.stats.evicted += 1;
                 log::info!(task:%, run:%, worker:% = id; "slowed_filler_moved");
--- a/crates/workflow/src/scheduler/poll_reply.rs
+++ b/crates/workflow/src/scheduler/poll_reply.rs
@@ -122,7 +122,7 @@
         let Some(workflow) = self.workflows.get_mut(&task.workflow) else { return };
         let Some(occurrence) = workflow.occurrences.get_mut(&task.occurrence) else { return };
         let Some(state) = occurrence.steps.get_mut(usize::from(task.step)) else { return };
-        // The end of one member ends its whole gang.
+        // If one member of a gang succeeds, all are done.
         let members =
             if gang { 0..state.tasks.len() } else { task.index as usize..task.index as usize + 1 };
         let mut redundant = Vec::new();
@@ -178,8 +178,8 @@
 
     /// Compares the expected runs of a worker with those that it lists.
     ///
-    /// Replies on two connections may overtake each other. So a list only decides about a run if the worker's clock in
-    /// the reply is later than in the last confirmation of the run or its stop.
+    /// Replies on two connections may overtake each other. So a confirmed run that isn't listed counts as ended only if
+    /// the worker's clock in the reply is later than in the last confirmation of the run or its stop.
     fn compare_runs(
         &mut self,
         now: Time,
@@ -236,7 +236,7 @@
             self.avoid(now, task, id);
             self.drop_attempt(now, id, task, run);
         }
-        // The worker may still execute the start; a stop prevents that.
+        // Such a run may still start, or be in an unreadable row; a stop settles both.
         for (task, run) in unconfirmed {
             self.stop_runs(now, id, StopReason::StartUnconfirmed, out, |other_task, other_run| {
                 other_task == task && other_run == run
@@ -404,7 +404,7 @@
         }
     }
 
-    /// Removes a found task from its queue and marks its workflow as started.
+    /// Removes a task that was found running from its queue and marks its workflow as started.
     fn unqueue(&mut self, task: TaskId) {
         let Some(workflow) = self.workflows.get_mut(&task.workflow) else { return };
         workflow.started = true;
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -32,11 +32,11 @@
 /// Poll interval of an idle worker; its directory entry shows that it is alive.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Maximum wait of a poll where best-effort and latency-critical tasks share the worker: each
-/// sample is wanted, and a new one comes every half second.
+/// Maximum wait of a poll where best-effort and latency-critical tasks share the worker: a
+/// new sample comes every half second, and none is to be missed.
 const SAMPLE_WAIT: Duration = Duration::from_millis(450);
 
-/// Maximum wait of a poll of a worker with a new task: early enough to detect a slow worker and to
+/// Maximum wait of a poll of a worker that is reserved or has a new task: early enough to detect a slow worker and to
 /// finish the task in time elsewhere.
 const NEW_TASK_WAIT: Duration = Duration::from_millis(230);
 
@@ -98,10 +98,10 @@
             } else {
                 None
             };
-            // Reconciliation and unsettled commands need an immediate answer.
-            let unsettled = |phase: &Phase| !matches!(phase, Phase::Running { .. });
+            // Reconciliation and pending commands need an immediate answer.
+            let has_pending_command = |phase: &Phase| !matches!(phase, Phase::Running { .. });
             let urgent = !worker.reconciled
-                || worker.attempts.values().any(|attempt| unsettled(&attempt.phase));
+                || worker.attempts.values().any(|attempt| has_pending_command(&attempt.phase));
             let colocated =
                 worker.latency_critical > 0 && (worker.best_effort > 0 || worker.over_target);
             let polls_often = worker.is_reserved(now)
