--- a/crates/runtime/src/relays/leader.rs
+++ b/crates/runtime/src/relays/leader.rs
@@ -285,8 +285,8 @@
             }
         };
         let read = async {
-            // A spare relay sends no frames. Once a frame was received, or a timeout found the relay in use, this is
-            // set, and the next timeout ends the connection.
+            // Set once a frame is received or a timeout finds the relay in use; the next timeout then ends the
+            // connection. A spare relay sends no frames.
             let mut frames_due_since = None;
             loop {
                 let frame = match timeout(UNRESPONSIVE_AFTER, source.next()).await {
--- a/crates/workflow/src/scheduler/candidates.rs
+++ b/crates/workflow/src/scheduler/candidates.rs
@@ -22,7 +22,8 @@
     },
 };
 
-/// Interval of full scans: a worker can also become eligible without a poll or change, such as by the end of its quarantine.
+/// Interval of full scans: a worker can also become eligible without a poll or change, such as by the end of its
+/// quarantine.
 const FULL_SCAN_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Maximum number of contacts kept; large fleets have over a thousand within [`FULL_SCAN_INTERVAL`].
--- a/crates/workflow/src/scheduler/isolated_start.rs
+++ b/crates/workflow/src/scheduler/isolated_start.rs
@@ -31,7 +31,7 @@
     Now(WorkerId),
     /// The task has to wait: no worker is ready for an isolated start yet, or this tick doesn't search for one.
     Later,
-    /// No worker can take the task, and none is reserved.
+    /// No worker can take the task, and no responsive one is reserved.
     NoCapacity,
 }
 
--- a/crates/workflow/src/scheduler/placement.rs
+++ b/crates/workflow/src/scheduler/placement.rs
@@ -74,7 +74,7 @@
                 && demand.resources.fits(&step.resources)
         };
         let demand_is_unmet = unmet.iter().any(is_unmet);
-        // The last resort of a long-running task are quarantined and reserved workers, which `unmet` doesn't cover.
+        // Quarantined and reserved workers, the last resort of long-running tasks, aren't covered by `unmet`.
         if demand_is_unmet && !(step.long_running && self.has_last_resort(now, key.task(0))) {
             return false;
         }
--- a/crates/workflow/src/scheduler/polls.rs
+++ b/crates/workflow/src/scheduler/polls.rs
@@ -36,8 +36,8 @@
 /// new sample comes every half second, and none is to be missed.
 const SAMPLE_WAIT: Duration = Duration::from_millis(450);
 
-/// Maximum wait of a poll of a worker that is reserved or has a new task: early enough to detect a slow worker and to
-/// finish the task in time elsewhere.
+/// Maximum wait of a poll of a worker that is reserved or has a new task: early enough to detect a
+/// slow worker and to finish the task in time elsewhere.
 const NEW_TASK_WAIT: Duration = Duration::from_millis(230);
 
 impl Scheduler {
