--- a/crates/explain/src/findings.rs
+++ b/crates/explain/src/findings.rs
@@ -30,7 +30,7 @@
         at: CompactString,
         /// The VM that accepted it.
         node: CompactString,
-        /// Number of failed submissions before.
+        /// Number of submissions that weren't stored or whose outcome was unknown, also later ones.
         refused_before: usize,
     },
     /// Submissions were rejected without storing the workflow.
@@ -318,8 +318,9 @@
     }
 
     fn submission(&self) -> Vec<Finding> {
-        let count =
-            |stored| self.named("submitted").filter(|h| h.get("stored") == Some(stored)).count();
+        let count = |stored| {
+            self.named("submitted").filter(|event| event.get("stored") == Some(stored)).count()
+        };
         let (refused, unknown) = (count("No"), count("Unknown"));
         let mut findings = Vec::new();
         if refused > 0 {
@@ -341,7 +342,7 @@
         let accepted = self.accepted?;
         let started = self.named("workflow_started").next()?;
         let waited_ms = between_ms(&accepted.at, &started.at)?;
-        let meanwhile = |h: &&TimelineEvent| h.at >= accepted.at && h.at <= started.at;
+        let meanwhile = |event: &&TimelineEvent| event.at >= accepted.at && event.at <= started.at;
         let leaders = self.named("elected").filter(meanwhile).count();
         let is_late = Duration::from_millis(waited_ms) >= LATE_START_THRESHOLD;
         is_late.then_some(Finding::StartedLate { waited_ms, leaders })
@@ -350,11 +351,12 @@
     fn leaders(&self) -> Vec<Finding> {
         let leader_changed = |elected: &TimelineEvent| {
             let epoch = elected.get("epoch");
-            let reconciled = self.named("survey_complete").find(|h| h.get("epoch") == epoch);
+            let reconciled =
+                self.named("survey_complete").find(|event| event.get("epoch") == epoch);
             Finding::LeaderChanged {
                 at: elected.at.clone(),
                 node: elected.node.clone(),
-                surveyed_after_ms: reconciled.and_then(|h| between_ms(&elected.at, &h.at)),
+                surveyed_after_ms: reconciled.and_then(|event| between_ms(&elected.at, &event.at)),
             }
         };
         self.named("elected").map(leader_changed).collect()
@@ -415,7 +417,8 @@
 
     fn end(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
-        let cancelled = self.named("cancelled").find(|h| h.own && h.get("stored") == Some("Yes"));
+        let cancelled =
+            self.named("cancelled").find(|event| event.own && event.get("stored") == Some("Yes"));
         if let Some(event) = cancelled {
             findings.push(Finding::Cancelled { at: event.at.clone() });
         }
@@ -434,7 +437,8 @@
 
     fn missing(&self, dropped: usize) -> Option<Finding> {
         let lines = |name| {
-            let counts = self.named(name).filter_map(|h| h.get("lines")?.parse::<u64>().ok());
+            let counts =
+                self.named(name).filter_map(|event| event.get("lines")?.parse::<u64>().ok());
             counts.sum::<u64>()
         };
         let lines = lines("log_lines_dropped") + lines("lines_left_out") + dropped as u64;
--- a/crates/explain/src/waits.rs
+++ b/crates/explain/src/waits.rs
@@ -37,7 +37,7 @@
         let released = events
             .iter()
             .find(|event| event.event == "inherited_work_released" && event.get("epoch") == epoch);
-        // The release names only the workers that didn't answer until then.
+        // The release names only the workers that still hadn't answered by then.
         let names =
             released.and_then(|line| line.get("unanswered")).filter(|names| !names.is_empty());
         let names = names.or_else(|| held.get("workers")).unwrap_or_default();
