--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -216,7 +216,7 @@
         /// The result.
         outcome: ProposalOutcome,
     },
-    /// Send a heartbeat; no answer is expected.
+    /// Send a heartbeat. An answer, if any, arrives as [`ControlEvent::HeartbeatReceived`].
     Heartbeat {
         /// The recipient.
         to: NodeInfo,
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -128,7 +128,7 @@
     LivenessCheck {
         /// The process that asks.
         by: NodeId,
-        /// The processes to confirm.
+        /// The processes that must confirm.
         nodes: SmallVec<[NodeId; 4]>,
     },
     /// A complete new configuration.
--- a/crates/control/src/reducer/maintenance.rs
+++ b/crates/control/src/reducer/maintenance.rs
@@ -24,7 +24,7 @@
 const SCHEDULER_GONE_AFTER: Duration = Duration::from_secs(60);
 
 /// An entry that is unresponsive for this long is removed. Entries' contacts aren't gossiped, so
-/// each scheduler rarely hears from one directly.
+/// a scheduler has contact with an entry only when it receives a heartbeat from it directly.
 const ENTRY_GONE_AFTER: Duration = Duration::from_secs(600);
 
 /// Time between two low-water marks of a process's own journal.
--- a/crates/control/src/reducer/mod.rs
+++ b/crates/control/src/reducer/mod.rs
@@ -233,10 +233,11 @@
         if self.fold.since_snapshot() == 0 {
             self.maintenance.snapshot_read(now);
         }
+        // Records read while catching up are old. They don't show that their author is alive, nor
+        // that a claimant is stuck now.
         if !was_fresh {
             self.succession.take_stuck();
         }
-        // Records read while catching up are old and don't show that their author is alive.
         if was_fresh {
             for author in &folded.authors {
                 self.detector.record_log_activity(now, *author);
@@ -260,6 +261,7 @@
             for node in nodes {
                 self.detector.record_liveness_check(now, *node);
             }
+            // A process answers a liveness check by writing its join record again.
             self.must_rejoin |= nodes.contains(&me);
         }
     }
@@ -328,8 +330,8 @@
         }
     }
 
-    /// A snapshot that becomes durable after another claim replaced this one is useless and must
-    /// not stay in the journal.
+    /// Handles a durable snapshot of a shard. If another claim has replaced this process's claim,
+    /// the snapshot is useless and must not stay in the journal.
     fn recovered(&mut self, shard: ShardId, epoch: Epoch, out: &mut Vec<ControlEffect>) {
         self.succession.recovered(shard, epoch);
         if self.succession.epoch(shard).is_none() && self.owned_shards.epoch(shard).is_none() {
--- a/crates/control/src/reducer/owned_shards.rs
+++ b/crates/control/src/reducer/owned_shards.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Releases a few shards that prefer another process.
+    /// Releases a few shards whose preferred owner is another process.
     ///
     /// Only the owner moves a shard, so that the successor needn't wait. The next shards follow
     /// once these are settled elsewhere.
