--- a/crates/node/src/entry/mod.rs
+++ b/crates/node/src/entry/mod.rs
@@ -92,8 +92,8 @@
         self.entry.dump()
     }
 
-    /// Scopes the key to the organisation that owns the class, so that keys of different
-    /// organisations never collide.
+    /// Scopes the key to the organisation that owns the class (`member` in the configuration), so
+    /// that keys of different organisations never collide.
     fn to_arrival(&self, arrival: CallerArrival) -> Arrival {
         let document = &self.core.control().in_force().document;
         let member = document.class(&arrival.class).map(|class| class.member.clone());
@@ -152,7 +152,7 @@
     }
 
     /// Why the entry isn't ready to serve; `None` if it is. It stays ready while the log is
-    /// unavailable: idempotent requests continue under the shares that it holds.
+    /// unavailable: idempotent requests continue on the shares of backend servers that it holds.
     fn missing(&self) -> Option<&'static str> {
         if self.shutting_down {
             return Some("the entry is shutting down");
@@ -243,10 +243,10 @@
         self.leave_if_drained(now, out);
     }
 
-    /// Leaves the control stream once no request is in progress.
+    /// Ends this process's membership once no request is in progress.
     ///
-    /// A process that has left has no address, so grants and permits for requests in progress would
-    /// be dropped, and those requests would wait until their deadline.
+    /// Messages to a process that isn't a member are dropped. Without their grants and permits,
+    /// requests in progress would wait until their deadline.
     fn leave_if_drained(&mut self, now: Time, out: &mut Out) {
         if self.drained && !self.leave_started {
             self.leave_started = true;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,9 @@
 //! The reducers of the two daemons.
 //!
 //! [`Scheduler`] and [`EntryNode`] combine several smaller reducers: both the control stream's; the
-//! scheduler the tables of jobs, racks, shares and keys; the entry the callers' requests. They take
-//! events with the present time and return effects. They do no I/O, so tests and measurements run
-//! the same code as the daemons.
+//! scheduler the tables of jobs, racks, shares of backend servers and idempotency keys; the entry
+//! the callers' requests. They take events with the present time and return effects. They do no I/O,
+//! so tests and measurements run the same code as the daemons.
 //!
 //! A reducer steps on one thread and takes no locks.
 
--- a/crates/node/src/node/core.rs
+++ b/crates/node/src/node/core.rs
@@ -24,8 +24,8 @@
 /// Maximum size in bytes of a configuration sent to a peer.
 pub const PEER_CONFIG_MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// How long an operator's call waits for a decision. Later the operator has to propose again with
-/// the same id.
+/// How long an operator's call waits for a decision. Without one, the operator has to propose again
+/// with the same id.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
--- a/crates/node/src/scheduler/mod.rs
+++ b/crates/node/src/scheduler/mod.rs
@@ -256,7 +256,7 @@
     fn install_recovered(&mut self, now: Time, recovered: recovery::Recovered, out: &mut Out) {
         let recovery::Recovered { shard, epoch, data, error } = recovered;
         if self.core.control().takeover_epoch(shard) != Some(epoch) {
-            // Another claim replaced this one during the recovery.
+            // Another claim replaced this process's claim during the recovery.
             return;
         }
         if let Some(error) = error {
