--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -33,7 +33,7 @@
     LivenessCheck {
         /// The process that asks.
         by: NodeId,
-        /// The processes to confirm.
+        /// The processes that must confirm.
         nodes: SmallVec<[NodeId; 4]>,
     },
     /// A configuration was accepted.
--- a/crates/control/src/state/shards.rs
+++ b/crates/control/src/state/shards.rs
@@ -15,7 +15,7 @@
     Claimed,
     /// The owner acts for it while it has authority.
     Settled,
-    /// The last owner released it.
+    /// The last owner or claimant released it.
     Released,
 }
 
--- a/crates/node/src/scheduler/dump.rs
+++ b/crates/node/src/scheduler/dump.rs
@@ -8,7 +8,7 @@
 };
 
 impl Scheduler {
-    /// Names VMs, jobs and classes, but no request keys and no commands.
+    /// The state dump; names VMs, but no jobs, classes, request keys or commands.
     pub(super) fn dump(&self, now: Time) -> Value {
         let control = self.core.control();
         let (owned, taking_over) = control.shard_counts();
