--- a/crates/config/examples/parse_cost.rs
+++ b/crates/config/examples/parse_cost.rs
@@ -1,6 +1,6 @@
-//! What reading, checking, comparing and writing a class configuration costs as it grows.
+//! Measures the time to parse, check, diff and render class configurations of growing size.
 //!
-//! Run by `cargo run --release -p egretlb-config --example parse_cost`.
+//! Run with `cargo run --release -p egretlb-config --example parse_cost`.
 
 use {
     egretlb_config::{diff, parse_config, render, render_compact},
@@ -13,7 +13,7 @@
 
 const CLASSES: [usize; 3] = [100, 1_000, 5_000];
 
-/// Of so many runs the median is given.
+/// Number of runs; the median is reported.
 const RUNS: usize = 31;
 
 fn main() {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The Bogotá example with its classes repeated under new names.
+/// The Bogotá example with its classes repeated under new names, up to `count` classes.
 fn document(count: usize) -> ConfigDocument {
     let example = include_str!("../../../examples/classes-bogota.jsonc");
     let example = parse_config(example).unwrap_or_else(|faults| panic!("{faults}"));
@@ -47,7 +47,7 @@
     ConfigDocument { teams: example.teams, classes }
 }
 
-/// The document with one class in a hundred gone, as a busy day leaves it.
+/// The document without every hundredth class.
 fn changed(document: &ConfigDocument) -> ConfigDocument {
     let mut changed = document.clone();
     let mut i = 0;
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,8 +1,7 @@
-//! Checks a configuration's meaning: ranges, references and names.
+//! Semantic checks of a configuration: ranges, references and names.
 //!
-//! The command and every daemon call the same function, so that what one accepts no other refuses.
-//! It knows nothing of files; for one that came from a file, [`crate::parse_config`] turns each
-//! place into line and column.
+//! The command and the daemons run the same checks. [`crate::parse_config`] maps each place to a
+//! line and column of the file.
 
 use {
     crate::{
@@ -18,33 +17,33 @@
     },
 };
 
-/// The most classes of a configuration. It is kept by every daemon and replaced as a whole; at this
-/// size it still is a record that the log takes.
+/// Maximum number of classes of a configuration. Keeps a configuration within the maximum size of a
+/// log record.
 pub const MAX_CLASSES: usize = 5_000;
 
-/// The most teams of a configuration.
+/// Maximum number of teams of a configuration.
 pub const MAX_TEAMS: usize = 500;
 
-/// A target for less than the median says nothing about the tail; one beyond p99.9 can't be told
-/// from chance by the requests of a few minutes.
-const PERCENTILES: (Percentile, Percentile) = (Percentile(500), Percentile(999));
+/// Percentiles below the median don't describe the tail; above p99.9, a few minutes of requests
+/// are too few samples.
+const PERCENTILE_RANGE: (Percentile, Percentile) = (Percentile(500), Percentile(999));
 
-/// Below a millisecond the network alone takes longer; beyond a minute callers have hung up, and
-/// the work is a batch.
-const LATENCY_TARGETS: (Period, Period) = (Period::from_millis(1), Period::from_millis(60_000));
+/// Below a millisecond the network alone takes longer; work beyond a minute belongs in a batch.
+const LATENCY_TARGET_RANGE: (Period, Period) =
+    (Period::from_millis(1), Period::from_millis(60_000));
 
-/// Shorter than a minute, starting the tasks takes longer than the target; longer than a month, the
-/// learned rates say nothing about the end.
-const BATCH_PERIODS: (Period, Period) =
+/// Below a minute, starting the tasks takes longer than the target; beyond a month, the estimated
+/// rates don't predict the completion time.
+const BATCH_PERIOD_RANGE: (Period, Period) =
     (Period::from_millis(60_000), Period::from_millis(31 * 86_400_000));
 
-/// A declared run time of nothing would make every batch look done.
-const RUN_TIMES: (Period, Period) = (Period::from_millis(100), BATCH_PERIODS.1);
+/// With a run time of zero every batch would count as done.
+const RUN_TIME_RANGE: (Period, Period) = (Period::from_millis(100), BATCH_PERIOD_RANGE.1);
 
-/// The largest amount for which an urgency is still worked out exactly.
-const AMOUNTS: (u32, u32) = (1, 10_000_000);
+/// The maximum keeps the computation of the urgency exact.
+const AMOUNT_RANGE: (u32, u32) = (1, 10_000_000);
 
-/// Where in a document a fault is.
+/// The place of a fault in a document.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Place {
     /// The list of teams.
@@ -53,14 +52,14 @@
     Classes,
     /// A field of a team.
     Team {
-        /// The team's number in the list, from 0.
+        /// The team's index in the list.
         index: usize,
         /// The field.
         field: &'static str,
     },
     /// A field of a class.
     Class {
-        /// The class's number in the list, from 0.
+        /// The class's index in the list.
         index: usize,
         /// The field.
         field: &'static str,
@@ -78,7 +77,7 @@
     }
 }
 
-/// A fault of a document's meaning.
+/// A semantic fault of a document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CheckFault {
     /// Where it is.
@@ -93,9 +92,9 @@
     }
 }
 
-/// All faults of the document's meaning, at most [`MAX_FAULTS`]; none if it may be put in force.
+/// Returns all semantic faults of the document, at most [`MAX_FAULTS`]; none if it is valid.
 ///
-/// A document with too many entries isn't looked at further, so that the cost is bounded.
+/// A document with too many teams or classes isn't checked further, which bounds the cost.
 pub fn check_document(document: &ConfigDocument) -> Vec<CheckFault> {
     let mut faults = Vec::new();
     check_counts(document, &mut faults);
@@ -125,7 +124,7 @@
             faults.push(CheckFault { place: Place::Team { index, field }, kind });
         };
         if !names.insert(&team.name) {
-            push("name", duplicate("team", team.name.as_str()));
+            push("name", duplicate_name("team", team.name.as_str()));
         }
         check_resources(&team.quota, "quota", &mut push);
     }
@@ -140,14 +139,14 @@
             faults.push(CheckFault { place: Place::Class { index, field }, kind });
         };
         if !names.insert(&class.name) {
-            push("name", duplicate("class", class.name.as_str()));
+            push("name", duplicate_name("class", class.name.as_str()));
         }
         check_team_of_class(class, &teams, &mut push);
         check_target(&class.kind, &mut push);
     }
 }
 
-fn duplicate(what: &'static str, name: &str) -> FaultKind {
+fn duplicate_name(what: &'static str, name: &str) -> FaultKind {
     FaultKind::DuplicateName { what, name: CompactString::new(name), first: None }
 }
 
@@ -163,7 +162,7 @@
             push("team", FaultKind::UnknownTeam { team: class.team.clone(), nearest });
         }
         Some(team) if team.member != class.member => {
-            let kind = FaultKind::OtherMembersTeam {
+            let kind = FaultKind::TeamOfOtherMember {
                 class: class.name.clone(),
                 member: class.member.clone(),
                 team: class.team.clone(),
@@ -180,21 +179,21 @@
         ClassKind::Latency { permille, target, replica, .. } => {
             let percentile = Percentile(*permille);
             let reason = "below it says nothing of the tail, above can't be measured in minutes";
-            check_range("percentile", percentile, PERCENTILES, reason, push);
+            check_range("percentile", percentile, PERCENTILE_RANGE, reason, push);
             let reason = "callers wait for the answer; work that takes longer is a batch";
-            check_range("within", Period::from(*target), LATENCY_TARGETS, reason, push);
+            check_range("within", Period::from(*target), LATENCY_TARGET_RANGE, reason, push);
             check_resources(replica, "replica", push);
         }
         ClassKind::Batch { amount, period, task, run_time, .. } => {
             let reason = "the target needs an amount of work; split a larger one into classes";
-            check_range("amount", *amount, AMOUNTS, reason, push);
+            check_range("amount", *amount, AMOUNT_RANGE, reason, push);
             let reason = "shorter targets are for a latency class, longer ones can't be foreseen";
-            check_range("within", Period::from(*period), BATCH_PERIODS, reason, push);
+            check_range("within", Period::from(*period), BATCH_PERIOD_RANGE, reason, push);
             let reason = "it is the first guess of how long a task runs";
-            check_range("run_time", Period::from(*run_time), RUN_TIMES, reason, push);
+            check_range("run_time", Period::from(*run_time), RUN_TIME_RANGE, reason, push);
             if run_time > period {
                 let (run_time, within) = (Period::from(*run_time), Period::from(*period));
-                push("run_time", FaultKind::NeverInTime { run_time, within });
+                push("run_time", FaultKind::RunTimeExceedsPeriod { run_time, within });
             }
             check_resources(task, "task", push);
         }
@@ -204,34 +203,33 @@
 fn check_range<T: PartialOrd + fmt::Display>(
     field: &'static str,
     found: T,
-    (least, most): (T, T),
+    (min, max): (T, T),
     reason: &'static str,
     push: &mut impl FnMut(&'static str, FaultKind),
 ) {
-    if found < least || found > most {
+    if found < min || found > max {
         let kind = FaultKind::OutOfRange {
             found: found.to_compact_string(),
-            least: least.to_compact_string(),
-            most: most.to_compact_string(),
+            min: min.to_compact_string(),
+            max: max.to_compact_string(),
             reason,
         };
         push(field, kind);
     }
 }
 
-/// Whatever runs takes some processor time and some memory; one that takes none would fit a full
-/// VM any number of times.
+/// Requires nonzero CPU and memory: without them, any number would fit a full VM.
 fn check_resources(
     resources: &Resources,
     field: &'static str,
     push: &mut impl FnMut(&'static str, FaultKind),
 ) {
-    const LEAST: &str = "1m and 1MB";
+    const MIN_RESOURCES: &str = "1m and 1MB";
     if resources.cpu.0 == 0 || resources.memory.0 == 0 {
         let kind = FaultKind::OutOfRange {
             found: resources.to_compact_string(),
-            least: CompactString::const_new(LEAST),
-            most: CompactString::const_new("what a VM holds"),
+            min: CompactString::const_new(MIN_RESOURCES),
+            max: CompactString::const_new("what a VM holds"),
             reason: "what takes nothing would fit a full VM any number of times",
         };
         push(field, kind);
--- a/crates/config/src/classes.rs
+++ b/crates/config/src/classes.rs
@@ -1,4 +1,4 @@
-//! Lowers a class configuration from its text.
+//! Parses a class configuration.
 
 use {
     crate::{
@@ -25,20 +25,20 @@
 const NAME_EXPECTED: &str = r#"a name of letters, digits, "-", "_" and ".", like "claims""#;
 const PERIOD_EXPECTED: &str = r#"a duration in quotes, like "400ms" or "8h""#;
 
-/// The range of the amount proper is checked with the document; here it must only be a number.
-const AMOUNT: CountRange = CountRange {
-    least: 0,
-    most: u32::MAX,
+/// Any `u32`; `check_document` checks the allowed range.
+const AMOUNT_RANGE: CountRange = CountRange {
+    min: 0,
+    max: u32::MAX,
     expected: "a whole number of tasks, like 1200",
     reason: "it counts tasks",
 };
 
-/// Reads a class configuration and checks it whole.
+/// Parses and checks a class configuration.
 ///
 /// # Errors
 ///
-/// All faults of the text, each with its place. After a fault of syntax nothing further can be
-/// read, so such a fault comes alone.
+/// All faults of the text, each with its position. A syntax error is the only fault reported, since
+/// nothing after it can be read.
 pub fn parse_config(text: &str) -> Result<ConfigDocument, Faults> {
     let mut lowering = Lowering { reader: Reader::new(text), teams: vec![], classes: vec![] };
     let document = match lowering.reader.parse_root() {
@@ -54,8 +54,8 @@
     }
 }
 
-/// Where the fields of one team or class stand. A field that couldn't be read isn't listed: the
-/// document holds a stand-in for it, and what the check says of that is dropped.
+/// Positions of the fields of one team or class. A field that couldn't be read is absent: the
+/// document holds a placeholder, and check faults of that field are dropped.
 type Spans = SmallVec<[(&'static str, Range); 10]>;
 
 struct Lowering<'t> {
@@ -83,8 +83,8 @@
         let object = self.reader.as_object(value, "a team, like {\"name\": \"claims\", ...}");
         let team = match object {
             None => TeamSpec {
-                name: stand_in(index),
-                member: stand_in(index),
+                name: placeholder_name(index),
+                member: placeholder_name(index),
                 quota: Resources::default(),
             },
             Some(object) => {
@@ -106,10 +106,10 @@
         let object = self.reader.as_object(value, "a class, like {\"name\": \"check\", ...}");
         let class = match object {
             None => ClassSpec {
-                name: stand_in(index),
-                member: stand_in(index),
-                team: stand_in(index),
-                kind: unread_kind(),
+                name: placeholder_name(index),
+                member: placeholder_name(index),
+                team: placeholder_name(index),
+                kind: placeholder_kind(),
             },
             Some(object) => {
                 self.reader.check_fields(object, CLASS_FIELDS);
@@ -136,16 +136,16 @@
                 object.map(|object| self.batch(object, spans))
             }
             (None, None) => {
-                self.reader.push(class.range, FaultKind::NoTarget);
+                self.reader.push(class.range, FaultKind::MissingTarget);
                 None
             }
             (Some(latency), Some(batch)) => {
                 let later = latency.range.start.max(batch.range.start);
-                self.reader.push(Range::from_byte_index(later), FaultKind::TwoTargets);
+                self.reader.push(Range::from_byte_index(later), FaultKind::ConflictingTargets);
                 None
             }
         }
-        .unwrap_or_else(unread_kind)
+        .unwrap_or_else(placeholder_kind)
     }
 
     fn latency(&mut self, object: &Object<'t>, spans: &mut Spans) -> ClassKind {
@@ -154,7 +154,7 @@
         const SPREAD: &str = "true if replicas must survive the loss of a data centre, else false";
         self.reader.check_fields(object, LATENCY_FIELDS);
         let percentile = self.reader.text::<Percentile>(object, "percentile", PERCENTILE);
-        note(object, "percentile", percentile.is_some(), spans);
+        record_span(object, "percentile", percentile.is_some(), spans);
         ClassKind::Latency {
             permille: percentile.map_or(0, |percentile| percentile.0),
             target: self.period(object, "within", spans),
@@ -167,8 +167,8 @@
     fn batch(&mut self, object: &Object<'t>, spans: &mut Spans) -> ClassKind {
         const URGENT: &str = "true if tasks must start at once, else false";
         self.reader.check_fields(object, BATCH_FIELDS);
-        let amount = self.reader.count(object, "amount", AMOUNT);
-        note(object, "amount", amount.is_some(), spans);
+        let amount = self.reader.count(object, "amount", AMOUNT_RANGE);
+        record_span(object, "amount", amount.is_some(), spans);
         ClassKind::Batch {
             amount: amount.unwrap_or_default(),
             period: self.period(object, "within", spans),
@@ -186,13 +186,13 @@
         spans: &mut Spans,
     ) -> T {
         let name = self.reader.text(object, field, NAME_EXPECTED);
-        note(object, field, name.is_some(), spans);
-        name.unwrap_or_else(|| stand_in(index))
+        record_span(object, field, name.is_some(), spans);
+        name.unwrap_or_else(|| placeholder_name(index))
     }
 
     fn period(&mut self, object: &Object<'t>, field: &'static str, spans: &mut Spans) -> Duration {
         let period = self.reader.text::<Period>(object, field, PERIOD_EXPECTED);
-        note(object, field, period.is_some(), spans);
+        record_span(object, field, period.is_some(), spans);
         period.map_or(Duration::ZERO, Period::as_duration)
     }
 
@@ -203,20 +203,20 @@
         spans: &mut Spans,
     ) -> Resources {
         let resources = self.reader.resources(object, field);
-        note(object, field, resources.is_some(), spans);
+        record_span(object, field, resources.is_some(), spans);
         resources.unwrap_or_default()
     }
 
-    /// Gives a fault of the check its place in the text, or drops it if it follows from a field
-    /// that couldn't be read.
+    /// Adds a check fault with its position in the text; drops it if it results from a field that
+    /// couldn't be read.
     fn push_check_fault(&mut self, document: &ConfigDocument, fault: CheckFault) {
         let Some(range) = self.range(fault.place) else { return };
-        if self.follows_from_unread(document, &fault) {
+        if self.results_from_unread_field(document, &fault) {
             return;
         }
         let kind = match fault.kind {
             FaultKind::DuplicateName { what, name, .. } => {
-                let first = self.first_of_name(document, what, &name);
+                let first = self.first_occurrence(document, what, &name);
                 let first = first.map(|range| self.reader.position(range.start));
                 FaultKind::DuplicateName { what, name, first }
             }
@@ -233,25 +233,25 @@
         }
     }
 
-    fn follows_from_unread(&self, document: &ConfigDocument, fault: &CheckFault) -> bool {
+    fn results_from_unread_field(&self, document: &ConfigDocument, fault: &CheckFault) -> bool {
         let unread = |spans: &Spans, field| span(spans, field).is_none();
         match (&fault.kind, fault.place) {
             (FaultKind::UnknownTeam { .. }, _) => {
                 self.teams.is_empty() || self.teams.iter().any(|spans| unread(spans, "name"))
             }
-            (FaultKind::OtherMembersTeam { team, .. }, Place::Class { index, .. }) => {
+            (FaultKind::TeamOfOtherMember { team, .. }, Place::Class { index, .. }) => {
                 let team_index = document.teams.iter().position(|spec| spec.name == *team);
                 unread(&self.classes[index], "member")
                     || team_index.is_some_and(|index| unread(&self.teams[index], "member"))
             }
-            (FaultKind::NeverInTime { .. }, Place::Class { index, .. }) => {
+            (FaultKind::RunTimeExceedsPeriod { .. }, Place::Class { index, .. }) => {
                 unread(&self.classes[index], "within")
             }
             _ => false,
         }
     }
 
-    fn first_of_name(&self, document: &ConfigDocument, what: &str, name: &str) -> Option<Range> {
+    fn first_occurrence(&self, document: &ConfigDocument, what: &str, name: &str) -> Option<Range> {
         if what == "team" {
             let index = document.teams.iter().position(|team| team.name.as_str() == name)?;
             return span(&self.teams[index], "name");
@@ -265,22 +265,22 @@
     spans.iter().find(|(name, _)| *name == field).map(|(_, range)| *range)
 }
 
-fn note(object: &Object<'_>, field: &'static str, read: bool, spans: &mut Spans) {
+fn record_span(object: &Object<'_>, field: &'static str, read: bool, spans: &mut Spans) {
     if let Some(prop) = object.get(field).filter(|_| read) {
         spans.push((field, prop.value.range()));
     }
 }
 
-/// A name in place of one that couldn't be read; no two alike, so that none looks repeated.
-fn stand_in<T: FromStr<Err: fmt::Display>>(index: usize) -> T {
+/// A unique name for one that couldn't be read, so that it isn't reported as a duplicate.
+fn placeholder_name<T: FromStr<Err: fmt::Display>>(index: usize) -> T {
     match format!("unread..{index}").parse() {
         Ok(name) => name,
-        Err(e) => unreachable!("a stand-in is a valid name: {e}"),
+        Err(e) => unreachable!("a placeholder is a valid name: {e}"),
     }
 }
 
-/// A target in place of one that couldn't be read; all the check says of it is dropped.
-fn unread_kind() -> ClassKind {
+/// A target for one that couldn't be read; check faults of its fields are dropped.
+fn placeholder_kind() -> ClassKind {
     ClassKind::Batch {
         amount: 0,
         period: Duration::ZERO,
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,4 +1,4 @@
-//! Says in lines what changes between two configurations.
+//! Line-based diff of two configurations.
 
 use {
     crate::units::{Percentile, Period},
@@ -9,55 +9,59 @@
     },
 };
 
-/// What changes from `old` to `new`, a line for each team, class or field, in the order of names.
-/// Empty if the two mean the same; the order within a document and its comments mean nothing.
+/// Returns the changes from `old` to `new`, one line per team, class or field, ordered by name.
+/// Ignores the order of teams and classes.
 ///
-/// A line starts with `+` for what is new, `-` for what goes, `~` for what changes.
+/// Lines start with `+` for an addition, `-` for a removal and `~` for a change.
 pub fn diff(old: &ConfigDocument, new: &ConfigDocument) -> Vec<String> {
     let mut lines = Vec::new();
     let teams = |document: &ConfigDocument| -> BTreeMap<String, Fields> {
-        document.teams.iter().map(|team| (format!("team {}", team.name), of_team(team))).collect()
+        document
+            .teams
+            .iter()
+            .map(|team| (format!("team {}", team.name), team_fields(team)))
+            .collect()
     };
     let classes = |document: &ConfigDocument| -> BTreeMap<String, Fields> {
         let entries = document.classes.iter();
-        entries.map(|class| (format!("class {}", class.name), of_class(class))).collect()
+        entries.map(|class| (format!("class {}", class.name), class_fields(class))).collect()
     };
     diff_entries(&teams(old), &teams(new), &mut lines);
     diff_entries(&classes(old), &classes(new), &mut lines);
     lines
 }
 
-/// The fields of one team or class, in the order of the format, as they are written there.
+/// Names and rendered values of the fields of one team or class, in file order.
 type Fields = Vec<(&'static str, String)>;
 
-fn of_team(team: &TeamSpec) -> Fields {
-    vec![text("member", &team.member), text("quota", &team.quota)]
+fn team_fields(team: &TeamSpec) -> Fields {
+    vec![field("member", &team.member), field("quota", &team.quota)]
 }
 
-fn of_class(class: &ClassSpec) -> Fields {
-    let mut fields = vec![text("member", &class.member), text("team", &class.team)];
+fn class_fields(class: &ClassSpec) -> Fields {
+    let mut fields = vec![field("member", &class.member), field("team", &class.team)];
     match &class.kind {
         ClassKind::Latency { permille, target, idempotent, replica, spread } => fields.extend([
-            text("kind", &"latency"),
-            text("percentile", &Percentile(*permille)),
-            text("within", &Period::from(*target)),
-            text("idempotent", idempotent),
-            text("replica", replica),
-            text("spread", spread),
+            field("kind", &"latency"),
+            field("percentile", &Percentile(*permille)),
+            field("within", &Period::from(*target)),
+            field("idempotent", idempotent),
+            field("replica", replica),
+            field("spread", spread),
         ]),
         ClassKind::Batch { amount, period, task, run_time, urgent } => fields.extend([
-            text("kind", &"batch"),
-            text("amount", amount),
-            text("within", &Period::from(*period)),
-            text("task", task),
-            text("run_time", &Period::from(*run_time)),
-            text("urgent", urgent),
+            field("kind", &"batch"),
+            field("amount", amount),
+            field("within", &Period::from(*period)),
+            field("task", task),
+            field("run_time", &Period::from(*run_time)),
+            field("urgent", urgent),
         ]),
     }
     fields
 }
 
-fn text(name: &'static str, value: &impl Display) -> (&'static str, String) {
+fn field(name: &'static str, value: &impl Display) -> (&'static str, String) {
     (name, value.to_string())
 }
 
@@ -69,7 +73,7 @@
     let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     for name in names {
         match (old.get(name), new.get(name)) {
-            (None, Some(fields)) => lines.push(format!("+ {name}: {}", listed(fields))),
+            (None, Some(fields)) => lines.push(format!("+ {name}: {}", join_fields(fields))),
             (Some(_), None) => lines.push(format!("- {name}")),
             (Some(old), Some(new)) => diff_fields(name, old, new, lines),
             (None, None) => {}
@@ -82,19 +86,21 @@
         fields.iter().find(|(name, _)| *name == field).map(|(_, value)| value.clone())
     };
     let added = new.iter().filter(|(field, _)| value(old, field).is_none());
-    for (field, was) in old {
+    for (field, old_value) in old {
         match value(new, field) {
-            Some(is) if is != *was => lines.push(format!("~ {name}: {field} {was} -> {is}")),
+            Some(new_value) if new_value != *old_value => {
+                lines.push(format!("~ {name}: {field} {old_value} -> {new_value}"))
+            }
             Some(_) => {}
-            None => lines.push(format!("~ {name}: {field} {was} -> (none)")),
+            None => lines.push(format!("~ {name}: {field} {old_value} -> (none)")),
         }
     }
-    for (field, is) in added {
-        lines.push(format!("~ {name}: {field} (none) -> {is}"));
+    for (field, new_value) in added {
+        lines.push(format!("~ {name}: {field} (none) -> {new_value}"));
     }
 }
 
-fn listed(fields: &Fields) -> String {
+fn join_fields(fields: &Fields) -> String {
     let fields: Vec<String> =
         fields.iter().map(|(name, value)| format!("{name} {value}")).collect();
     fields.join(", ")
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a file, where, and what to do about it.
+//! Faults of a file with their positions and remedies.
 
 use {
     crate::units::Period,
@@ -7,20 +7,18 @@
     std::fmt,
 };
 
-/// How many faults a listing shows. A file of the wrong kind has a fault on nearly every line, and
-/// a screenful of them says no more than the first hundred.
+/// Maximum number of faults that a listing shows.
 pub const MAX_FAULTS_SHOWN: usize = 100;
 
-/// How many faults are kept. Each costs a search for its line and column; a file of nothing but
-/// faults must not take minutes to be refused.
+/// Maximum number of faults that are kept. Bounds the time spent on locating them.
 pub const MAX_FAULTS: usize = 1_000;
 
-/// A place in a text, as editors count: from 1, columns in characters.
+/// A position in a text, counted from 1.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Position {
-    /// The line.
+    /// The line, from 1.
     pub line: u32,
-    /// The column, in characters.
+    /// The column in characters, from 1.
     pub column: u32,
 }
 
@@ -45,19 +43,19 @@
     }
 }
 
-/// The kinds of faults. Each message says what was found, what was expected and the remedy.
+/// The kind of a fault. The message states what was found, what was expected and the remedy.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FaultKind {
     /// The text isn't JSON with comments.
     Syntax {
-        /// What the parser says.
+        /// The parser's message.
         detail: CompactString,
     },
-    /// The text has more bytes than are read.
+    /// The text exceeds the maximum size.
     TextTooLong {
-        /// The bytes found.
+        /// Its size in bytes.
         found: usize,
-        /// The most bytes allowed.
+        /// The maximum size in bytes.
         limit: usize,
     },
     /// A value of another type than expected.
@@ -67,101 +65,101 @@
         /// What is expected, with an example.
         expected: &'static str,
     },
-    /// A field that the format doesn't have.
+    /// An unknown field.
     UnknownField {
         /// The field found.
         name: CompactString,
-        /// The field that was probably meant.
+        /// The known field with the most similar name.
         nearest: Option<&'static str>,
-        /// The fields that are known here.
+        /// The known fields of the object.
         known: &'static [&'static str],
     },
-    /// A field stands twice in one object.
+    /// A field occurs twice in one object.
     DuplicateField {
         /// The field.
         name: &'static str,
-        /// Where it stands first.
+        /// Position of the first occurrence.
         first: Position,
     },
-    /// A field that must be given isn't.
+    /// A required field is missing.
     MissingField {
         /// The field.
         name: &'static str,
         /// What is expected, with an example.
         expected: &'static str,
     },
-    /// A text that can't be read as what it should be.
+    /// A string that can't be parsed.
     BadText {
-        /// The text found, shortened if long.
+        /// The string, shortened if long.
         found: CompactString,
-        /// Why it can't be read, with the remedy.
+        /// The cause, with the remedy.
         reason: CompactString,
     },
     /// A value outside its range.
     OutOfRange {
         /// The value found.
         found: CompactString,
-        /// The least allowed.
-        least: CompactString,
-        /// The most allowed.
-        most: CompactString,
-        /// What the range is for.
+        /// The minimum.
+        min: CompactString,
+        /// The maximum.
+        max: CompactString,
+        /// The reason for the range.
         reason: &'static str,
     },
-    /// A class has neither kind of target.
-    NoTarget,
-    /// A class has both kinds of target.
-    TwoTargets,
-    /// Two teams or two classes of one name.
+    /// A class has neither a latency nor a batch target.
+    MissingTarget,
+    /// A class has both a latency and a batch target.
+    ConflictingTargets,
+    /// Two teams or two classes have the same name.
     DuplicateName {
-        /// What is named: `team` or `class`.
+        /// `team` or `class`.
         what: &'static str,
         /// The name.
         name: CompactString,
-        /// Where the name stands first; unknown for a document that didn't come from a file.
+        /// Position of the first occurrence; `None` for a document not read from a file.
         first: Option<Position>,
     },
-    /// A class names a team that the document doesn't have.
+    /// A class refers to an unknown team.
     UnknownTeam {
-        /// The team named.
+        /// The unknown team.
         team: TeamName,
-        /// The team that was probably meant.
+        /// The known team with the most similar name.
         nearest: Option<TeamName>,
     },
-    /// A class names a team of another member.
-    OtherMembersTeam {
+    /// A class refers to another member's team.
+    TeamOfOtherMember {
         /// The class.
         class: ClassName,
         /// The member that owns the class.
         member: Organisation,
-        /// The team named.
+        /// The team.
         team: TeamName,
-        /// The member that the team belongs to.
+        /// The member that owns the team.
         team_member: Organisation,
     },
-    /// One task takes longer than the time in which all are to be done.
-    NeverInTime {
+    /// The run time of one task exceeds the time for the whole amount.
+    RunTimeExceedsPeriod {
         /// The declared run time.
         run_time: Period,
-        /// The time in which the amount is to be done.
+        /// The time for the whole amount.
         within: Period,
     },
-    /// More entries than the format allows.
+    /// Too many teams or classes.
     TooMany {
-        /// What there are too many of.
+        /// `teams` or `classes`.
         what: &'static str,
-        /// How many were found.
+        /// The number found.
         found: usize,
-        /// The most allowed.
+        /// The maximum number.
         limit: usize,
     },
-    /// An address that others are to call stands for any interface.
-    AnyInterface {
+    /// An address that other processes connect to is unspecified, such as `0.0.0.0`.
+    UnspecifiedAddress {
         /// The address.
         address: CompactString,
     },
-    /// Two listening addresses are the same.
-    SameAddress {
+    /// Two listeners have the same address.
+    DuplicateAddress {
         /// The address.
         address: CompactString,
     },
@@ -198,24 +196,24 @@
                 write!(f, "{name:?} is missing; add it: {expected}")
             }
             FaultKind::BadText { found, reason } => write!(f, "found {found:?}: {reason}"),
-            FaultKind::OutOfRange { found, least, most, reason } => {
-                write!(f, "{found} is out of range; use {least} to {most}: {reason}")
+            FaultKind::OutOfRange { found, min, max, reason } => {
+                write!(f, "{found} is out of range; use {min} to {max}: {reason}")
             }
-            _ => self.fmt_meaning(f),
+            _ => self.fmt_semantic_fault(f),
         }
     }
 }
 
 impl FaultKind {
-    /// The messages for faults of meaning, where each value by itself is well formed.
-    fn fmt_meaning(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    /// Formats the semantic faults, whose values are well-formed by themselves.
+    fn fmt_semantic_fault(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FaultKind::NoTarget => write!(
+            FaultKind::MissingTarget => write!(
                 f,
                 "the class has no target; add \"latency\": {{...}} for requests or \"batch\": \
                  {{...}} for tasks"
             ),
-            FaultKind::TwoTargets => write!(
+            FaultKind::ConflictingTargets => write!(
                 f,
                 "the class has both \"latency\" and \"batch\"; keep one, and make a second class \
                  for the other"
@@ -234,12 +232,12 @@
                     None => write!(f, "add it to \"teams\""),
                 }
             }
-            FaultKind::OtherMembersTeam { class, member, team, team_member } => write!(
+            FaultKind::TeamOfOtherMember { class, member, team, team_member } => write!(
                 f,
                 "class {class} is owned by {member}, but team {team} belongs to {team_member}; \
                  name a team of {member}"
             ),
-            FaultKind::NeverInTime { run_time, within } => write!(
+            FaultKind::RunTimeExceedsPeriod { run_time, within } => write!(
                 f,
                 "one task runs {run_time}, longer than the {within} in which all are to be done; \
                  lengthen \"within\" or split the task"
@@ -247,12 +245,12 @@
             FaultKind::TooMany { what, found, limit } => {
                 write!(f, "{found} {what}; at most {limit} are allowed: remove unused ones")
             }
-            FaultKind::AnyInterface { address } => write!(
+            FaultKind::UnspecifiedAddress { address } => write!(
                 f,
                 "{address} stands for any interface, and other processes are to call it; give the \
                  VM's own IP number"
             ),
-            FaultKind::SameAddress { address } => {
+            FaultKind::DuplicateAddress { address } => {
                 write!(f, "{address} is listened on twice; give each its own port")
             }
             _ => Ok(()),
@@ -260,12 +258,12 @@
     }
 }
 
-/// All faults of one file, in the order of their places. Never empty.
+/// All faults of one file, ordered by position; never empty.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Faults(Vec<Fault>);
 
 impl Faults {
-    /// The faults in the order of their places; `None` if there are none.
+    /// Sorts the faults by position; `None` if there are none.
     pub(crate) fn new(mut faults: Vec<Fault>) -> Option<Self> {
         faults.sort_by_key(|fault| fault.position);
         (!faults.is_empty()).then_some(Faults(faults))
--- a/crates/config/src/job.rs
+++ b/crates/config/src/job.rs
@@ -1,4 +1,4 @@
-//! A job's submission as a file, for jobs whose submission is kept in version control.
+//! Job submissions as files.
 
 use {
     crate::{
@@ -13,33 +13,33 @@
 /// A job to submit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct JobFile {
-    /// The submitter's name for the job.
+    /// The job's id, given by the submitter.
     pub job: JobId,
     /// Its class.
     pub class: ClassName,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What each task runs.
+    /// The command that each task runs.
     pub command: CompactString,
-    /// What each task takes, if it differs from what the class declares.
+    /// Resources of each task; `None` for those that the class declares.
     pub resources: Option<Resources>,
 }
 
 const FIELDS: &[&str] = &["job", "class", "tasks", "command", "resources"];
 
-/// The most tasks a file may ask for; the daemon's own limit is lower and may change.
-const TASKS: CountRange = CountRange {
-    least: 1,
-    most: 1_000_000,
+/// Number of tasks a file may request; the daemon enforces a lower limit.
+const TASK_COUNT_RANGE: CountRange = CountRange {
+    min: 1,
+    max: 1_000_000,
     expected: "a whole number of tasks, like 40",
     reason: "a job has at least one task; a larger one is several jobs",
 };
 
-/// Reads a job's submission.
+/// Parses a job submission.
 ///
 /// # Errors
 ///
-/// All faults of the text, each with its place.
+/// All faults of the text, each with its position.
 pub fn parse_job(text: &str) -> Result<JobFile, Faults> {
     let mut reader = Reader::new(text);
     let job = reader.parse_root().and_then(|root| job(&mut reader, &root));
@@ -54,7 +54,7 @@
     reader.check_fields(root, FIELDS);
     let job = reader.text(root, "job", r#"the job's name, like "reconcile-2026-01-31""#);
     let class = reader.text(root, "class", r#"a batch class, like "title-reconciliation""#);
-    let tasks = reader.count(root, "tasks", TASKS);
+    let tasks = reader.count(root, "tasks", TASK_COUNT_RANGE);
     let command = reader.text::<CompactString>(root, "command", "what each task runs, in quotes");
     let resources = match root.get("resources") {
         Some(_) => reader.resources(root, "resources").map(Some),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,15 +1,13 @@
 //! The two file formats: operators' class configuration and a daemon's settings, both JSON with
 //! comments.
 //!
-//! They are two formats because they change at different times, by different people and with
-//! different reach. Class configuration states what the co-operative wants of all VMs together; it
-//! is proposed through the log and in force everywhere. Settings state where one process listens
-//! and what it may use; they are read once at its start and never leave its VM. A file of the one
-//! kind given for the other is a list of faults, not a surprise.
+//! Class configuration holds the targets of all classes; it is proposed through the log and applies
+//! to the whole system. Settings hold the addresses and limits of one process, which reads them once
+//! at start. Passing one kind of file for the other reports faults.
 //!
-//! Every fault of a file is found in one run, each with line and column, what was found, what was
-//! expected and what to do. The price is a hand-written lowering from the syntax tree in place of
-//! derived code, which would stop at the first fault and lose the places of the others.
+//! A parse reports all faults of a file, each with line, column, what was found, what was expected
+//! and the remedy. The syntax tree is therefore lowered by hand: derived deserialization would stop
+//! at the first fault.
 
 mod check;
 mod classes;
--- a/crates/config/src/nearest.rs
+++ b/crates/config/src/nearest.rs
@@ -1,23 +1,23 @@
-//! Finds the name that was probably meant.
+//! Suggests the known name closest to a misspelt one.
 
-/// How many edits make a name another one rather than a slip.
+/// Maximum edit distance of a suggestion.
 const MAX_EDITS: usize = 2;
 
-/// The known name nearest to `name`, if it is near enough to be a slip of the keyboard.
+/// Returns the known name with the smallest edit distance to `name`, if it is close enough.
 pub fn nearest<T: AsRef<str>>(name: &str, known: impl IntoIterator<Item = T>) -> Option<T> {
-    // A name of three letters is two edits away from half of all others.
+    // Short names allow fewer edits, since many of them are two edits apart.
     let limit = MAX_EDITS.min(name.chars().count() / 3);
     known
         .into_iter()
-        .map(|candidate| (edits(name, candidate.as_ref(), limit), candidate))
+        .map(|candidate| (edit_distance(name, candidate.as_ref(), limit), candidate))
         .filter(|(edits, _)| *edits <= limit)
         .min_by_key(|(edits, _)| *edits)
         .map(|(_, candidate)| candidate)
 }
 
-/// The Levenshtein distance, or some number above `limit` if it is larger. Stops counting there: a
-/// file of thousands of wrong names would otherwise take seconds.
-fn edits(a: &str, b: &str, limit: usize) -> usize {
+/// Returns the Levenshtein distance, or some number above `limit` if it is larger. Stops early to
+/// keep files with thousands of unknown names cheap.
+fn edit_distance(a: &str, b: &str, limit: usize) -> usize {
     if a.len().abs_diff(b.len()) > limit * char::MAX.len_utf8() {
         return limit + 1;
     }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads fields from the syntax tree and gathers faults instead of stopping at the first.
+//! Reads fields from the syntax tree and collects faults instead of stopping at the first.
 
 use {
     crate::{
@@ -22,15 +22,14 @@
     },
 };
 
-/// The longest text that is read, in bytes. A configuration of the most classes allowed stays well
-/// below it; the bound keeps a wrong file, such as a disk image, from filling the memory.
+/// Maximum size of a text, in bytes. Bounds memory use if the path names a wrong file, such as a
+/// disk image.
 pub const MAX_TEXT_BYTES: usize = 4_000_000;
 
-/// The longest part of a wrong value that a message repeats, in characters.
+/// Maximum number of characters of an invalid value that a message quotes.
 const MAX_FOUND_CHARS: usize = 40;
 
-/// JSON with comments and trailing commas, and nothing else of its looser kin: a file that reads
-/// the same in every editor.
+/// JSON with comments and trailing commas; no other extensions.
 const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -44,10 +43,10 @@
     allow_extended_string_escapes: false,
 };
 
-/// The faults found so far in one text.
+/// One text and the faults found in it so far.
 pub(crate) struct Reader<'t> {
     text: &'t str,
-    /// Where each line starts, as a byte offset.
+    /// Byte offset of the start of each line.
     line_starts: Vec<usize>,
     faults: Vec<Fault>,
 }
@@ -59,14 +58,13 @@
         Reader { text, line_starts, faults: Vec::new() }
     }
 
-    /// The syntax tree of the whole text, if it is one JSON object.
+    /// Parses the text; `None` with a fault if it is not a JSON object.
     pub(crate) fn parse_root(&mut self) -> Option<Object<'t>> {
         if self.text.len() > MAX_TEXT_BYTES {
             let kind = FaultKind::TextTooLong { found: self.text.len(), limit: MAX_TEXT_BYTES };
             self.push_at(0, kind);
             return None;
         }
-        // Comments and tokens aren't collected: only the values matter here.
         let parsed = parse_to_ast(self.text, &CollectOptions::default(), &PARSE_OPTIONS);
         match parsed.map(|parsed| parsed.value) {
             Ok(Some(Value::Object(object))) => Some(object),
@@ -87,7 +85,6 @@
         }
     }
 
-    /// The faults found.
     pub(crate) fn into_faults(self) -> Vec<Fault> {
         self.faults
     }
@@ -120,7 +117,7 @@
         self.push(value.range(), FaultKind::WrongType { found, expected });
     }
 
-    /// Faults for fields that aren't in `known` and for fields that stand twice.
+    /// Reports unknown and duplicate fields.
     pub(crate) fn check_fields(&mut self, object: &Object<'t>, known: &'static [&'static str]) {
         for (i, prop) in object.properties.iter().enumerate() {
             let name = prop.name.as_str();
@@ -138,7 +135,7 @@
         }
     }
 
-    /// The field's value; a fault if it is missing.
+    /// Returns the field's value; reports a fault if it is missing.
     pub(crate) fn field<'o>(
         &mut self,
         object: &'o Object<'t>,
@@ -199,7 +196,7 @@
         value.as_boolean_lit().map(|lit| lit.value)
     }
 
-    /// A whole number from `least` to `most`.
+    /// Reads a whole number within `range`.
     pub(crate) fn count(
         &mut self,
         object: &Object<'t>,
@@ -216,12 +213,12 @@
             return None;
         };
         let parsed = number.value.parse::<u32>().ok();
-        let count = parsed.filter(|count| (range.least..=range.most).contains(count));
+        let count = parsed.filter(|count| (range.min..=range.max).contains(count));
         if count.is_none() {
             let kind = FaultKind::OutOfRange {
                 found: shorten(number.value),
-                least: format_compact!("{}", range.least),
-                most: format_compact!("{}", range.most),
+                min: format_compact!("{}", range.min),
+                max: format_compact!("{}", range.max),
                 reason: range.reason,
             };
             self.push(number.range, kind);
@@ -229,7 +226,7 @@
         count
     }
 
-    /// A text that reads as a `T`.
+    /// Reads a string and parses it as a `T`.
     pub(crate) fn text<T: FromStr<Err: fmt::Display>>(
         &mut self,
         object: &Object<'t>,
@@ -260,7 +257,7 @@
         }
     }
 
-    /// A size with its unit. The type reads a bare number too; a file must not leave the unit out.
+    /// Reads a size and requires its unit, which `T::from_str` alone accepts without.
     fn size<T: FromStr<Err: fmt::Display>>(
         &mut self,
         object: &Object<'t>,
@@ -280,7 +277,7 @@
         self.as_text(value, expected)
     }
 
-    /// What a task, a replica or a quota takes.
+    /// Reads the resources of a task, a replica or a quota.
     pub(crate) fn resources(
         &mut self,
         object: &Object<'t>,
@@ -288,9 +285,9 @@
     ) -> Option<Resources> {
         const EXPECTED: &str = r#"an object like {"cpu": "1500m", "memory": "2000MB"}"#;
         const FIELDS: &[&str] = &["cpu", "memory", "accelerators"];
-        const ACCELERATORS: CountRange = CountRange {
-            least: 0,
-            most: 100_000,
+        const ACCELERATOR_COUNT_RANGE: CountRange = CountRange {
+            min: 0,
+            max: 100_000,
             expected: "a whole number of accelerators, like 2",
             reason: "accelerators are given out whole",
         };
@@ -299,7 +296,7 @@
         let cpu = self.size(inner, "cpu", "m", r#"thousandths of a core, like "1500m""#);
         let memory = self.size(inner, "memory", "MB", r#"megabytes, like "2000MB""#);
         let accelerators = match inner.get("accelerators") {
-            Some(prop) => self.as_count(&prop.value, ACCELERATORS),
+            Some(prop) => self.as_count(&prop.value, ACCELERATOR_COUNT_RANGE),
             None => Some(0),
         };
         let accelerators = egretlb_types::Accelerators(accelerators?);
@@ -307,8 +304,8 @@
     }
 }
 
-/// Reads a text file up to one byte more than the parsers take, so that a wrong path, such as a
-/// device that never ends, doesn't fill the memory.
+/// Reads at most `MAX_TEXT_BYTES + 1` bytes of a text file, so that an endless device doesn't
+/// exhaust memory and the parsers still report a text that is too long.
 ///
 /// # Errors
 ///
@@ -320,11 +317,11 @@
     Ok(text)
 }
 
-/// The range of a whole number, and what it is for.
+/// The allowed range of a whole number, with the texts of its fault messages.
 #[derive(Clone, Copy)]
 pub(crate) struct CountRange {
-    pub(crate) least: u32,
-    pub(crate) most: u32,
+    pub(crate) min: u32,
+    pub(crate) max: u32,
     pub(crate) expected: &'static str,
     pub(crate) reason: &'static str,
 }
@@ -340,7 +337,7 @@
     }
 }
 
-/// The text, cut to [`MAX_FOUND_CHARS`].
+/// Truncates the text to [`MAX_FOUND_CHARS`].
 pub(crate) fn shorten(text: &str) -> CompactString {
     match text.char_indices().nth(MAX_FOUND_CHARS) {
         Some((end, _)) => format_compact!("{}...", &text[..end]),
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -1,4 +1,4 @@
-//! Writes a configuration in the operators' format.
+//! Renders a configuration as text.
 
 use {
     crate::units::{Percentile, Period},
@@ -6,8 +6,8 @@
     std::fmt::{self, Write},
 };
 
-/// The document in the format that [`crate::parse_config`] reads. Comments aren't part of a
-/// document: the file under version control is where they live.
+/// Renders the document in the format that [`crate::parse_config`] reads. A document holds no
+/// comments.
 pub fn render(document: &ConfigDocument) -> String {
     let mut out = String::new();
     match write_document(&mut out, document) {
@@ -16,8 +16,8 @@
     }
 }
 
-/// The same without blanks, for the log: each process reads every accepted document, and the bytes
-/// count against its control budget. No name or value of a document holds a blank.
+/// Renders the document without whitespace, which shortens the log record that every process reads.
+/// No name or value of a document contains whitespace.
 pub fn render_compact(document: &ConfigDocument) -> String {
     render(document).replace([' ', '\n'], "")
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -16,50 +16,49 @@
     std::{fmt, io, net::SocketAddr, path::Path, path::PathBuf, str::FromStr},
 };
 
-/// What one daemon, entry or scheduler, is told at its start.
+/// Settings of one daemon, an entry or a scheduler.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// The process's name in logs and dumps. It identifies nothing: a restarted process of the same
-    /// name is a new node.
+    /// The process's name in logs and dumps. Not an identity: a restarted process with the same name
+    /// is a new node.
     pub name: CompactString,
-    /// The data centre that the process's VM stands in.
+    /// The data centre of the process's VM.
     pub data_centre: DataCentre,
-    /// Where the process listens.
+    /// The addresses that the process listens on.
     pub listen: Listen,
-    /// The addresses of the log service, tried in turn. At least one.
+    /// Addresses of the log service, tried in order; at least one.
     pub log_service: SmallVec<[SocketAddr; 4]>,
     /// The address of the platform's VM list.
     pub vm_list: SocketAddr,
-    /// Addresses of other processes for peers, which a process that starts while the log is out of
-    /// reach asks for the configuration. The rest of the time peers are found through the log, so
-    /// the list may be empty, and may name processes that are gone.
+    /// Peer addresses of other processes, requested for the configuration if the log is unreachable
+    /// at start. Otherwise peers are found through the log, so the list may be empty or outdated.
     pub known_peers: SmallVec<[SocketAddr; 4]>,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
 }
 
 /// The addresses that a daemon listens on; port 0 takes any free port.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Listen {
-    /// For callers' requests; an entry needs it, a scheduler has none.
+    /// For callers' requests; required for an entry, absent for a scheduler.
     pub callers: Option<SocketAddr>,
-    /// For operators: configuration, jobs, metrics and dumps. Apart from the callers' address, so
-    /// that no caller can change a configuration.
+    /// For operators: configuration, jobs, metrics and dumps. Separate from the callers' address, so
+    /// that callers can't change the configuration.
     pub operators: SocketAddr,
-    /// For egretlb's other processes.
+    /// For other egretlb processes.
     pub peers: SocketAddr,
 }
 
-/// What a daemon may use.
+/// Resource limits of a daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// The longest body of a request that is read; a longer one is refused before it is read.
+    /// Maximum size of a request body; a larger one is refused before it is read.
     pub max_body: ByteSize,
-    /// The most connections open at the callers' address; one more waits to be accepted.
+    /// Maximum number of open caller connections; further ones wait to be accepted.
     pub max_connections: u32,
-    /// How long a caller may take to send a request or to read its answer.
+    /// Maximum time for a caller to send a request or to read its answer.
     pub caller_timeout: Period,
-    /// How long a graceful shutdown waits for requests in progress before it cuts them off.
+    /// Maximum time a graceful shutdown waits for requests in progress before it aborts them.
     pub drain: Period,
 }
 
@@ -84,26 +83,27 @@
 
 const ADDRESSES_EXPECTED: &str = r#"a list of addresses, like ["10.0.0.9:9000"]"#;
 
-/// A thread serves each connection; more than this and their stacks no longer fit a small VM.
-const MAX_CONNECTIONS: CountRange = CountRange {
-    least: 1,
-    most: 20_000,
+/// Each connection has a thread; the maximum keeps their stacks within the memory of a small VM.
+const CONNECTION_COUNT_RANGE: CountRange = CountRange {
+    min: 1,
+    max: 20_000,
     expected: "a whole number of connections, like 1024",
     reason: "each connection has a thread of its own",
 };
 
-/// A body is held in memory while the request waits.
-const BODY_SIZES: (ByteSize, ByteSize) = (ByteSize(1_000), ByteSize(64_000_000));
+/// Bodies are held in memory while their requests wait.
+const BODY_SIZE_RANGE: (ByteSize, ByteSize) = (ByteSize(1_000), ByteSize(64_000_000));
 
-const CALLER_TIMEOUTS: (Period, Period) = (Period::from_millis(100), Period::from_millis(600_000));
+const CALLER_TIMEOUT_RANGE: (Period, Period) =
+    (Period::from_millis(100), Period::from_millis(600_000));
 
-const DRAINS: (Period, Period) = (Period::from_millis(0), Period::from_millis(3_600_000));
+const DRAIN_RANGE: (Period, Period) = (Period::from_millis(0), Period::from_millis(3_600_000));
 
-/// Reads and checks a daemon's settings.
+/// Parses and checks a daemon's settings.
 ///
 /// # Errors
 ///
-/// All faults of the text, each with its place.
+/// All faults of the text, each with its position.
 pub fn parse_settings(text: &str) -> Result<Settings, Faults> {
     let mut reader = Reader::new(text);
     let settings = reader.parse_root().and_then(|root| settings(&mut reader, &root));
@@ -114,14 +114,14 @@
     }
 }
 
-/// Why a settings file can't be used.
+/// An unreadable or faulty settings file.
 #[derive(Debug)]
 pub enum SettingsError {
     /// The file can't be read.
     Read {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         error: io::Error,
     },
     /// The file has faults.
@@ -172,9 +172,9 @@
     let data_centre = reader.text(root, "data_centre", DATA_CENTRE);
     let listen = listen(reader, root);
     let log_service = log_service(reader, root);
-    let vm_list = remote(reader, root, "vm_list");
+    let vm_list = remote_address(reader, root, "vm_list");
     let known_peers = match root.get("known_peers") {
-        Some(_) => remotes(reader, root, "known_peers"),
+        Some(_) => remote_addresses(reader, root, "known_peers"),
         None => Some(SmallVec::new()),
     };
     let limits = limits(reader, root);
@@ -202,34 +202,34 @@
     let peers = reader.text(object, "peers", ADDRESS_EXPECTED);
     let listen = Listen { callers: callers?, operators: operators?, peers: peers? };
     check_distinct(reader, object, &listen);
-    check_callable(reader, object, &listen);
+    check_specified(reader, object, &listen);
     Some(listen)
 }
 
-/// The operators' and peers' addresses are told to the other processes as they stand here. One that
-/// means "any interface" would send each of them to itself, and the process would look dead.
-fn check_callable<'t>(reader: &mut Reader<'t>, object: &Object<'t>, listen: &Listen) {
+/// Refuses unspecified operators' and peers' addresses: they are published as given, and other
+/// processes would connect to themselves.
+fn check_specified<'t>(reader: &mut Reader<'t>, object: &Object<'t>, listen: &Listen) {
     for (field, address) in [("operators", listen.operators), ("peers", listen.peers)] {
         if let Some(prop) = object.get(field).filter(|_| address.ip().is_unspecified()) {
             let address = address.to_compact_string();
-            reader.push(prop.value.range(), FaultKind::AnyInterface { address });
+            reader.push(prop.value.range(), FaultKind::UnspecifiedAddress { address });
         }
     }
 }
 
-/// Two listeners on one address: the second fails at the start, by when the operator has left.
+/// Refuses one address for two listeners, which would fail only at start.
 fn check_distinct<'t>(reader: &mut Reader<'t>, object: &Object<'t>, listen: &Listen) {
-    let named = [
+    let listeners = [
         ("callers", listen.callers),
         ("operators", Some(listen.operators)),
         ("peers", Some(listen.peers)),
     ];
-    for (i, (field, address)) in named.iter().enumerate() {
+    for (i, (field, address)) in listeners.iter().enumerate() {
         let Some(address) = address.filter(|address| address.port() != 0) else { continue };
-        let seen = named[..i].iter().any(|(_, earlier)| *earlier == Some(address));
-        if let Some(prop) = object.get(field).filter(|_| seen) {
+        let duplicate = listeners[..i].iter().any(|(_, earlier)| *earlier == Some(address));
+        if let Some(prop) = object.get(field).filter(|_| duplicate) {
             let address = address.to_compact_string();
-            reader.push(prop.value.range(), FaultKind::SameAddress { address });
+            reader.push(prop.value.range(), FaultKind::DuplicateAddress { address });
         }
     }
 }
@@ -238,7 +238,7 @@
     reader: &mut Reader<'t>,
     root: &Object<'t>,
 ) -> Option<SmallVec<[SocketAddr; 4]>> {
-    let addresses = remotes(reader, root, "log_service")?;
+    let addresses = remote_addresses(reader, root, "log_service")?;
     if addresses.is_empty() {
         let kind = FaultKind::MissingField { name: "log_service", expected: ADDRESSES_EXPECTED };
         reader.push(root.get("log_service")?.value.range(), kind);
@@ -247,28 +247,28 @@
     Some(addresses)
 }
 
-fn remotes<'t>(
+fn remote_addresses<'t>(
     reader: &mut Reader<'t>,
     root: &Object<'t>,
     name: &'static str,
 ) -> Option<SmallVec<[SocketAddr; 4]>> {
     let array = reader.array(root, name, ADDRESSES_EXPECTED)?;
     let addresses: SmallVec<[Option<SocketAddr>; 4]> =
-        array.elements.iter().map(|value| as_remote(reader, value)).collect();
+        array.elements.iter().map(|value| as_remote_address(reader, value)).collect();
     addresses.into_iter().collect()
 }
 
-fn remote<'t>(
+fn remote_address<'t>(
     reader: &mut Reader<'t>,
     root: &Object<'t>,
     name: &'static str,
 ) -> Option<SocketAddr> {
     let value = reader.field(root, name, ADDRESS_EXPECTED)?;
-    as_remote(reader, value)
+    as_remote_address(reader, value)
 }
 
-/// An address to connect to, which needs a port.
-fn as_remote<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<SocketAddr> {
+/// Reads an address to connect to; port 0 is a fault.
+fn as_remote_address<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<SocketAddr> {
     let address: SocketAddr = reader.as_text(value, ADDRESS_EXPECTED)?;
     if address.port() == 0 {
         out_of_range(reader, value, "port 0", "port 1", "port 65535", "nothing answers on port 0");
@@ -282,30 +282,30 @@
     let Some(prop) = root.get("limits") else { return Some(defaults) };
     let object = reader.as_object(&prop.value, r#"an object like {"max_body": "1MB"}"#)?;
     reader.check_fields(object, LIMIT_FIELDS);
-    let max_body = ranged(
+    let max_body = value_in_range(
         reader,
         object,
         "max_body",
-        (defaults.max_body, BODY_SIZES),
+        (defaults.max_body, BODY_SIZE_RANGE),
         "a body is held in memory while its request waits",
     );
     let max_connections = match object.get("max_connections") {
-        Some(prop) => reader.as_count(&prop.value, MAX_CONNECTIONS),
+        Some(prop) => reader.as_count(&prop.value, CONNECTION_COUNT_RANGE),
         None => Some(defaults.max_connections),
     };
-    let caller_timeout = ranged(
+    let caller_timeout = value_in_range(
         reader,
         object,
         "caller_timeout",
-        (defaults.caller_timeout, CALLER_TIMEOUTS),
-        "a slow caller holds a connection for so long",
+        (defaults.caller_timeout, CALLER_TIMEOUT_RANGE),
+        "a slow caller occupies a connection for this time",
     );
-    let drain = ranged(
+    let drain = value_in_range(
         reader,
         object,
         "drain",
-        (defaults.drain, DRAINS),
-        "a shutdown waits for requests in progress for so long",
+        (defaults.drain, DRAIN_RANGE),
+        "a shutdown waits at most this time for requests in progress",
     );
     Some(Limits {
         max_body: max_body?,
@@ -315,12 +315,12 @@
     })
 }
 
-/// A value with its unit, the default if it isn't given.
-fn ranged<'t, T>(
+/// Reads a value with its unit within `(min, max)`; a missing field gives the default.
+fn value_in_range<'t, T>(
     reader: &mut Reader<'t>,
     object: &Object<'t>,
     name: &'static str,
-    (default, (least, most)): (T, (T, T)),
+    (default, (min, max)): (T, (T, T)),
     reason: &'static str,
 ) -> Option<T>
 where
@@ -328,9 +328,9 @@
 {
     let Some(prop) = object.get(name) else { return Some(default) };
     let value: T = reader.as_text(&prop.value, "a value with its unit, in quotes")?;
-    if value < least || value > most {
-        let (found, least, most) = (value.to_string(), least.to_string(), most.to_string());
-        out_of_range(reader, &prop.value, &found, &least, &most, reason);
+    if value < min || value > max {
+        let (found, min, max) = (value.to_string(), min.to_string(), max.to_string());
+        out_of_range(reader, &prop.value, &found, &min, &max, reason);
         return None;
     }
     Some(value)
@@ -340,14 +340,14 @@
     reader: &mut Reader<'t>,
     value: &Value<'t>,
     found: &str,
-    least: &str,
-    most: &str,
+    min: &str,
+    max: &str,
     reason: &'static str,
 ) {
     let kind = FaultKind::OutOfRange {
         found: CompactString::new(found),
-        least: CompactString::new(least),
-        most: CompactString::new(most),
+        min: CompactString::new(min),
+        max: CompactString::new(max),
         reason,
     };
     reader.push(value.range(), kind);
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,14 +1,12 @@
-//! Durations, percentiles and byte sizes as the files write them.
-//!
-//! A bare number is refused everywhere: `30` has been read as seconds by one person and as minutes
-//! by another often enough.
+//! Durations, percentiles and byte sizes in the files' notation. Numbers without a unit are
+//! refused.
 
 use std::{fmt, str::FromStr, time::Duration};
 
-/// Why a text isn't a value with its unit.
+/// A text isn't a value with its unit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ParseUnitError {
-    /// What the value should look like.
+    /// The expected notation, with an example.
     pub expected: &'static str,
 }
 
@@ -24,20 +22,20 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Period(Duration);
 
-/// The units of a [`Period`] with their milliseconds, the largest first. Minutes are `min`, since
-/// `m` is a thousandth of a core elsewhere in the same file.
+/// The units of a [`Period`] with their milliseconds, largest first. Minutes are `min`, since `m`
+/// means thousandths of a core.
 const PERIOD_UNITS: [(&str, u64); 5] =
     [("d", 86_400_000), ("h", 3_600_000), ("min", 60_000), ("s", 1_000), ("ms", 1)];
 
 const PERIOD_EXPECTED: &str = "a whole number and its unit (ms, s, min, h, d), like \"400ms\"";
 
 impl Period {
-    /// The period of so many milliseconds.
+    /// Creates a period from milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Period(Duration::from_millis(millis))
     }
 
-    /// The duration.
+    /// Returns the period as a [`Duration`].
     pub const fn as_duration(self) -> Duration {
         self.0
     }
@@ -71,7 +69,7 @@
     }
 }
 
-/// The share of requests that a target is for, in thousandths, written `p99` or `p99.9`.
+/// A latency percentile in thousandths, written `p99` or `p99.9`.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Percentile(pub u16);
 
@@ -135,7 +133,7 @@
     Some((digits(number)?, unit))
 }
 
-/// A number of decimal digits alone; the standard library would take a sign too.
+/// Parses decimal digits; unlike `u64::from_str`, refuses a sign.
 fn digits(text: &str) -> Option<u64> {
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok())?
 }
--- a/crates/config/tests/diffs.rs
+++ b/crates/config/tests/diffs.rs
@@ -1,4 +1,4 @@
-//! What the command says of the change from one configuration to another.
+//! Diffs of configurations, as the command prints them.
 
 use egretlb_config::{diff, parse_config};
 
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The committed examples are read without a fault and mean what their comments say.
+//! The committed examples parse without faults and match their comments.
 
 use {
     egretlb_config::{
@@ -47,7 +47,7 @@
     assert_eq!(entry.limits.max_body, ByteSize(1_000_000));
     assert_eq!(entry.limits.drain, Period::from_millis(30_000));
 
-    // The entry's example spells out the defaults, which the scheduler's leaves out.
+    // The entry's example states the defaults, which the scheduler's omits.
     let scheduler = parse_settings(&example("settings-scheduler.jsonc")).unwrap();
     assert_eq!(scheduler.listen.callers, None);
     assert_eq!(scheduler.limits, entry.limits);
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every fault of a file is found in one run, with its place and its remedy.
+//! All faults of a file are reported in one run, with position and remedy.
 
 use {
     egretlb_config::{
@@ -27,7 +27,7 @@
 const TEAM: &str =
     r#"{"name": "claims", "member": "andina", "quota": {"cpu": "8000m", "memory": "9000MB"}}"#;
 
-/// A document of one class, whose target is given.
+/// A document of one class with this target.
 fn with_target(target: &str) -> String {
     format!(
         "{{\"teams\": [{TEAM}], \"classes\": [\n{{\"name\": \"check\", \"member\": \"andina\", \
@@ -40,8 +40,7 @@
 
 #[test]
 fn many_in_one_run() {
-    // An operator in a hurry mends one fault, runs the check again, and finds the next. All of them
-    // must come at once, each with its place.
+    // Guards against reporting only the first of several faults.
     let text = r#"{
   "teams": [
     { "name": "claims", "member": "andina", "quota": { "cpu": 8, "memory": "9000MB" } },
@@ -84,7 +83,7 @@
     };
     assert_eq!(faults(&latency("p50", "1ms", "1m")), [""; 0]);
     assert_eq!(faults(&latency("p99.9", "60s", "1m")), [""; 0]);
-    for (percentile, within, cpu, says) in [
+    for (percentile, within, cpu, expected) in [
         ("p49.9", "1ms", "1m", "p49.9 is out of range; use p50 to p99.9"),
         ("p100", "1ms", "1m", "p100 is out of range; use p50 to p99.9"),
         ("p99.99", "1ms", "1m", "found \"p99.99\": write it as p and a number"),
@@ -97,7 +96,7 @@
     ] {
         let found = faults(&latency(percentile, within, cpu));
         assert_eq!(found.len(), 1, "{found:?}");
-        assert!(found[0].contains(says), "{found:?} should say {says}");
+        assert!(found[0].contains(expected), "{found:?} should say {expected}");
     }
 }
 
@@ -123,9 +122,9 @@
         r#""name": "check", "member": "andina""#,
         r#""name": "check", "member": "kelani""#,
     );
-    let says = "class check is owned by kelani, but team claims belongs to andina; name a team of \
+    let expected = "class check is owned by kelani, but team claims belongs to andina; name a team of \
                 kelani";
-    assert!(faults(&text)[0].ends_with(says), "{:?}", faults(&text));
+    assert!(faults(&text)[0].ends_with(expected), "{:?}", faults(&text));
 }
 
 #[test]
@@ -136,7 +135,7 @@
 
 #[test]
 fn syntax() {
-    for (text, says) in [
+    for (text, expected) in [
         ("", "1:1: not JSON with comments: the text is empty"),
         ("// nothing\n", "1:1: not JSON with comments: the text is empty"),
         ("[]", "1:1: found a list, expected an object in braces"),
@@ -147,14 +146,14 @@
         ("{\"teams\": [], \"classes\": [], \"teams\": []}", "1:30: \"teams\" stands twice, first"),
     ] {
         let found = faults(text);
-        assert!(found[0].starts_with(says), "{text:?}: {found:?} should start with {says}");
+        assert!(found[0].starts_with(expected), "{text:?}: {found:?} should start with {expected}");
     }
 }
 
 #[test]
 fn wrong_kind_of_file() {
-    // Someone applies a daemon's settings as class configuration. It must be plain at once that it
-    // is the wrong file, and the listing must not scroll the reason away.
+    // Passing settings as class configuration, or the reverse, must be refused with a listing of
+    // bounded length.
     let settings = include_str!("../../../examples/settings-entry.jsonc");
     assert!(faults(settings).iter().any(|fault| fault.contains("unknown field \"log_service\"")));
     let classes = include_str!("../../../examples/classes-bogota.jsonc");
@@ -176,8 +175,7 @@
 
 #[test]
 fn faults_are_bounded() {
-    // A file of one line with nothing but faults. Were each of them placed by counting from the
-    // line's start, the check would seem to hang.
+    // Guards against quadratic time in locating the faults of one long line.
     let text = format!("{{{}}}", "\"x\": 1, ".repeat(400_000));
     let found = parse_config(&text).unwrap_err();
     assert_eq!(found.as_slice().len(), MAX_FAULTS);
@@ -187,8 +185,8 @@
     let mut document = parse_config(&with_target(LATENCY)).unwrap();
     document.classes[0].team = team.parse().unwrap();
     document.classes = vec![document.classes[0].clone(); MAX_CLASSES + 1];
-    let says = check_document(&document)[0].to_string();
-    assert_eq!(says, "classes: 5001 classes; at most 5000 are allowed: remove unused ones");
+    let expected = check_document(&document)[0].to_string();
+    assert_eq!(expected, "classes: 5001 classes; at most 5000 are allowed: remove unused ones");
 }
 
 #[test]
@@ -200,7 +198,7 @@
   "limits": { "max_body": "1GB", "max_connections": 0, "drain": "2h", "caller_timeout": 30, "x": 1 }
 }"#;
     let found = settings_faults(text);
-    for says in [
+    for expected in [
         "2:11: found \"entry 1\"",
         "3:26: found \"localhost:80\": invalid socket address syntax",
         "4:18: \"log_service\" is missing",
@@ -211,29 +209,31 @@
         "5:89: found a number, expected a value with its unit",
         "5:93: unknown field \"x\"",
     ] {
-        assert!(found.iter().any(|fault| fault.starts_with(says)), "{says} not in {found:#?}");
+        assert!(
+            found.iter().any(|fault| fault.starts_with(expected)),
+            "{expected} not in {found:#?}"
+        );
     }
     let same = text.replace("localhost:80", "127.0.0.1:80");
-    let says = "3:80: 127.0.0.1:81 is listened on twice; give each its own port";
-    assert!(settings_faults(&same).iter().any(|fault| fault == says));
+    let expected = "3:80: 127.0.0.1:81 is listened on twice; give each its own port";
+    assert!(settings_faults(&same).iter().any(|fault| fault == expected));
     let any = same.replace("\"127.0.0.1:81\" }", "\"0.0.0.0:82\" }");
-    let says = "3:80: 0.0.0.0:82 stands for any interface";
-    assert!(settings_faults(&any).iter().any(|fault| fault.starts_with(says)));
+    let expected = "3:80: 0.0.0.0:82 stands for any interface";
+    assert!(settings_faults(&any).iter().any(|fault| fault.starts_with(expected)));
 }
 
 #[test]
 fn settings_file_missing() {
     let err = read_settings("no-such-settings.jsonc").unwrap_err();
     assert!(matches!(err, SettingsError::Read { .. }));
-    let says = err.to_string();
-    assert!(says.contains("no-such-settings.jsonc"), "{says}");
-    assert!(says.contains("give the path of a readable file"), "{says}");
+    let expected = err.to_string();
+    assert!(expected.contains("no-such-settings.jsonc"), "{expected}");
+    assert!(expected.contains("give the path of a readable file"), "{expected}");
 }
 
 #[test]
 fn document_without_file() {
-    // A proposal reaches a daemon as a document, not as a file. A script that skips the command's
-    // check must not put in force what the command would have refused.
+    // A document that bypasses the command's check must get the same faults.
     let mut document: ConfigDocument = parse_config(&with_target(LATENCY)).unwrap();
     assert_eq!(check_document(&document), []);
     let ClassKind::Latency { target, .. } = &mut document.classes[0].kind else { panic!() };
@@ -242,6 +242,9 @@
     let found = check_document(&document);
     assert_eq!(found[0].place, Place::Class { index: 0, field: "team" });
     assert!(matches!(found[0].kind, FaultKind::UnknownTeam { .. }));
-    let says = found[1].to_string();
-    assert!(says.starts_with("classes[0].within: 0ms is out of range; use 1ms to 1min"), "{says}");
+    let expected = found[1].to_string();
+    assert!(
+        expected.starts_with("classes[0].within: 0ms is out of range; use 1ms to 1min"),
+        "{expected}"
+    );
 }
--- a/crates/config/tests/seeded.rs
+++ b/crates/config/tests/seeded.rs
@@ -1,7 +1,6 @@
-//! Whatever the text, the parsers answer: no panic, and every fault lies inside the text.
+//! The parsers don't panic on any text, and the position of every fault is inside the text.
 //!
-//! The texts are drawn by bolero's generators from the seeds below, so that each run sees the same
-//! ones. A seed that finds a fault is added to the list and stays.
+//! Bolero generates the texts from fixed seeds. Add each seed that finds a bug to the list.
 
 use {
     bolero::generator::bolero_generator::{
@@ -23,8 +22,8 @@
     include_str!("../../../examples/settings-scheduler.jsonc"),
 ];
 
-/// What an edit puts in place of a part of the text. Parts of the format reach further into the
-/// parsers than random characters would.
+/// Replacements for edited parts of the text. Tokens of the format reach more parser code than
+/// random characters.
 const TOKENS: [&str; 22] = [
     "",
     "{",
@@ -58,36 +57,37 @@
 }
 
 #[derive(Debug, TypeGenerator)]
-struct Draw {
-    example: u8,
+struct EditedExample {
+    example_index: u8,
     edits: [Option<Edit>; 4],
 }
 
-impl Draw {
+impl EditedExample {
     fn text(&self) -> String {
-        let mut text = EXAMPLES[usize::from(self.example) % EXAMPLES.len()].to_owned();
+        let mut text = EXAMPLES[usize::from(self.example_index) % EXAMPLES.len()].to_owned();
         for edit in self.edits.iter().flatten() {
-            let start = floor(&text, usize::from(edit.at) % (text.len() + 1));
-            let end = floor(&text, (start + usize::from(edit.removed) / 8).min(text.len()));
+            let start = floor_char_boundary(&text, usize::from(edit.at) % (text.len() + 1));
+            let end =
+                floor_char_boundary(&text, (start + usize::from(edit.removed) / 8).min(text.len()));
             text.replace_range(start..end, TOKENS[usize::from(edit.token) % TOKENS.len()]);
         }
         text
     }
 }
 
-fn floor(text: &str, mut i: usize) -> usize {
+fn floor_char_boundary(text: &str, mut i: usize) -> usize {
     while !text.is_char_boundary(i) {
         i -= 1;
     }
     i
 }
 
-fn for_each_draw<T: TypeGenerator>(check: impl Fn(T)) {
+fn for_each_generated<T: TypeGenerator>(check: impl Fn(T)) {
     let options = Options::default().with_max_len(4_096);
     for seed in SEEDS {
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
-        let draws = std::iter::from_fn(|| T::generate(&mut driver)).take(TEXTS_PER_SEED);
-        draws.for_each(&check);
+        let values = std::iter::from_fn(|| T::generate(&mut driver)).take(TEXTS_PER_SEED);
+        values.for_each(&check);
     }
 }
 
@@ -118,12 +118,12 @@
 
 #[test]
 fn edited_examples() {
-    for_each_draw(|draw: Draw| check(&draw.text()));
+    for_each_generated(|example: EditedExample| check(&example.text()));
 }
 
 #[test]
-fn token_soup() {
-    for_each_draw(|tokens: Vec<u8>| {
+fn random_tokens() {
+    for_each_generated(|tokens: Vec<u8>| {
         let words = tokens.iter().map(|i| TOKENS[usize::from(*i) % TOKENS.len()]);
         check(&words.collect::<String>());
     });
