--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,9 @@
 //! The two file formats: operators' class configuration and a daemon's settings, both JSON with
 //! comments.
 //!
-//! Class configuration holds the targets of all classes; it is proposed through the log and applies
-//! to the whole system. Settings hold the addresses and limits of one process, which reads them once
-//! at start. Passing one kind of file for the other reports faults.
+//! Class configuration holds the targets of all classes; it is proposed through the log and
+//! applies to the whole system. Settings hold the addresses and limits of one process, which reads
+//! them once at start. Passing one kind of file for the other reports faults.
 //!
 //! A parse reports all faults of a file, each with line, column, what was found, what was expected
 //! and the remedy. The syntax tree is therefore lowered by hand: derived deserialization would stop
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -19,8 +19,8 @@
 /// Settings of one daemon, an entry or a scheduler.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// The process's name in logs and dumps. Not an identity: a restarted process with the same name
-    /// is a new node.
+    /// The process's name in logs and dumps. Not an identity: a restarted process with the same
+    /// name is a new node.
     pub name: CompactString,
     /// The data centre of the process's VM.
     pub data_centre: DataCentre,
@@ -42,8 +42,8 @@
 pub struct Listen {
     /// For callers' requests; required for an entry, absent for a scheduler.
     pub callers: Option<SocketAddr>,
-    /// For operators: configuration, jobs, metrics and dumps. Separate from the callers' address, so
-    /// that callers can't change the configuration.
+    /// For operators: configuration, jobs, metrics and dumps. Separate from the callers' address,
+    /// so that callers can't change the configuration.
     pub operators: SocketAddr,
     /// For other egretlb processes.
     pub peers: SocketAddr,
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -18,7 +18,8 @@
 
 impl std::error::Error for ParseUnitError {}
 
-/// A span of time in whole milliseconds, written with its unit: `400ms`, `20s`, `90min`, `8h`, `7d`.
+/// A span of time in whole milliseconds, written with its unit: `400ms`, `20s`, `90min`, `8h`,
+/// `7d`.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Period(Duration);
 
--- a/crates/daemons/src/args.rs
+++ b/crates/daemons/src/args.rs
@@ -6,14 +6,14 @@
     std::{ffi::OsString, path::PathBuf},
 };
 
-/// Which help is asked for.
+/// The requested help text.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum HelpLength {
     Short,
     Long,
 }
 
-/// What a daemon is told by its command line.
+/// Arguments to run a daemon.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Args {
     pub(crate) settings: PathBuf,
@@ -22,7 +22,7 @@
     pub(crate) quiet: usize,
 }
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Parsed {
     Help(HelpLength),
@@ -34,7 +34,7 @@
     std::iter::from_fn(|| args.contains(flag).then_some(())).count()
 }
 
-/// Reads the command line; the error says what is wrong with it.
+/// Parses the command line; the error is a message for the user.
 pub(crate) fn parse(args: Vec<OsString>) -> Result<Parsed, String> {
     let mut args = Arguments::from_vec(args);
     if args.contains("--help") {
@@ -62,17 +62,17 @@
     Ok(Parsed::Run(Args { settings: PathBuf::from(settings), check, verbose, quiet }))
 }
 
-/// The help text.
+/// Returns the help text.
 pub(crate) fn help(program: &Program, length: HelpLength) -> String {
     let Program { name, purpose, .. } = program;
     let short = format!("{name}: {purpose}\n\nusage: {name} [-q|-v] [--check] SETTINGS\n");
     match length {
         HelpLength::Short => format!("{short}\n--help says more, with exit codes.\n"),
-        HelpLength::Long => format!("{short}{LONG}"),
+        HelpLength::Long => format!("{short}{LONG_HELP}"),
     }
 }
 
-const LONG: &str = "
+const LONG_HELP: &str = "
   SETTINGS       The settings file, JSON with comments; see the examples and
                  docs/GUIDE.md.
   --check        Only check the settings; start nothing.
--- a/crates/daemons/src/lib.rs
+++ b/crates/daemons/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the programs `egretlb-entry` and `egretlb-scheduler` have in common: the command line, the
-//! settings file, signals, exit codes.
+//! Shared code of `egretlb-entry` and `egretlb-scheduler`: the command line, the settings file,
+//! signals and exit codes.
 //!
-//! Each program is one call of [`run`]: they differ in what they start and in nothing else.
+//! Each program calls [`run`] with its own start function.
 
 mod args;
 mod signals;
@@ -19,26 +19,26 @@
 pub struct Program {
     /// The program's name.
     pub name: &'static str,
-    /// What it does, in one line.
+    /// One-line description for the help text.
     pub purpose: &'static str,
-    /// Starts it.
+    /// Starts the daemon.
     pub start: fn(&Settings) -> Result<Running, StartError>,
 }
 
-/// The daemons' exit codes. Scripts rely on them: none changes its meaning.
+/// The daemons' exit codes. They are stable, since scripts rely on them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// It was asked to end and cut nothing off.
+    /// Ended on request; no request was aborted.
     Done = 0,
-    /// It was asked to end, and some requests were cut off.
+    /// Ended on request; some requests were aborted.
     CutOff = 1,
     /// The command line is wrong.
     Usage = 2,
     /// The settings can't be read or have faults.
     Settings = 3,
-    /// It can't start, for example since an address is in use.
+    /// The daemon can't start, for example because an address is in use.
     CantStart = 4,
-    /// It crashed: a fault of egretlb. Whoever supervises it must start it again.
+    /// Crashed because of a bug in egretlb; the supervisor should restart it.
     Crashed = 5,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Runs a daemon until a signal ends it.
+/// Runs a daemon until it ends by a signal or a crash.
 pub fn run(program: &Program, args: Vec<OsString>) -> Exit {
     match args::parse(args) {
         Ok(Parsed::Help(length)) => print(&help(program, length)),
@@ -61,7 +61,7 @@
     }
 }
 
-/// Writes to standard output; a reader that has gone is no failure of the daemon.
+/// Writes to standard output and ignores errors, such as a closed pipe.
 fn print(text: &str) -> Exit {
     let _ = std::io::stdout().write_all(text.as_bytes());
     Exit::Done
@@ -70,7 +70,7 @@
 fn run_with(program: &Program, args: &Args) -> Exit {
     let settings = match read_settings(&args.settings) {
         Ok(settings) => settings,
-        Err(error) => return report_settings(program, &error),
+        Err(error) => return report_settings_error(program, &error),
     };
     if args.check {
         return print(&format!("{}: no faults\n", args.settings.display()));
@@ -82,8 +82,8 @@
     }
     match (program.start)(&settings) {
         Ok(running) => {
-            announce(&running);
-            finish(signals::wait_for_end(running))
+            print_addresses(&running);
+            exit_status(signals::wait_for_end(running))
         }
         Err(error) => {
             eprintln!("{}: {error}", program.name);
@@ -92,19 +92,19 @@
     }
 }
 
-fn report_settings(program: &Program, error: &SettingsError) -> Exit {
+fn report_settings_error(program: &Program, error: &SettingsError) -> Exit {
     eprintln!("{}: {error}", program.name);
     Exit::Settings
 }
 
-/// Tells on standard output where the daemon listens: with port 0 nobody knows it otherwise.
-fn announce(running: &Running) {
+/// Prints the listening addresses, which are unknown to the user if the settings give port 0.
+fn print_addresses(running: &Running) {
     let callers = running.callers().map_or_else(String::new, |addr| format!(" callers={addr}"));
     let (operators, peers, node) = (running.operators(), running.peers(), running.node());
     print(&format!("listening node={node}{callers} operators={operators} peers={peers}\n"));
 }
 
-fn finish(stopped: Stopped) -> Exit {
+fn exit_status(stopped: Stopped) -> Exit {
     let Stopped { cut_off, crashed } = stopped;
     if crashed {
         log::error!(cut_off; "crashed");
--- a/crates/daemons/src/signals.rs
+++ b/crates/daemons/src/signals.rs
@@ -1,4 +1,4 @@
-//! Ending by signal.
+//! Shutdown by signal.
 
 use {
     egretlb_net::{Running, Stopped},
@@ -9,11 +9,11 @@
     std::{thread, time::Duration},
 };
 
-/// How often is looked for a signal or the daemon's end.
-const POLL: Duration = Duration::from_millis(20);
+/// How often signals and the daemon's state are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits for signals and the daemon's end. The first signal asks for a graceful end, the second
-/// doesn't wait for it.
+/// Waits until the daemon ends. The first signal requests a graceful shutdown; the second returns
+/// at once.
 pub(crate) fn wait_for_end(running: Running) -> Stopped {
     let mut signals = match Signals::new([SIGTERM, SIGINT]) {
         Ok(signals) => signals,
@@ -22,19 +22,19 @@
             return running.join();
         }
     };
-    let mut asked = false;
+    let mut shutdown_requested = false;
     while !running.is_finished() {
         for _ in signals.pending() {
-            if asked {
+            if shutdown_requested {
                 let cut_off = running.in_progress();
                 log::warn!(cut_off; "ended_by_second_signal");
                 return Stopped { cut_off, crashed: false };
             }
-            asked = true;
+            shutdown_requested = true;
             log::info!("shutting_down");
             running.shutdown();
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
     running.join()
 }
--- a/crates/daemons/tests/process_faults.rs
+++ b/crates/daemons/tests/process_faults.rs
@@ -1,24 +1,24 @@
-//! Faults of real processes: kills, freezes, cuts and outages, with what callers and owners of jobs
-//! see. Histories are recorded by the workers, never by egretlb itself.
+//! Kills, pauses, network faults and outages of real processes. The workers, not egretlb, record
+//! the histories.
 
 mod support;
 
 use {
     egretlb_api::{JobState, ProposalId, ProposeAnswer},
     egretlb_standins::{
-        checker::{Answer, History, Told},
+        checker::{Answer, CallerRecord, History},
         log::LogFaults,
-        worker::{Served, What, WorkerFaults, body_hash},
+        worker::{Served, WorkerEventKind, WorkerFaults, body_hash},
     },
     egretlb_types::Ran,
     oxhttp::model::StatusCode,
     std::{thread, time::Duration},
-    support::{CLASSES, PATIENCE, Role, System, eventually, get, header, propose_on, status},
+    support::{CLASSES, Role, System, WAIT_TIMEOUT, eventually, get, header, propose_on, status},
 };
 
 const TASKS: u32 = 12;
 
-/// Long enough that a job outlives the authority of a scheduler that has gone.
+/// Tasks run longer than a failed scheduler's lease.
 const JOB: &str = "merge run=6s";
 
 fn configured(schedulers: usize, entries: usize) -> System {
@@ -37,34 +37,38 @@
 
 /// Waits until a worker runs the request.
 fn wait_for_request(system: &System, id: &str) {
-    let began = |what: &What| matches!(what, What::RequestBegan { id: of, .. } if of == id);
+    let is_begin = |kind: &WorkerEventKind| {
+        matches!(
+            kind,
+            WorkerEventKind::RequestBegan { id: of, .. } if of == id
+        )
+    };
     eventually("the request runs", || {
-        let mut happened = system.workers.iter().flat_map(|worker| worker.history());
-        happened.any(|happening| began(&happening.what)).then_some(())
+        let mut events = system.workers.iter().flat_map(|worker| worker.history());
+        events.any(|event| is_begin(&event.kind)).then_some(())
     });
 }
 
-/// What the workers recorded, with what callers were told.
-fn history(system: &System, told: Vec<Told>) -> History {
-    let happenings = system.workers.iter().flat_map(|worker| worker.history()).collect();
+/// The events of the workers and the answers to the callers.
+fn history(system: &System, caller_records: Vec<CallerRecord>) -> History {
+    let worker_events = system.workers.iter().flat_map(|worker| worker.history()).collect();
     let capacities = system.capacities();
-    History { happenings, capacities, told, ..History::default() }
+    History { worker_events, capacities, caller_records, ..History::default() }
 }
 
-fn assert_holds(system: &System, told: Vec<Told>) {
-    let violations = history(system, told).check();
+fn assert_holds(system: &System, caller_records: Vec<CallerRecord>) {
+    let violations = history(system, caller_records).check();
     assert!(violations.is_empty(), "{violations:?}");
 }
 
 fn assert_done(system: &System, job: &str) {
-    let status = system.ended(job);
+    let status = system.wait_for_end(job);
     assert_eq!(status.state, JobState::Done, "{status:?}");
     assert_eq!(status.tasks.done, TASKS);
     assert_holds(system, Vec::new());
 }
 
-// A scheduler's process is killed while a batch runs. The owner of the batch must see every task
-// done once, although somebody else has to finish what the dead process began.
+// A scheduler is killed while a job runs: every task must still be done exactly once.
 #[test]
 fn killed_scheduler() {
     let mut system = configured(3, 1);
@@ -75,8 +79,8 @@
     assert_done(&system, "recall-1");
 }
 
-// A scheduler is stopped by its VM for longer than its authority lasts, and wakes up with all its
-// intentions. If it acted on them, tasks would run in two places.
+// A scheduler is paused for longer than its lease: if it acted on its old state after resuming,
+// tasks would run twice at once.
 #[test]
 fn frozen_scheduler() {
     let system = configured(3, 1);
@@ -93,8 +97,8 @@
     assert_done(&system, "recall-1");
 }
 
-// A scheduler can't reach the log any more, but reaches everything else. It has to stop deciding
-// by itself, since nobody can tell it that others have taken over.
+// A scheduler loses only its connection to the log: it must stop scheduling on its own, since
+// others take over its shards.
 #[test]
 fn scheduler_cut_from_log() {
     let system = configured(3, 1);
@@ -105,8 +109,8 @@
     assert_done(&system, "recall-1");
 }
 
-// All of the system's own VMs are lost at once and replaced by empty ones. A batch that was
-// accepted must not be forgotten, and what runs must not be started again.
+// All schedulers are replaced at once: accepted jobs must not be lost, and running tasks must not
+// be started again.
 #[test]
 fn all_schedulers_replaced() {
     let mut system = configured(2, 1);
@@ -122,8 +126,8 @@
     assert_done(&system, "recall-1");
 }
 
-// A scheduler is told to end, as in a rolling restart. It hands its shards over by the log, ends
-// with success, and its batch goes on.
+// A graceful shutdown hands over the shards through the log, exits with success and doesn't
+// disturb the job.
 #[test]
 fn scheduler_ends_gracefully() {
     let mut system = configured(2, 1);
@@ -135,8 +139,7 @@
     assert_done(&system, "recall-1");
 }
 
-// The log takes a record and loses its answer. A submission that is repeated for that must not
-// become two batches, or frightened owners get two letters.
+// The log loses answers to appends: a repeated submission must not create a second job.
 #[test]
 fn lost_log_answers() {
     let system = configured(2, 1);
@@ -146,8 +149,8 @@
     assert_done(&system, "recall-1");
 }
 
-// The log is down for longer than authority lasts. A surveyor's boundary check doesn't need it and
-// is answered all the same; a submission and a filing do, and are refused truthfully.
+// The log is down for longer than a lease: requests that don't need it are answered; keyed
+// requests are refused with the correct outcome.
 #[test]
 fn log_down() {
     let system = configured(2, 1);
@@ -163,13 +166,13 @@
     assert_eq!(filing.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(header(&filing, "egretlb-ran"), Some("no"));
     assert!(header(&filing, "retry-after").is_some());
-    let told = Told {
+    let record = CallerRecord {
         id: "f-1".into(),
         idempotent: false,
         hash: body_hash(b"f-1"),
         answer: Answer::Error(Ran::No),
     };
-    assert_holds(&system, vec![told]);
+    assert_holds(&system, vec![record]);
 
     system.log.set_faults(LogFaults::default());
     eventually("filings are taken again", || {
@@ -180,8 +183,8 @@
     assert_done(&system, "recall-1");
 }
 
-// An entry is killed after it sent a filing and before its caller has the answer. The caller sends
-// the filing again through another entry, with the same key: it must not be filed twice.
+// An entry is killed while a keyed request runs: a repeat through another entry must not run it
+// again.
 #[test]
 fn killed_entry_keyed() {
     let mut system = configured(2, 2);
@@ -200,14 +203,13 @@
     let again = again.expect("an answer");
     assert_eq!(again.status, StatusCode::CONFLICT);
     let hash = body_hash(b"claim-7");
-    let told = |answer| Told { id: "claim-7".into(), idempotent: false, hash, answer };
-    assert_holds(&system, vec![told(Answer::Nothing), told(Answer::Error(Ran::Unknown))]);
+    let record = |answer| CallerRecord { id: "claim-7".into(), idempotent: false, hash, answer };
+    assert_holds(&system, vec![record(Answer::Nothing), record(Answer::Error(Ran::Unknown))]);
     system.entries.remove(0);
 }
 
-// A filing's answer is longer than what is kept of it, and the caller sends the filing again since
-// the answer got lost on its side. It must learn that it ran, and mustn't take an empty answer for
-// the whole one.
+// The answer to a keyed request is too long to be stored: a repeat must report that the request
+// ran, without an empty or partial answer.
 #[test]
 fn repeated_long_answer() {
     let system = configured(2, 2);
@@ -222,17 +224,17 @@
     });
     assert_eq!(again.status, StatusCode::CONFLICT);
     assert_eq!(header(&again, "egretlb-ran"), Some("yes"));
-    let told = Told {
+    let record = CallerRecord {
         id: "claim-9".into(),
         idempotent: false,
         hash: body_hash(b"claim-9"),
         answer: Answer::Error(Ran::Yes),
     };
-    assert_holds(&system, vec![told]);
+    assert_holds(&system, vec![record]);
 }
 
-// An entry is told to end while a caller waits for a slow answer. The caller gets it whole, and a
-// new caller is told at once that its request wasn't run.
+// During a graceful shutdown of an entry, requests in progress get their whole answer and new ones
+// are refused as not run.
 #[test]
 fn entry_ends_gracefully() {
     let mut system = configured(2, 1);
@@ -255,8 +257,7 @@
     assert_eq!(entry.exit_code(), Some(0));
 }
 
-// Two operators change the same version at the same moment, each at another daemon. One of them
-// wins everywhere; the other is told, and shown what is in force instead.
+// Of two concurrent proposals on the same base version exactly one is accepted.
 #[test]
 fn racing_operators() {
     let system = configured(2, 2);
@@ -285,8 +286,7 @@
     assert_eq!((won, lost), (1, 1), "{answers:?}");
 }
 
-// Answers come late, cut short and out of order, to many callers at once. Each caller gets its own
-// whole answer or is told that there is none; nobody gets another's.
+// With delayed, truncated and reordered answers, each caller gets its own whole answer or an error.
 #[test]
 fn own_answers_only() {
     const CALLERS: usize = 200;
@@ -320,5 +320,5 @@
             assert!(header(&answer, "egretlb-ran").is_some());
         }
     }
-    assert!(own > 0, "nobody was answered within {PATIENCE:?}");
+    assert!(own > 0, "nobody was answered within {WAIT_TIMEOUT:?}");
 }
--- a/crates/daemons/tests/support/mod.rs
+++ b/crates/daemons/tests/support/mod.rs
@@ -1,5 +1,4 @@
-//! A small system of real processes: the daemons' binaries against stand-ins of the platform that
-//! run in the test's own process.
+//! A small system of real daemon processes; stand-ins of the platform run in the test's process.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -30,12 +29,12 @@
     },
 };
 
-/// Far above what anything here takes; reached only when it never happens.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum time to wait for a condition.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-const CALL_LIMIT: Duration = Duration::from_secs(15);
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Two classes small enough for a test's workers.
+/// Three classes that fit the test's workers.
 pub const CLASSES: &str = r#"{
   "teams": [{ "name": "all", "member": "firm", "quota": { "cpu": "90000m", "memory": "400000MB" } }],
   "classes": [
@@ -51,13 +50,13 @@
   ],
 }"#;
 
-/// A number that this process hasn't used.
+/// Returns a number unique within this process.
 fn next_number() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// Which daemon.
+/// The kind of a daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
     Entry,
@@ -76,7 +75,7 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // A process that has ended already is no failure.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_file(&self.settings);
@@ -84,16 +83,16 @@
 }
 
 impl Daemon {
-    /// Sends a signal to the process by its id.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args([signal, &pid]).status().expect("kill runs");
         assert!(sent.success(), "kill {signal} {pid}");
     }
 
-    /// Waits for the process's end and gives its exit code.
+    /// Waits until the process ends and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().expect("the child can be waited for") {
                 return status.code();
@@ -104,7 +103,7 @@
     }
 }
 
-/// The platform's stand-ins and the daemons.
+/// The running stand-ins and daemons.
 pub struct System {
     pub log: LogServer,
     pub vms: VmListServer,
@@ -134,7 +133,7 @@
 }
 
 impl System {
-    /// Starts everything; nothing is configured yet.
+    /// Starts stand-ins and daemons without a configuration.
     pub fn start(schedulers: usize, entries: usize, workers: usize) -> Self {
         let log = start_log(LogSettings::default(), 0).expect("a port");
         let (workers, records): (Vec<_>, Vec<_>) = (0..workers).map(worker).unzip();
@@ -151,13 +150,13 @@
         system
     }
 
-    /// What each worker can hold.
+    /// Returns the capacity of each worker.
     pub fn capacities(&self) -> BTreeMap<VmId, Resources> {
         let vm = |n| format!("w-{n}").parse().expect("a valid name");
         (0..self.workers.len()).map(|n| (vm(n), capacity())).collect()
     }
 
-    /// Starts one more daemon's process.
+    /// Starts another daemon process.
     pub fn spawn(&self, role: Role) -> Daemon {
         let settings = self.settings_file(role);
         let program = match role {
@@ -206,13 +205,13 @@
         path
     }
 
-    /// Any daemon's operators' address.
+    /// Returns the operators' address of some daemon.
     pub fn operators(&self) -> SocketAddr {
         let daemon = self.entries.first().or(self.schedulers.first());
         daemon.expect("a daemon").operators
     }
 
-    /// Puts a class configuration in force at the first daemon.
+    /// Proposes a class configuration to the first daemon and returns its version.
     pub fn apply(&self, text: &str) -> Offset {
         let answer = propose(self.operators(), text, ProposalId(next_number()));
         match answer {
@@ -237,15 +236,15 @@
         assert_eq!(answer, SubmitAnswer::Accepted);
     }
 
-    /// Waits until the job has ended and gives its status.
-    pub fn ended(&self, job: &str) -> JobStatus {
+    /// Waits until the job ends and returns its status.
+    pub fn wait_for_end(&self, job: &str) -> JobStatus {
         eventually("the job ends", || match self.job(job)? {
             JobAnswer::Found { job } if job.state != JobState::Active => Some(job),
             _ => None,
         })
     }
 
-    /// Where the job stands, if its owner answers.
+    /// Returns the job's status if its owner answers.
     pub fn job(&self, job: &str) -> Option<JobAnswer> {
         get(self.operators(), &job_path(&job.parse().expect("a valid name"))).ok()
     }
@@ -270,7 +269,7 @@
     }
 }
 
-/// Sends a request with its id as body.
+/// Sends a request with its id as the body.
 pub fn send(
     callers: SocketAddr,
     class: &str,
@@ -283,14 +282,14 @@
         (HeaderName::from_static(name), value)
     });
     let url = format!("http://{callers}/serve/{class}/x");
-    call(Method::POST, url, headers, id.as_bytes().to_vec(), CALL_LIMIT)
+    call(Method::POST, url, headers, id.as_bytes().to_vec(), CALL_TIMEOUT)
 }
 
-/// Asks until there is an answer.
-pub fn eventually<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
-    let deadline = Instant::now() + PATIENCE;
+/// Polls until there is a value; panics after the timeout.
+pub fn eventually<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(answer) = ask() {
+        if let Some(answer) = poll() {
             return answer;
         }
         assert!(Instant::now() < deadline, "gave up waiting: {what}");
@@ -298,18 +297,18 @@
     }
 }
 
-/// A header of an answer as text.
+/// Returns a header of an answer as text.
 pub fn header<'a>(answer: &'a HttpAnswer, name: &str) -> Option<&'a str> {
     answer.headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Proposes a configuration on top of the one in force there.
+/// Proposes a configuration based on the daemon's current version.
 pub fn propose(operators: SocketAddr, text: &str, proposal: ProposalId) -> ProposeAnswer {
     let view: ConfigView = get(operators, CONFIG).expect("a configuration view");
     propose_on(operators, text, proposal, view.version)
 }
 
-/// Proposes a configuration on a base version, until the log decides.
+/// Proposes a configuration on a base version and waits for the decision.
 pub fn propose_on(
     operators: SocketAddr,
     text: &str,
@@ -324,18 +323,18 @@
     })
 }
 
-/// What a daemon says of all nodes.
+/// Returns a daemon's status of all nodes.
 pub fn status(operators: SocketAddr) -> Status {
     get(operators, STATUS).expect("a status")
 }
 
-/// Gets JSON from an operators' address.
+/// Requests JSON from an operators' address.
 pub fn get<T: serde::de::DeserializeOwned>(
     operators: SocketAddr,
     path: &str,
 ) -> Result<T, CallFailure> {
     let answer =
-        call(Method::GET, format!("http://{operators}{path}"), [], Vec::new(), CALL_LIMIT)?;
+        call(Method::GET, format!("http://{operators}{path}"), [], Vec::new(), CALL_TIMEOUT)?;
     Ok(serde_json::from_slice(&answer.body).expect("JSON"))
 }
 
@@ -345,6 +344,6 @@
     message: &impl serde::Serialize,
 ) -> Result<T, CallFailure> {
     let body = serde_json::to_vec(message).expect("JSON");
-    let answer = call(Method::POST, format!("http://{operators}{path}"), [], body, CALL_LIMIT)?;
+    let answer = call(Method::POST, format!("http://{operators}{path}"), [], body, CALL_TIMEOUT)?;
     Ok(serde_json::from_slice(&answer.body).expect("JSON"))
 }
--- a/crates/daemons/tests/whole_path.rs
+++ b/crates/daemons/tests/whole_path.rs
@@ -1,10 +1,10 @@
-//! A request, a batch job and a configuration across real processes.
+//! A configuration, requests and a batch job across real processes.
 
 mod support;
 
 use {
     egretlb_api::JobState,
-    egretlb_standins::worker::{Served, What},
+    egretlb_standins::worker::{Served, WorkerEventKind},
     support::{CLASSES, System, eventually, header, status},
 };
 
@@ -31,14 +31,19 @@
     }
 
     system.submit("reconcile-1", 6, "reconcile run=200ms");
-    let job = system.ended("reconcile-1");
+    let job = system.wait_for_end("reconcile-1");
     assert_eq!(job.state, JobState::Done);
     assert_eq!(job.tasks.done, 6);
     let starts: usize = system
         .workers
         .iter()
         .flat_map(|worker| worker.history())
-        .filter(|h| matches!(&h.what, What::Started { class, .. } if class.as_str() == "merge"))
+        .filter(|event| {
+            matches!(
+                &event.kind,
+                WorkerEventKind::Started { class, .. } if class.as_str() == "merge"
+            )
+        })
         .count();
     assert_eq!(starts, 6);
 }
--- a/crates/egretlb/src/lib.rs
+++ b/crates/egretlb/src/lib.rs
@@ -1,9 +1,7 @@
-//! egretlb as one library: everything that its programs are made of.
+//! Facade that re-exports the egretlb library crates.
 //!
-//! A program that wants a daemon among its own threads needs [`config`] and [`net`]; one that wants
-//! the decisions without any input or output, for a test or a measurement, needs [`node`] or one of
-//! the reducers below it. Each part is a crate of its own and usable alone; this one only names
-//! them together.
+//! To run a daemon in a program's own threads, use [`config`] and [`net`]. For the scheduling logic
+//! without I/O, use [`node`] or the reducers below it.
 //!
 //! ```no_run
 //! use egretlb::{config::read_settings, net::start_scheduler};
--- a/crates/load/src/args.rs
+++ b/crates/load/src/args.rs
@@ -6,38 +6,38 @@
     std::{ffi::OsString, net::SocketAddr, str::FromStr, time::Duration},
 };
 
-/// The most requests of one run.
-const REQUESTS_MAX: u32 = 1_000_000;
+/// Maximum number of requests of a run.
+const MAX_REQUESTS: u32 = 1_000_000;
 
-/// The most callers of one run; each is a thread.
-const CALLERS_MAX: u32 = 2_000;
+/// Maximum number of callers of a run; each is a thread.
+const MAX_CALLERS: u32 = 2_000;
 
-/// One run.
+/// Parameters of a run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Load {
-    /// Where to send; on the loopback.
+    /// Target address, on the loopback interface.
     pub to: SocketAddr,
-    /// The class.
+    /// Class of the requests.
     pub class: ClassName,
-    /// How many requests.
+    /// Number of requests.
     pub requests: u32,
-    /// How many callers at once.
+    /// Number of concurrent callers.
     pub callers: u32,
-    /// Requests a second over all callers; without it each caller sends as soon as it can.
+    /// Requests per second over all callers; without it each caller sends as soon as it can.
     pub rate: Option<u32>,
-    /// How long the service works on a request, in milliseconds, if it isn't left to it.
+    /// Service time of a request, in milliseconds; `None` for the service's default.
     pub service_ms: Option<u32>,
-    /// The bytes of each request's body.
+    /// Size of each request body, in bytes.
     pub body: u32,
-    /// Processes whose processor time is measured, by id.
+    /// Ids of the processes whose CPU time is measured.
     pub pids: Vec<u32>,
-    /// How long one call may be silent.
+    /// Maximum time without data on one call.
     pub timeout: Duration,
     /// Whether to print JSON.
     pub json: bool,
 }
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Parsed {
     /// The help text.
@@ -46,7 +46,7 @@
     Run(Load),
 }
 
-/// The help text.
+/// Returns the help text.
 pub fn help() -> &'static str {
     "\
 egretlb-load: sends a bounded load on loopback and reports what callers saw
@@ -77,14 +77,14 @@
     args.opt_value_from_str(name).map_err(|e| e.to_string())
 }
 
-fn bounded(name: &str, value: u32, most: u32) -> Result<u32, String> {
-    if value == 0 || value > most {
-        return Err(format!("{name} takes 1 to {most}"));
+fn bounded(name: &str, value: u32, max: u32) -> Result<u32, String> {
+    if value == 0 || value > max {
+        return Err(format!("{name} takes 1 to {max}"));
     }
     Ok(value)
 }
 
-/// Reads the command line; the error says what is wrong with it.
+/// Parses the command line; the error is a message for the user.
 pub fn parse(args: Vec<OsString>) -> Result<Parsed, String> {
     const CALLERS: u32 = 16;
     const REQUESTS: u32 = 10_000;
@@ -110,8 +110,8 @@
         timeout: Duration::from_millis(optional(&mut args, "--timeout-ms")?.unwrap_or(TIMEOUT_MS)),
         json: args.contains("--json"),
     };
-    bounded("--requests", load.requests, REQUESTS_MAX)?;
-    bounded("--callers", load.callers, CALLERS_MAX)?;
+    bounded("--requests", load.requests, MAX_REQUESTS)?;
+    bounded("--callers", load.callers, MAX_CALLERS)?;
     if load.rate == Some(0) {
         return Err("--rate takes 1 or more".into());
     }
--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers.
+//! Concurrent callers that send the load.
 
 use {
     crate::args::Load,
@@ -14,50 +14,51 @@
     },
 };
 
-/// Digits kept of each time.
-const DIGITS: u8 = 3;
+/// Significant digits of recorded times.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// The longest time that is told apart, in microseconds: ten minutes.
-const MICROS_MAX: u64 = 600_000_000;
+/// Maximum time the histograms distinguish: ten minutes.
+const MAX_MICROS: u64 = 600_000_000;
 
-/// What the callers saw.
+/// Results of a load.
 #[derive(Debug)]
-pub struct Seen {
-    /// Whole answers that the request got from its service.
+pub struct LoadResult {
+    /// Number of whole answers from the service.
     pub answered: u64,
-    /// Refusals that say the request wasn't run.
+    /// Number of refusals, whose request didn't run.
     pub refused: u64,
-    /// Errors that say it may have run.
+    /// Number of errors whose request may have run.
     pub unknown: u64,
-    /// No whole answer at all.
+    /// Number of calls without a whole answer.
     pub broken: u64,
-    /// Times of answers, in microseconds.
+    /// Latencies of answers, in microseconds.
     pub latency: Histogram<u64>,
-    /// Times of refusals, in microseconds.
+    /// Latencies of refusals, in microseconds.
     pub refusal: Histogram<u64>,
-    /// How long the whole load took.
-    pub took: Duration,
-    /// Processor time that the measured processes used meanwhile.
+    /// Duration of the whole load.
+    pub elapsed_time: Duration,
+    /// CPU time that the measured processes used during the load.
     pub cpu: Duration,
 }
 
-impl Seen {
+impl LoadResult {
     fn new() -> Self {
-        let empty = || Histogram::new_with_max(MICROS_MAX, DIGITS).expect("valid bounds");
-        Seen {
+        let empty =
+            || Histogram::new_with_max(MAX_MICROS, SIGNIFICANT_DIGITS).expect("valid bounds");
+        LoadResult {
             answered: 0,
             refused: 0,
             unknown: 0,
             broken: 0,
             latency: empty(),
             refusal: empty(),
-            took: Duration::ZERO,
+            elapsed_time: Duration::ZERO,
             cpu: Duration::ZERO,
         }
     }
 
-    fn count(&mut self, answer: &Result<HttpAnswer, CallFailure>, took: Duration) {
-        let micros = took.as_micros() as u64;
+    fn count(&mut self, answer: &Result<HttpAnswer, CallFailure>, elapsed_time: Duration) {
+        let micros = elapsed_time.as_micros() as u64;
         let ran = answer.as_ref().ok().and_then(|a| a.headers.get(RAN));
         match (answer, ran.and_then(|value| value.to_str().ok())) {
             (Err(_), _) => self.broken += 1,
@@ -70,12 +71,12 @@
                 self.answered += 1;
                 self.latency.saturating_record(micros);
             }
-            // Straight from a backend server: its own refusal.
+            // A refusal by the backend server itself.
             (Ok(_), _) => self.refused += 1,
         }
     }
 
-    fn add(&mut self, other: &Seen) {
+    fn add(&mut self, other: &LoadResult) {
         self.answered += other.answered;
         self.refused += other.refused;
         self.unknown += other.unknown;
@@ -86,30 +87,30 @@
     }
 }
 
-/// Sends the load and waits for its end.
-pub fn run(load: &Load) -> Seen {
+/// Sends the load and waits until it completes.
+pub fn run(load: &Load) -> LoadResult {
     let next = AtomicU32::new(0);
-    let cpu_before = processor_time(&load.pids);
+    let cpu_before = cpu_time(&load.pids);
     let start = Instant::now();
-    let mut all = Seen::new();
+    let mut all = LoadResult::new();
     thread::scope(|scope| {
         let callers: Vec<_> =
-            (0..load.callers).map(|_| scope.spawn(|| one_caller(load, &next, start))).collect();
+            (0..load.callers).map(|_| scope.spawn(|| run_caller(load, &next, start))).collect();
         for caller in callers {
             all.add(&caller.join().expect("a caller doesn't panic"));
         }
     });
-    all.took = start.elapsed();
-    all.cpu = processor_time(&load.pids).saturating_sub(cpu_before);
+    all.elapsed_time = start.elapsed();
+    all.cpu = cpu_time(&load.pids).saturating_sub(cpu_before);
     all
 }
 
-fn one_caller(load: &Load, next: &AtomicU32, start: Instant) -> Seen {
-    let mut seen = Seen::new();
+fn run_caller(load: &Load, next: &AtomicU32, start: Instant) -> LoadResult {
+    let mut result = LoadResult::new();
     loop {
         let n = next.fetch_add(1, Ordering::Relaxed);
         if n >= load.requests {
-            return seen;
+            return result;
         }
         let due = match load.rate {
             Some(rate) => start + Duration::from_secs(1) * n / rate,
@@ -117,7 +118,7 @@
         };
         thread::sleep(due.saturating_duration_since(Instant::now()));
         let answer = send(load, n);
-        seen.count(&answer, due.elapsed());
+        result.count(&answer, due.elapsed());
     }
 }
 
@@ -131,14 +132,14 @@
     call(Method::POST, url, headers, body, load.timeout)
 }
 
-/// User and system time of the processes so far, from their entries under `/proc`.
-fn processor_time(pids: &[u32]) -> Duration {
-    /// Ticks a second of these entries on Linux.
+/// Returns the total user and system time of the processes, read from `/proc`.
+fn cpu_time(pids: &[u32]) -> Duration {
+    /// Clock ticks per second in `/proc` on Linux.
     const TICKS: u64 = 100;
     let ticks = |pid: &u32| -> Option<u64> {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The name in parentheses may hold blanks; user and system time are the 12th and 13th
-        // fields behind it.
+        // The name in parentheses may contain spaces; user and system time are the 12th and 13th
+        // fields after it.
         let mut fields = stat.rsplit_once(')')?.1.split_whitespace().skip(11);
         let user: u64 = fields.next()?.parse().ok()?;
         let system: u64 = fields.next()?.parse().ok()?;
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,12 +1,10 @@
-//! Load over sockets: callers that send a bounded number of requests and measure what comes back.
+//! Load generator: callers send a bounded number of requests over sockets and measure the answers.
 //!
-//! It sends to an entry, or straight to a backend server for comparison, with the same client. A
-//! closed load (each caller sends the next request when it has the answer) measures capacity; an
-//! open one (a fixed rate, whatever the answers) measures what callers see, since it doesn't slow
-//! down together with the system. Times count from when a request was due, so that a caller who is
-//! late because of a slow answer before doesn't hide it.
+//! It sends to an entry, or directly to a backend server for comparison. A closed load (each caller
+//! sends the next request after the answer) measures capacity; an open load (a fixed rate) measures
+//! latency. Latency counts from when a request was due, which avoids coordinated omission.
 //!
-//! It refuses any address that isn't on the loopback: it is a measuring tool, not a weapon.
+//! Only loopback addresses are accepted.
 
 mod args;
 mod callers;
@@ -16,7 +14,7 @@
 
 pub use crate::{
     args::{Load, Parsed, help, parse},
-    callers::{Seen, run},
+    callers::{LoadResult, run},
     report::report,
 };
 
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -12,9 +12,9 @@
             Exit::Done
         }
         Ok(Parsed::Run(load)) => {
-            let seen = run(&load);
-            print!("{}", report(&seen, load.json));
-            if seen.answered == 0 { Exit::NothingAnswered } else { Exit::Done }
+            let result = run(&load);
+            print!("{}", report(&result, load.json));
+            if result.answered == 0 { Exit::NothingAnswered } else { Exit::Done }
         }
         Err(message) => {
             eprintln!("egretlb-load: {message}; see egretlb-load --help");
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,18 +1,18 @@
-//! The report, for people and for scripts.
+//! Formats the results as a table or JSON.
 
-use {crate::callers::Seen, hdrhistogram::Histogram, serde::Serialize, std::fmt::Write};
+use {crate::callers::LoadResult, hdrhistogram::Histogram, serde::Serialize, std::fmt::Write};
 
 #[derive(Debug, Serialize)]
-struct Times {
+struct LatencySummary {
     p50_micros: u64,
     p99_micros: u64,
     p999_micros: u64,
     max_micros: u64,
 }
 
-impl Times {
-    fn of(histogram: &Histogram<u64>) -> Self {
-        Times {
+impl LatencySummary {
+    fn new(histogram: &Histogram<u64>) -> Self {
+        LatencySummary {
             p50_micros: histogram.value_at_quantile(0.5),
             p99_micros: histogram.value_at_quantile(0.99),
             p999_micros: histogram.value_at_quantile(0.999),
@@ -29,29 +29,29 @@
     broken: u64,
     answered_per_second: f64,
     cpu_micros_per_request: f64,
-    latency: Times,
-    refusal: Times,
+    latency: LatencySummary,
+    refusal: LatencySummary,
 }
 
 impl Report {
-    fn of(seen: &Seen) -> Self {
-        let all = seen.answered + seen.refused + seen.unknown + seen.broken;
+    fn new(result: &LoadResult) -> Self {
+        let all = result.answered + result.refused + result.unknown + result.broken;
         Report {
-            answered: seen.answered,
-            refused: seen.refused,
-            unknown: seen.unknown,
-            broken: seen.broken,
-            answered_per_second: seen.answered as f64 / seen.took.as_secs_f64(),
-            cpu_micros_per_request: seen.cpu.as_secs_f64() * 1e6 / all.max(1) as f64,
-            latency: Times::of(&seen.latency),
-            refusal: Times::of(&seen.refusal),
+            answered: result.answered,
+            refused: result.refused,
+            unknown: result.unknown,
+            broken: result.broken,
+            answered_per_second: result.answered as f64 / result.elapsed_time.as_secs_f64(),
+            cpu_micros_per_request: result.cpu.as_secs_f64() * 1e6 / all.max(1) as f64,
+            latency: LatencySummary::new(&result.latency),
+            refusal: LatencySummary::new(&result.refusal),
         }
     }
 }
 
-/// The report as a table, or as JSON.
-pub fn report(seen: &Seen, json: bool) -> String {
-    let report = Report::of(seen);
+/// Formats the results as a table, or as JSON.
+pub fn report(result: &LoadResult, json: bool) -> String {
+    let report = Report::new(result);
     if json {
         let text = serde_json::to_string(&report).expect("numbers can be written");
         return format!("{text}\n");
--- a/crates/load/tests/load_args.rs
+++ b/crates/load/tests/load_args.rs
@@ -18,7 +18,7 @@
     assert!(!load.json);
 }
 
-// Somebody gives the address of another machine. The tool would load what isn't theirs to load.
+// Guards against sending load to other machines.
 #[test]
 fn refuses_other_machines() {
     let refused = parsed("--to 10.0.0.4:8080 --class check").expect_err("refused");
--- a/crates/node/tests/support/world/mod.rs
+++ b/crates/node/tests/support/world/mod.rs
@@ -316,8 +316,8 @@
     pub fn history(&mut self) -> History {
         let now = self.now;
         self.workers.iter_mut().for_each(|worker| worker.advance(now));
-        let happenings = self.workers.iter().flat_map(|w| w.history().to_vec()).collect();
+        let worker_events = self.workers.iter().flat_map(|w| w.history().to_vec()).collect();
         let capacities = (0..self.workers.len()).map(|n| (vm(n), capacity())).collect();
-        History { happenings, capacities, ..History::default() }
+        History { worker_events, capacities, ..History::default() }
     }
 }
--- a/crates/quickstart/src/client.rs
+++ b/crates/quickstart/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls as a caller and as an operator makes them.
+//! HTTP calls to callers' and operators' addresses.
 
 use {
     crate::error::QuickstartError,
@@ -14,25 +14,25 @@
     },
 };
 
-/// How long one call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(15);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long anything is waited for. Everything here takes seconds; this is for a busy machine.
-const PATIENCE: Duration = Duration::from_secs(90);
+/// Maximum time to wait for a condition; generous for busy machines.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Time between two questions.
-const ASK_EVERY: Duration = Duration::from_millis(50);
+/// Interval between polls of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a caller got.
+/// The answer to a caller's request.
 #[derive(Debug)]
-pub(crate) struct Answered {
+pub(crate) struct RequestOutcome {
     pub(crate) status: u16,
-    /// What `Egretlb-Ran` says.
+    /// Value of the header `Egretlb-Ran`.
     pub(crate) ran: String,
     pub(crate) retry_after: Option<String>,
-    /// The service's answer, if it is one.
+    /// The service's answer, if the body is one.
     pub(crate) served: Option<Served>,
-    pub(crate) took: Duration,
+    pub(crate) elapsed: Duration,
 }
 
 /// Sends a request to an entry.
@@ -41,7 +41,7 @@
     class: &str,
     id: &str,
     key: Option<&str>,
-) -> Result<Answered, QuickstartError> {
+) -> Result<RequestOutcome, QuickstartError> {
     let start = Instant::now();
     let id = Some(("x-request-id", id));
     let key = key.map(|key| (IDEMPOTENCY_KEY, key));
@@ -49,13 +49,13 @@
         Some((HeaderName::from_static(name), HeaderValue::from_str(value).ok()?))
     });
     let url = format!("http://{entry}/serve/{class}/plot-17");
-    let answer = call(Method::POST, url, headers, b"a polygon".to_vec(), CALL_LIMIT)?;
-    Ok(Answered {
+    let answer = call(Method::POST, url, headers, b"a polygon".to_vec(), CALL_TIMEOUT)?;
+    Ok(RequestOutcome {
         status: answer.status.as_u16(),
         ran: header(&answer, RAN).unwrap_or_default(),
         retry_after: header(&answer, RETRY_AFTER),
         served: serde_json::from_slice(&answer.body).ok(),
-        took: start.elapsed(),
+        elapsed: start.elapsed(),
     })
 }
 
@@ -63,13 +63,13 @@
     answer.headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
 }
 
-/// Reads JSON from an operators' address.
+/// Requests JSON from an operators' address.
 pub(crate) fn get<T: DeserializeOwned>(
     operators: SocketAddr,
     path: &str,
 ) -> Result<T, QuickstartError> {
     let url = format!("http://{operators}{path}");
-    let answer = call(Method::GET, url, [], Vec::new(), CALL_LIMIT)?;
+    let answer = call(Method::GET, url, [], Vec::new(), CALL_TIMEOUT)?;
     Ok(serde_json::from_slice(&answer.body)?)
 }
 
@@ -80,21 +80,21 @@
     message: &impl Serialize,
 ) -> Result<T, QuickstartError> {
     let url = format!("http://{operators}{path}");
-    let answer = call(Method::POST, url, [], serde_json::to_vec(message)?, CALL_LIMIT)?;
+    let answer = call(Method::POST, url, [], serde_json::to_vec(message)?, CALL_TIMEOUT)?;
     Ok(serde_json::from_slice(&answer.body)?)
 }
 
-/// Asks until there is an answer; calls that fail are made again.
+/// Polls until there is a value; failed calls are repeated.
 pub(crate) fn wait<T>(
     what: &'static str,
-    mut ask: impl FnMut() -> Result<Option<T>, QuickstartError>,
+    mut poll: impl FnMut() -> Result<Option<T>, QuickstartError>,
 ) -> Result<T, QuickstartError> {
     let start = Instant::now();
-    while start.elapsed() < PATIENCE {
-        if let Ok(Some(answer)) = ask() {
+    while start.elapsed() < WAIT_TIMEOUT {
+        if let Ok(Some(answer)) = poll() {
             return Ok(answer);
         }
-        thread::sleep(ASK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
-    Err(QuickstartError::TooLate { what })
+    Err(QuickstartError::TimedOut { what })
 }
--- a/crates/quickstart/src/error.rs
+++ b/crates/quickstart/src/error.rs
@@ -1,11 +1,11 @@
-//! Why the quick start can't go on.
+//! Errors of the quick start.
 
 use {
     egretlb_net::{StartError, http::CallFailure},
     std::{fmt, io},
 };
 
-/// Why the quick start can't go on.
+/// An error that stops the quick start.
 #[derive(Debug)]
 pub enum QuickstartError {
     /// A stand-in can't start.
@@ -14,19 +14,19 @@
     Daemon(StartError),
     /// A call got no answer.
     Call(CallFailure),
-    /// An answer can't be read.
+    /// An answer can't be decoded.
     Answer(serde_json::Error),
-    /// Something didn't happen in time.
-    TooLate {
-        /// What was waited for.
+    /// A condition didn't hold in time.
+    TimedOut {
+        /// The condition.
         what: &'static str,
     },
-    /// What the workers saw breaks a promise.
-    Broken {
-        /// What was found.
-        found: String,
+    /// The recorded history violates a guarantee.
+    Violation {
+        /// The violation.
+        violation: String,
     },
-    /// The text can't be written.
+    /// The output can't be written.
     Write(io::Error),
 }
 
@@ -41,11 +41,11 @@
             QuickstartError::Answer(e) => {
                 write!(f, "an answer can't be read: {e}; build all parts from one checkout")
             }
-            QuickstartError::TooLate { what } => {
+            QuickstartError::TimedOut { what } => {
                 write!(f, "gave up waiting until {what}; run it again on a less busy machine")
             }
-            QuickstartError::Broken { found } => {
-                write!(f, "a promise was broken, please report this: {found}")
+            QuickstartError::Violation { violation } => {
+                write!(f, "a promise was broken, please report this: {violation}")
             }
             QuickstartError::Write(e) => write!(f, "can't write: {e}; check the output"),
         }
--- a/crates/quickstart/src/lib.rs
+++ b/crates/quickstart/src/lib.rs
@@ -1,8 +1,8 @@
-//! Shows the main path: a configuration, requests and a batch job through two entries and two
-//! schedulers, on stand-ins of the platform.
+//! Demonstrates a configuration, requests and a batch job with two entries, two schedulers and
+//! stand-ins of the platform.
 //!
-//! All parts run as threads of one program, so that nothing has to be installed or started first.
-//! In use each daemon is a process of its own, on VMs of its own.
+//! All parts run as threads of one program, without any installation. In production each daemon is
+//! a separate process on its own VM.
 
 mod client;
 mod error;
--- a/crates/quickstart/src/main.rs
+++ b/crates/quickstart/src/main.rs
@@ -1,4 +1,4 @@
-//! The command: `egretlb-quickstart`, without arguments.
+//! The program `egretlb-quickstart`; it takes no arguments.
 
 use std::{io, process::ExitCode};
 
--- a/crates/quickstart/src/story.rs
+++ b/crates/quickstart/src/story.rs
@@ -1,8 +1,8 @@
-//! What is done and told, step by step.
+//! The steps of the quick start.
 
 use {
     crate::{
-        client::{Answered, get, post, request, wait},
+        client::{RequestOutcome, get, post, request, wait},
         error::QuickstartError,
         system::{NODES, System},
     },
@@ -12,8 +12,8 @@
     },
     egretlb_config::parse_config,
     egretlb_standins::{
-        checker::{Answer, History, Told},
-        worker::{What, body_hash},
+        checker::{Answer, CallerRecord, History},
+        worker::{WorkerEventKind, body_hash},
     },
     egretlb_types::{Offset, Ran},
     std::{
@@ -23,49 +23,49 @@
     },
 };
 
-/// The configuration that is applied.
+/// The applied configuration.
 const CLASSES: &str = include_str!("../../../examples/classes-bogota.jsonc");
 
-/// Requests that are sent.
+/// Number of boundary checks.
 const REQUESTS: usize = 20;
 
-/// The batch job.
+/// The batch job and its number of tasks.
 const JOB: &str = "reconciliation-2026-01-31";
 const TASKS: u32 = 24;
 
 /// Prints lines with the time since the start.
-struct Teller<'a> {
+struct ProgressWriter<'a> {
     out: &'a mut dyn Write,
     start: Instant,
 }
 
-impl Teller<'_> {
-    fn say(&mut self, line: &str) -> Result<(), QuickstartError> {
+impl ProgressWriter<'_> {
+    fn print(&mut self, line: &str) -> Result<(), QuickstartError> {
         let secs = self.start.elapsed().as_secs_f64();
         writeln!(self.out, "{secs:7.2} s  {line}")?;
         Ok(self.out.flush()?)
     }
 }
 
-/// Runs the quick start, writing what happens to `out`.
+/// Runs the quick start and writes its progress to `out`.
 pub fn run(out: &mut impl Write) -> Result<(), QuickstartError> {
-    let mut teller = Teller { out, start: Instant::now() };
+    let mut progress = ProgressWriter { out, start: Instant::now() };
     let system = System::start()?;
-    teller.say(&format!(
+    progress.print(&format!(
         "started {NODES} entries, {NODES} schedulers, and stand-ins for the log, the VM list and {} \
          workers",
         system.workers.len()
     ))?;
-    configure(&system, &mut teller)?;
-    let mut told = checks(&system, &mut teller)?;
-    told.extend(filing(&system, &mut teller)?);
-    batch(&system, &mut teller)?;
-    verify(&system, told, &mut teller)?;
+    configure(&system, &mut progress)?;
+    let mut caller_records = send_boundary_checks(&system, &mut progress)?;
+    caller_records.extend(send_filing(&system, &mut progress)?);
+    run_batch(&system, &mut progress)?;
+    verify(&system, caller_records, &mut progress)?;
     let cut_off = system.stop();
-    teller.say(&format!("all daemons ended gracefully, {cut_off} requests cut off"))
+    progress.print(&format!("all daemons ended gracefully, {cut_off} requests cut off"))
 }
 
-fn configure(system: &System, teller: &mut Teller<'_>) -> Result<(), QuickstartError> {
+fn configure(system: &System, progress: &mut ProgressWriter<'_>) -> Result<(), QuickstartError> {
     let document = parse_config(CLASSES).expect("the example has no faults");
     let classes: Vec<_> = document.classes.iter().map(|class| class.name.as_str()).collect();
     let classes = classes.join(", ");
@@ -83,9 +83,10 @@
             _ => Ok(None),
         }
     })?;
-    teller.say(&format!("applied examples/classes-bogota.jsonc: version {version} ({classes})"))?;
+    progress
+        .print(&format!("applied examples/classes-bogota.jsonc: version {version} ({classes})"))?;
     wait("the configuration is in force everywhere", || in_force(system, version))?;
-    teller.say("the configuration is in force in every daemon")
+    progress.print("the configuration is in force in every daemon")
 }
 
 fn in_force(system: &System, version: Offset) -> Result<Option<()>, QuickstartError> {
@@ -99,13 +100,16 @@
     Ok(Some(()))
 }
 
-/// Boundary checks through both entries.
-fn checks(system: &System, teller: &mut Teller<'_>) -> Result<Vec<Told>, QuickstartError> {
+/// Sends boundary checks through both entries.
+fn send_boundary_checks(
+    system: &System,
+    progress: &mut ProgressWriter<'_>,
+) -> Result<Vec<CallerRecord>, QuickstartError> {
     let first = request(system.callers(0), "boundary-check", "early", None)?;
-    let mut told = vec![note("early", true, &first)];
+    let mut caller_records = vec![record_answer("early", true, &first)];
     if first.status != 200 {
         let after = first.retry_after.as_deref().unwrap_or("-");
-        teller.say(&format!(
+        progress.print(&format!(
             "a boundary check sent at once: status {}, Egretlb-Ran: {}, Retry-After: {after}; the \
              service isn't running yet",
             first.status, first.ran
@@ -117,55 +121,67 @@
             Ok((answer.status == 200).then_some(()))
         })?;
     }
-    teller.say("boundary-check is served: a replica was started where its target needs one")?;
+    progress.print("boundary-check is served: a replica was started where its target needs one")?;
     let mut times = Vec::new();
     let mut servers = BTreeSet::new();
     for n in 0..REQUESTS {
         let id = format!("check-{n}");
         let answer = request(system.callers(n % NODES), "boundary-check", &id, None)?;
-        told.push(note(&id, true, &answer));
+        caller_records.push(record_answer(&id, true, &answer));
         servers.extend(answer.served.map(|served| served.vm));
-        times.push(answer.took);
+        times.push(answer.elapsed);
     }
     times.sort();
-    teller.say(&format!(
+    progress.print(&format!(
         "{REQUESTS} boundary checks through {NODES} entries: {} answered, median {:.1} ms, slowest \
          {:.1} ms, by {} backend servers",
-        told.iter().skip(1).filter(|told| matches!(told.answer, Answer::Whole(_))).count(),
-        millis(times[REQUESTS / 2]),
-        millis(times[REQUESTS - 1]),
+        caller_records
+            .iter()
+            .skip(1)
+            .filter(|record| matches!(record.answer, Answer::Whole(_)))
+            .count(),
+        to_millis(times[REQUESTS / 2]),
+        to_millis(times[REQUESTS - 1]),
         servers.len()
     ))?;
-    Ok(told)
+    Ok(caller_records)
 }
 
-/// A filing, sent twice under one key through different entries.
-fn filing(system: &System, teller: &mut Teller<'_>) -> Result<Vec<Told>, QuickstartError> {
-    let mut told = Vec::new();
+/// Sends a claim filing twice with the same key, through different entries.
+fn send_filing(
+    system: &System,
+    progress: &mut ProgressWriter<'_>,
+) -> Result<Vec<CallerRecord>, QuickstartError> {
+    let mut caller_records = Vec::new();
     for entry in 0..NODES {
         let answer = wait("the filing is answered", || {
             let key = Some("filing-8841");
             let answer = request(system.callers(entry), "claim-filing", "filing", key)?;
             Ok((answer.status == 200).then_some(answer))
         })?;
-        told.push(note("filing", false, &answer));
-        teller.say(&format!(
+        caller_records.push(record_answer("filing", false, &answer));
+        progress.print(&format!(
             "claim filing with key filing-8841 through entry {entry}: status {}, Egretlb-Ran: {}",
             answer.status, answer.ran
         ))?;
     }
-    let ran = ran_at_workers(system, "filing");
-    teller.say(&format!("the workers ran that filing {ran} time(s)"))?;
-    Ok(told)
+    let ran = count_runs(system, "filing");
+    progress.print(&format!("the workers ran that filing {ran} time(s)"))?;
+    Ok(caller_records)
 }
 
-fn ran_at_workers(system: &System, id: &str) -> usize {
-    let began = |what: &What| matches!(what, What::RequestBegan { id: of, .. } if of == id);
-    system.history().happenings.iter().filter(|h| began(&h.what)).count()
+fn count_runs(system: &System, id: &str) -> usize {
+    let is_begin = |kind: &WorkerEventKind| {
+        matches!(
+            kind,
+            WorkerEventKind::RequestBegan { id: of, .. } if of == id
+        )
+    };
+    system.history().worker_events.iter().filter(|event| is_begin(&event.kind)).count()
 }
 
-/// A night's reconciliation.
-fn batch(system: &System, teller: &mut Teller<'_>) -> Result<(), QuickstartError> {
+/// Runs a batch job.
+fn run_batch(system: &System, progress: &mut ProgressWriter<'_>) -> Result<(), QuickstartError> {
     let submit = SubmitJob {
         job: JOB.parse().expect("a valid name"),
         class: "title-reconciliation".parse().expect("a valid name"),
@@ -177,14 +193,14 @@
         let answer: SubmitAnswer = post(system.operators(), JOBS, &submit)?;
         Ok((answer == SubmitAnswer::Accepted).then_some(()))
     })?;
-    teller.say(&format!("submitted {JOB}: {TASKS} tasks, recorded in the log"))?;
-    let mut shown = None;
+    progress.print(&format!("submitted {JOB}: {TASKS} tasks, recorded in the log"))?;
+    let mut last_counts = None;
     let job = wait("the job ends", || {
         let Some(job) = job(system)? else { return Ok(None) };
-        let now = (job.tasks.running, job.tasks.done);
-        if shown != Some(now) {
-            shown = Some(now);
-            teller.say(&format!(
+        let counts = (job.tasks.running, job.tasks.done);
+        if last_counts != Some(counts) {
+            last_counts = Some(counts);
+            progress.print(&format!(
                 "{JOB}: {} queued, {} running, {} done",
                 job.tasks.queued + job.tasks.starting,
                 job.tasks.running,
@@ -193,7 +209,7 @@
         }
         Ok((job.state != JobState::Active).then_some(job))
     })?;
-    teller.say(&format!("{JOB} ended: {} of {TASKS} tasks done", job.tasks.done))
+    progress.print(&format!("{JOB} ended: {} of {TASKS} tasks done", job.tasks.done))
 }
 
 fn job(system: &System) -> Result<Option<JobStatus>, QuickstartError> {
@@ -204,38 +220,38 @@
     }
 }
 
-/// Compares what callers were told with what the workers saw.
+/// Checks the callers' answers against the workers' histories.
 fn verify(
     system: &System,
-    told: Vec<Told>,
-    teller: &mut Teller<'_>,
+    caller_records: Vec<CallerRecord>,
+    progress: &mut ProgressWriter<'_>,
 ) -> Result<(), QuickstartError> {
-    let history = History { told, ..system.history() };
-    let found = history.check();
-    if let Some(first) = found.first() {
-        return Err(QuickstartError::Broken { found: first.to_string() });
+    let history = History { caller_records, ..system.history() };
+    let violations = history.check();
+    if let Some(first) = violations.first() {
+        return Err(QuickstartError::Violation { violation: first.to_string() });
     }
-    teller.say(&format!(
+    progress.print(&format!(
         "checked against what the workers saw ({} events): no task in two places, no VM over its \
          capacity, the filing ran once, each caller got its own whole answer",
-        history.happenings.len()
+        history.worker_events.len()
     ))?;
     let stats = system.log.stats();
     let appends: u64 = stats.streams.values().map(|stream| stream.appends).sum();
     let streams = stats.streams.len();
-    teller.say(&format!("the log holds {appends} records in {streams} streams"))
+    progress.print(&format!("the log holds {appends} records in {streams} streams"))
 }
 
-/// What a caller was told, for the checker.
-fn note(id: &str, idempotent: bool, answer: &Answered) -> Told {
+/// Records a caller's answer for the checker.
+fn record_answer(id: &str, idempotent: bool, answer: &RequestOutcome) -> CallerRecord {
     let ran = answer.ran.parse::<Ran>().unwrap_or(Ran::Unknown);
-    let told = match (&answer.served, answer.status) {
+    let reported = match (&answer.served, answer.status) {
         (Some(served), 200) => Answer::Whole(served.clone()),
         _ => Answer::Error(ran),
     };
-    Told { id: id.into(), idempotent, hash: body_hash(b"a polygon"), answer: told }
+    CallerRecord { id: id.into(), idempotent, hash: body_hash(b"a polygon"), answer: reported }
 }
 
-fn millis(time: Duration) -> f64 {
+fn to_millis(time: Duration) -> f64 {
     time.as_secs_f64() * 1e3
 }
--- a/crates/quickstart/src/system.rs
+++ b/crates/quickstart/src/system.rs
@@ -15,13 +15,13 @@
     std::net::SocketAddr,
 };
 
-/// Workers, two in each of Bogota's four data centres.
+/// Number of workers, two in each data centre.
 const WORKERS: usize = 8;
 
-/// Their data centres.
+/// The data centres of the workers.
 const DATA_CENTRES: [&str; 4] = ["bog-a", "bog-b", "bog-c", "bog-d"];
 
-/// Entries, and as many schedulers.
+/// Number of entries, and of schedulers.
 pub(crate) const NODES: usize = 2;
 
 /// The running parts.
@@ -70,16 +70,17 @@
 }
 
 impl System {
-    /// Starts everything; nothing is configured yet.
+    /// Starts all parts without a configuration.
     pub(crate) fn start() -> Result<Self, QuickstartError> {
         let log = start_log(LogSettings::default(), 0).map_err(QuickstartError::StandIn)?;
         let workers: Result<Vec<_>, _> = (0..WORKERS).map(worker).collect();
         let (workers, records): (Vec<_>, Vec<_>) = workers?.into_iter().unzip();
         let vms = start_vms(records, 0).map_err(QuickstartError::StandIn)?;
-        let of = |n, entry| settings(n, entry, log.addr(), vms.addr());
+        let settings_for = |n, entry| settings(n, entry, log.addr(), vms.addr());
         let schedulers: Result<Vec<_>, _> =
-            (0..NODES).map(|n| start_scheduler(&of(n, false))).collect();
-        let entries: Result<Vec<_>, _> = (0..NODES).map(|n| start_entry(&of(n, true))).collect();
+            (0..NODES).map(|n| start_scheduler(&settings_for(n, false))).collect();
+        let entries: Result<Vec<_>, _> =
+            (0..NODES).map(|n| start_entry(&settings_for(n, true))).collect();
         Ok(System {
             log,
             workers,
@@ -88,26 +89,26 @@
         })
     }
 
-    /// Where an entry takes callers' requests.
+    /// Returns an entry's callers' address.
     pub(crate) fn callers(&self, entry: usize) -> SocketAddr {
         self.entries[entry].callers().expect("entries take callers")
     }
 
-    /// Where the first entry answers operators.
+    /// Returns the first entry's operators' address.
     pub(crate) fn operators(&self) -> SocketAddr {
         self.entries[0].operators()
     }
 
-    /// What truly happened at the workers.
+    /// Returns the workers' events and capacities.
     pub(crate) fn history(&self) -> History {
         History {
-            happenings: self.workers.iter().flat_map(WorkerServer::history).collect(),
+            worker_events: self.workers.iter().flat_map(WorkerServer::history).collect(),
             capacities: (0..WORKERS).map(|n| (vm(n), capacity())).collect(),
             ..History::default()
         }
     }
 
-    /// Ends all daemons gracefully; returns how many requests were cut off.
+    /// Shuts all daemons down gracefully; returns the number of aborted requests.
     pub(crate) fn stop(self) -> usize {
         let daemons: Vec<_> = self.entries.into_iter().chain(self.schedulers).collect();
         daemons.iter().for_each(Running::shutdown);
--- a/crates/quickstart/tests/main_path.rs
+++ b/crates/quickstart/tests/main_path.rs
@@ -1,7 +1,7 @@
-//! The quick start itself.
+//! The quick start runs to its end.
 
 #[test]
-fn told_to_the_end() {
+fn quick_start_completes() {
     let mut out = Vec::new();
     egretlb_quickstart::run(&mut out).expect("the quick start works");
     let text = String::from_utf8(out).expect("text");
--- a/crates/standins/src/checker/config.rs
+++ b/crates/standins/src/checker/config.rs
@@ -1,25 +1,28 @@
-//! Configurations: never back, and one content for each version.
+//! Configurations: versions never decrease, and each version has one content.
 
 use {
     crate::checker::{InForce, Violation},
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Checks what each process had in force.
-pub(super) fn check(in_force: &[InForce], found: &mut Vec<Violation>) {
+/// Checks the configurations in force at each process.
+pub(super) fn check(in_force: &[InForce], violations: &mut Vec<Violation>) {
     let mut sorted: Vec<_> = in_force.iter().collect();
-    sorted.sort_by_key(|seen| seen.at);
+    sorted.sort_by_key(|observation| observation.at);
     let mut newest = BTreeMap::new();
     let mut contents = BTreeMap::new();
     let mut differing = BTreeSet::new();
-    for seen in sorted {
-        let before = newest.insert(seen.node, seen.version);
-        if before.is_some_and(|before| before > seen.version) {
-            found.push(Violation::ConfigWentBack { node: seen.node, at: seen.at });
+    for observation in sorted {
+        let previous = newest.insert(observation.node, observation.version);
+        if previous.is_some_and(|previous| previous > observation.version) {
+            violations
+                .push(Violation::ConfigWentBack { node: observation.node, at: observation.at });
         }
-        if *contents.entry(seen.version).or_insert(seen.content) != seen.content {
-            differing.insert(seen.version);
+        if *contents.entry(observation.version).or_insert(observation.content)
+            != observation.content
+        {
+            differing.insert(observation.version);
         }
     }
-    found.extend(differing.into_iter().map(|version| Violation::ConfigDiffers { version }));
+    violations.extend(differing.into_iter().map(|version| Violation::ConfigDiffers { version }));
 }
--- a/crates/standins/src/checker/mod.rs
+++ b/crates/standins/src/checker/mod.rs
@@ -1,51 +1,51 @@
-//! Checks recorded histories against what must always hold.
+//! Checks recorded histories for violated invariants.
 //!
-//! A history is put together from what the workers say truly ran ([`Happening`]), what callers were
-//! told ([`Told`]) and which configuration each process had in force ([`InForce`]). Nothing in it
-//! comes from egretlb's own view of tasks and requests, so a wrong belief of egretlb can't hide.
+//! A history consists of the workers' events ([`WorkerEvent`]), the callers' answers
+//! ([`CallerRecord`]) and the configuration in force at each process ([`InForce`]). It is
+//! independent of egretlb's own state.
 //!
-//! All times must come from one clock. A trade-off: the checker sees only what happened, so a test
-//! must cause the failure that a protection is for; the checker can't tell that one was missing.
+//! All times must come from one clock. A test must cause the failure that a protection guards
+//! against; the checker can't detect a missing protection otherwise.
 
 mod config;
 mod requests;
 mod tasks;
 
 use {
-    crate::worker::{Happening, Served, What},
+    crate::worker::{Served, WorkerEvent, WorkerEventKind},
     compact_str::CompactString,
     egretlb_types::{NodeId, Offset, Ran, Resources, TaskId, Time, VmId, worker::TaskFence},
     std::{collections::BTreeMap, fmt, time::Duration},
 };
 
-/// What a caller was told of one request.
+/// The answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// An answer that claims to be whole.
+    /// A complete answer of the service.
     Whole(Served),
-    /// An error or a refusal, with what it says about the run.
+    /// An error or refusal, with the reported outcome.
     Error(Ran),
-    /// Nothing: the connection broke or the caller gave up.
+    /// No answer: the connection broke or the caller gave up.
     Nothing,
 }
 
-/// One request as its caller saw it.
+/// A request and its answer, recorded by the caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Told {
-    /// The request's id. Repeats under one idempotency key carry one id.
+pub struct CallerRecord {
+    /// The request's id; repeats with the same idempotency key have the same id.
     pub id: CompactString,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// The hash of the body that the caller sent, as [`crate::worker::body_hash`] has it.
+    /// [`crate::worker::body_hash`] of the request body.
     pub hash: u64,
-    /// What came back.
+    /// The answer.
     pub answer: Answer,
 }
 
 /// A configuration that a process had in force at a time.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct InForce {
-    /// When it was looked at.
+    /// Time of the observation.
     pub at: Time,
     /// The process.
     pub node: NodeId,
@@ -55,62 +55,62 @@
     pub content: u64,
 }
 
-/// All that was recorded in one test.
+/// All records of one test.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// What truly happened at the workers, in any order.
-    pub happenings: Vec<Happening>,
-    /// What each VM can hold.
+    /// The workers' events, in any order.
+    pub worker_events: Vec<WorkerEvent>,
+    /// Capacity of each VM.
     pub capacities: BTreeMap<VmId, Resources>,
-    /// What callers were told.
-    pub told: Vec<Told>,
-    /// Which configurations were in force, in any order.
+    /// The callers' requests and answers.
+    pub caller_records: Vec<CallerRecord>,
+    /// Observed configurations, in any order.
     pub in_force: Vec<InForce>,
-    /// How long after a VM says that it is leaving it may still get new work.
+    /// Maximum time after the start of draining in which a VM may get new work.
     pub leaving_limit: Option<Duration>,
 }
 
-/// Something that must never be.
+/// A violated invariant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Violation {
-    /// A task ran in two places at once.
+    /// A task ran twice at the same time.
     TwoPlaces {
-        /// The start that still ran.
+        /// The earlier start.
         first: TaskFence,
-        /// Where it ran.
+        /// The VM of the earlier start.
         first_vm: VmId,
-        /// The start that came meanwhile.
+        /// The later start.
         second: TaskFence,
-        /// Where that ran.
+        /// The VM of the later start.
         second_vm: VmId,
-        /// When it came.
+        /// Time of the later start.
         at: Time,
     },
-    /// A VM held, or was asked to hold, more than its capacity.
+    /// A VM ran, or was requested to run, more than its capacity.
     OverCapacity {
         /// The VM.
         vm: VmId,
         /// When.
         at: Time,
     },
-    /// A task did its work a second time.
+    /// A task completed twice.
     DoneTwice {
         /// The task.
         task: TaskId,
     },
-    /// A task was started again after it had done its work.
+    /// A task was started after its completion.
     StartedAfterDone {
         /// The task.
         task: TaskId,
     },
-    /// An evicted task was started from somewhere else than its newest checkpoint.
+    /// An evicted task wasn't resumed from its newest checkpoint.
     WrongResume {
         /// The start.
         of: TaskFence,
-        /// What it should have resumed from.
+        /// The newest checkpoint.
         expected: Option<CompactString>,
     },
-    /// An evicted task never ran again.
+    /// An evicted task was never resumed.
     NeverResumed {
         /// The task.
         task: TaskId,
@@ -120,12 +120,12 @@
         /// The request.
         id: CompactString,
     },
-    /// A caller was told that its request didn't run, and it did.
+    /// A request ran although it was reported as not run.
     RanAfterAll {
         /// The request.
         id: CompactString,
     },
-    /// A caller was told that its request ran, and it didn't.
+    /// A request didn't run although it was reported as run.
     DidNotRun {
         /// The request.
         id: CompactString,
@@ -135,7 +135,7 @@
         /// The caller's request.
         id: CompactString,
     },
-    /// A VM got new work long after it said that it was leaving.
+    /// A VM got new work after the limit for draining.
     WorkWhileLeaving {
         /// The VM.
         vm: VmId,
@@ -149,7 +149,7 @@
         /// When.
         at: Time,
     },
-    /// Two processes had different documents in force as one version.
+    /// One version had different documents in force.
     ConfigDiffers {
         /// The version.
         version: Offset,
@@ -183,44 +183,49 @@
 }
 
 impl History {
-    /// All violations, except that evicted work may still be waiting to resume.
+    /// Returns all violations; evicted tasks may still be waiting to resume.
     pub fn check(&self) -> Vec<Violation> {
-        let mut found = Vec::new();
-        let happenings = self.in_order();
-        tasks::check(&happenings, &self.capacities, &mut found);
-        requests::check(&happenings, &self.told, &mut found);
-        config::check(&self.in_force, &mut found);
-        self.check_leaving(&happenings, &mut found);
-        found
+        let mut violations = Vec::new();
+        let worker_events = self.sorted_events();
+        tasks::check(&worker_events, &self.capacities, &mut violations);
+        requests::check(&worker_events, &self.caller_records, &mut violations);
+        config::check(&self.in_force, &mut violations);
+        self.check_draining(&worker_events, &mut violations);
+        violations
     }
 
-    /// All violations, at a time when all work that isn't cancelled must be done.
+    /// Returns all violations at a time when all tasks must have ended or been cancelled.
     pub fn check_settled(&self, cancelled: impl Fn(&TaskId) -> bool) -> Vec<Violation> {
-        let mut found = self.check();
-        tasks::check_resumed(&self.in_order(), cancelled, &mut found);
-        found
+        let mut violations = self.check();
+        tasks::check_resumed(&self.sorted_events(), cancelled, &mut violations);
+        violations
     }
 
-    fn in_order(&self) -> Vec<&Happening> {
-        let mut happenings: Vec<_> = self.happenings.iter().collect();
-        // What ends at a moment gives room to what starts in it.
-        let starts = |h: &Happening| matches!(h.what, What::Started { .. });
-        happenings.sort_by_key(|h| (h.at, starts(h)));
-        happenings
+    fn sorted_events(&self) -> Vec<&WorkerEvent> {
+        let mut worker_events: Vec<_> = self.worker_events.iter().collect();
+        // At equal times, ended tasks free capacity before others start.
+        let starts = |event: &WorkerEvent| matches!(event.kind, WorkerEventKind::Started { .. });
+        worker_events.sort_by_key(|event| (event.at, starts(event)));
+        worker_events
     }
 
-    fn check_leaving(&self, happenings: &[&Happening], found: &mut Vec<Violation>) {
+    fn check_draining(&self, worker_events: &[&WorkerEvent], violations: &mut Vec<Violation>) {
         let Some(limit) = self.leaving_limit else { return };
         let mut since: BTreeMap<&VmId, Time> = BTreeMap::new();
-        for h in happenings {
-            match &h.what {
-                What::Leaving => {
-                    since.entry(&h.vm).or_insert(h.at);
+        for event in worker_events {
+            match &event.kind {
+                WorkerEventKind::Leaving => {
+                    since.entry(&event.vm).or_insert(event.at);
                 }
-                What::Started { .. } | What::RequestBegan { .. } => {
-                    let late = since.get(&h.vm).is_some_and(|left| h.at.since(*left) > limit);
-                    if late {
-                        found.push(Violation::WorkWhileLeaving { vm: h.vm.clone(), at: h.at });
+                WorkerEventKind::Started { .. } | WorkerEventKind::RequestBegan { .. } => {
+                    let past_limit = since
+                        .get(&event.vm)
+                        .is_some_and(|leaving_at| event.at.since(*leaving_at) > limit);
+                    if past_limit {
+                        violations.push(Violation::WorkWhileLeaving {
+                            vm: event.vm.clone(),
+                            at: event.at,
+                        });
                     }
                 }
                 _ => {}
--- a/crates/standins/src/checker/requests.rs
+++ b/crates/standins/src/checker/requests.rs
@@ -1,53 +1,57 @@
-//! Requests: at most once, truthful refusals, each caller its own whole answer.
+//! Requests: at most one run, correctly reported outcomes, and the right answer for each caller.
 
 use {
     crate::{
-        checker::{Answer, Told, Violation},
-        worker::{Happening, What},
+        checker::{Answer, CallerRecord, Violation},
+        worker::{WorkerEvent, WorkerEventKind},
     },
     compact_str::CompactString,
     egretlb_types::Ran,
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How often a request began and ended.
+/// Number of starts and completions of a request.
 #[derive(Clone, Copy, Default)]
-struct Runs {
+struct RunCounts {
     began: u32,
     done: u32,
 }
 
-/// Checks what callers were told against what ran.
-pub(super) fn check(happenings: &[&Happening], told: &[Told], found: &mut Vec<Violation>) {
-    let mut runs: BTreeMap<&CompactString, Runs> = BTreeMap::new();
-    for h in happenings {
-        match &h.what {
-            What::RequestBegan { id, .. } => runs.entry(id).or_default().began += 1,
-            What::RequestDone { id } => runs.entry(id).or_default().done += 1,
+/// Checks the callers' answers against the runs.
+pub(super) fn check(
+    worker_events: &[&WorkerEvent],
+    caller_records: &[CallerRecord],
+    violations: &mut Vec<Violation>,
+) {
+    let mut runs: BTreeMap<&CompactString, RunCounts> = BTreeMap::new();
+    for event in worker_events {
+        match &event.kind {
+            WorkerEventKind::RequestBegan { id, .. } => runs.entry(id).or_default().began += 1,
+            WorkerEventKind::RequestDone { id } => runs.entry(id).or_default().done += 1,
             _ => {}
         }
     }
-    let mut twice = BTreeSet::new();
-    for told in told {
-        let ran = runs.get(&told.id).copied().unwrap_or_default();
-        if !told.idempotent && ran.began > 1 {
-            twice.insert(&told.id);
+    let mut repeated = BTreeSet::new();
+    for record in caller_records {
+        let runs_of_request = runs.get(&record.id).copied().unwrap_or_default();
+        if !record.idempotent && runs_of_request.began > 1 {
+            repeated.insert(&record.id);
         }
-        found.extend(untruth(told, ran));
+        violations.extend(misreported_outcome(record, runs_of_request));
     }
-    found.extend(twice.into_iter().map(|id| Violation::RanTwice { id: id.clone() }));
+    violations.extend(repeated.into_iter().map(|id| Violation::RanTwice { id: id.clone() }));
 }
 
-fn untruth(told: &Told, ran: Runs) -> Option<Violation> {
-    let id = told.id.clone();
-    match &told.answer {
-        Answer::Whole(served) if served.id != id || served.hash != told.hash => {
+fn misreported_outcome(record: &CallerRecord, runs_of_request: RunCounts) -> Option<Violation> {
+    let id = record.id.clone();
+    match &record.answer {
+        Answer::Whole(served) if served.id != id || served.hash != record.hash => {
             Some(Violation::WrongAnswer { id })
         }
-        Answer::Whole(_) | Answer::Error(Ran::Yes) if ran.done == 0 => {
+        Answer::Whole(_) | Answer::Error(Ran::Yes) if runs_of_request.done == 0 => {
             Some(Violation::DidNotRun { id })
         }
-        Answer::Error(Ran::No) if ran.began > 0 => Some(Violation::RanAfterAll { id }),
+        Answer::Error(Ran::No) if runs_of_request.began > 0 => Some(Violation::RanAfterAll { id }),
         _ => None,
     }
 }
--- a/crates/standins/src/checker/tasks.rs
+++ b/crates/standins/src/checker/tasks.rs
@@ -1,9 +1,9 @@
-//! Tasks: one place at a time, within capacity, resumed and done once.
+//! Tasks: one run at a time, within capacity, resumed from the checkpoint and completed once.
 
 use {
     crate::{
         checker::Violation,
-        worker::{Happening, Refusal, What},
+        worker::{Refusal, WorkerEvent, WorkerEventKind},
     },
     compact_str::CompactString,
     egretlb_types::{
@@ -13,7 +13,7 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// One run that goes on.
+/// A run in progress.
 struct Run<'a> {
     of: &'a TaskFence,
     vm: &'a VmId,
@@ -28,103 +28,103 @@
     checkpoints: BTreeMap<&'a TaskId, Option<&'a CompactString>>,
 }
 
-/// Checks all that can be said before the work is over.
+/// Checks everything except that evicted tasks are resumed.
 pub(super) fn check(
-    happenings: &[&Happening],
+    worker_events: &[&WorkerEvent],
     capacities: &BTreeMap<VmId, Resources>,
-    found: &mut Vec<Violation>,
+    violations: &mut Vec<Violation>,
 ) {
     let mut replay = Replay::default();
-    for h in happenings {
-        match &h.what {
-            What::Started { of, resources, checkpoint, .. } => {
-                replay.check_start(h, of, checkpoint.as_ref(), found);
-                replay.runs.push(Run { of, vm: &h.vm, resources: *resources });
-                replay.check_capacity(h, capacities, found);
+    for event in worker_events {
+        match &event.kind {
+            WorkerEventKind::Started { of, resources, checkpoint, .. } => {
+                replay.check_start(event, of, checkpoint.as_ref(), violations);
+                replay.runs.push(Run { of, vm: &event.vm, resources: *resources });
+                replay.check_capacity(event, capacities, violations);
             }
-            What::Ended { of, end } => replay.end(of, *end, found),
-            What::Stopped { of, checkpoint } => {
+            WorkerEventKind::Ended { of, end } => replay.end(of, *end, violations),
+            WorkerEventKind::Stopped { of, checkpoint } => {
                 replay.runs.retain(|run| run.of != of);
                 if checkpoint.is_some() {
                     replay.checkpoints.insert(&of.task, checkpoint.as_ref());
                 }
             }
-            What::Refused { why: Refusal::NoRoom, .. } => {
-                found.push(Violation::OverCapacity { vm: h.vm.clone(), at: h.at });
+            WorkerEventKind::Refused { why: Refusal::NoRoom, .. } => {
+                violations.push(Violation::OverCapacity { vm: event.vm.clone(), at: event.at });
             }
-            What::Died => replay.runs.retain(|run| *run.vm != h.vm),
+            WorkerEventKind::Died => replay.runs.retain(|run| *run.vm != event.vm),
             _ => {}
         }
     }
 }
 
-/// Checks that what was evicted has been run to an end since.
+/// Checks that evicted tasks were resumed.
 pub(super) fn check_resumed(
-    happenings: &[&Happening],
+    worker_events: &[&WorkerEvent],
     cancelled: impl Fn(&TaskId) -> bool,
-    found: &mut Vec<Violation>,
+    violations: &mut Vec<Violation>,
 ) {
     let mut evicted = BTreeSet::new();
-    for h in happenings {
-        match &h.what {
-            What::Stopped { of, .. } => {
+    for event in worker_events {
+        match &event.kind {
+            WorkerEventKind::Stopped { of, .. } => {
                 evicted.insert(&of.task);
             }
-            What::Started { of, .. } => {
+            WorkerEventKind::Started { of, .. } => {
                 evicted.remove(&of.task);
             }
             _ => {}
         }
     }
     let lost = evicted.into_iter().filter(|task| !cancelled(task));
-    found.extend(lost.map(|task| Violation::NeverResumed { task: task.clone() }));
+    violations.extend(lost.map(|task| Violation::NeverResumed { task: task.clone() }));
 }
 
 impl<'a> Replay<'a> {
     fn check_start(
         &self,
-        h: &Happening,
+        event: &WorkerEvent,
         of: &TaskFence,
         checkpoint: Option<&CompactString>,
-        found: &mut Vec<Violation>,
+        violations: &mut Vec<Violation>,
     ) {
         if let Some(first) = self.runs.iter().find(|run| run.of.task == of.task) {
-            found.push(Violation::TwoPlaces {
+            violations.push(Violation::TwoPlaces {
                 first: first.of.clone(),
                 first_vm: first.vm.clone(),
                 second: of.clone(),
-                second_vm: h.vm.clone(),
-                at: h.at,
+                second_vm: event.vm.clone(),
+                at: event.at,
             });
         }
         if self.done.contains(&of.task) {
-            found.push(Violation::StartedAfterDone { task: of.task.clone() });
+            violations.push(Violation::StartedAfterDone { task: of.task.clone() });
         }
         let expected = self.checkpoints.get(&of.task).copied().flatten();
         if checkpoint != expected {
             let expected = expected.cloned();
-            found.push(Violation::WrongResume { of: of.clone(), expected });
+            violations.push(Violation::WrongResume { of: of.clone(), expected });
         }
     }
 
     fn check_capacity(
         &self,
-        h: &Happening,
+        event: &WorkerEvent,
         capacities: &BTreeMap<VmId, Resources>,
-        found: &mut Vec<Violation>,
+        violations: &mut Vec<Violation>,
     ) {
-        let Some(capacity) = capacities.get(&h.vm) else { return };
-        let here = self.runs.iter().filter(|run| *run.vm == h.vm);
-        let held = here.fold(Resources::default(), |sum, run| sum.plus(&run.resources));
-        if !held.fits(capacity) {
-            found.push(Violation::OverCapacity { vm: h.vm.clone(), at: h.at });
+        let Some(capacity) = capacities.get(&event.vm) else { return };
+        let here = self.runs.iter().filter(|run| *run.vm == event.vm);
+        let used = here.fold(Resources::default(), |sum, run| sum.plus(&run.resources));
+        if !used.fits(capacity) {
+            violations.push(Violation::OverCapacity { vm: event.vm.clone(), at: event.at });
         }
     }
 
-    fn end(&mut self, of: &'a TaskFence, end: TaskEnd, found: &mut Vec<Violation>) {
+    fn end(&mut self, of: &'a TaskFence, end: TaskEnd, violations: &mut Vec<Violation>) {
         self.runs.retain(|run| run.of != of);
         if end == TaskEnd::Done && !self.done.insert(&of.task) {
-            found.push(Violation::DoneTwice { task: of.task.clone() });
+            violations.push(Violation::DoneTwice { task: of.task.clone() });
         }
     }
 }
--- a/crates/standins/src/http/mod.rs
+++ b/crates/standins/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! The stand-ins' HTTP server: a thin layer over `oxhttp` that can also misbehave.
+//! The stand-ins' HTTP server: a thin layer over `oxhttp` with fault injection.
 //!
-//! A handler sees a [`Call`] and returns a [`Reply`]. Two replies exist because platforms fail that
-//! way: [`Reply::Sever`] closes the connection without a byte, [`Reply::Truncated`] breaks off in the
-//! middle of the body. The server can't be stopped; its threads end with the process.
+//! A handler maps a [`Call`] to a [`Reply`]. [`Reply::Sever`] closes the connection without an
+//! answer, [`Reply::Truncated`] closes it in the middle of the body. The server can't be stopped;
+//! its threads end with the process.
 
 use {
     egretlb_types::Time,
@@ -19,19 +19,19 @@
     },
 };
 
-/// The largest body that a stand-in reads.
-pub const BODY_MAX_BYTES: u64 = 4 << 20;
+/// Maximum size of a request body.
+pub const MAX_BODY_BYTES: u64 = 4 << 20;
 
-/// How long an idle connection is kept.
+/// Timeout of idle connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// How often a free port is looked for before giving up.
-const BIND_TRIES: u32 = 20;
+/// Maximum number of attempts to find a free port.
+const MAX_BIND_ATTEMPTS: u32 = 20;
 
-/// One call as a handler sees it.
+/// A received request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The method in capitals.
+    /// The method, in upper case.
     pub method: String,
     /// The path, with its leading slash.
     pub path: String,
@@ -44,24 +44,24 @@
 }
 
 impl Call {
-    /// The header's value, if it is there and is text.
+    /// Returns the header's value, if it is present and text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The number given to `name` in the query.
+    /// Returns the number of the query parameter `name`.
     pub fn query_number(&self, name: &str) -> Option<u64> {
         let mut pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse().ok())
     }
 
-    /// The body read as JSON, or the reply that says what is wrong with it.
+    /// Decodes the body as JSON, or returns a reply with the error.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Reply> {
         serde_json::from_slice(&self.body).map_err(|e| Reply::text(400, format!("{e}")))
     }
 }
 
-/// What a handler answers.
+/// The answer of a handler.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
     /// A whole answer.
@@ -70,27 +70,27 @@
         status: u16,
         /// The media type of the body.
         media_type: &'static str,
-        /// More headers.
+        /// Additional headers.
         headers: Vec<(&'static str, String)>,
         /// The body.
         body: Vec<u8>,
     },
     /// The connection is closed without an answer.
     Sever,
-    /// The answer breaks off after these bytes of its body.
+    /// The connection is closed after a part of the body.
     Truncated {
-        /// What is still sent.
+        /// The part that is sent.
         body: Vec<u8>,
     },
 }
 
 impl Reply {
-    /// An answer of `value` as JSON with status 200.
+    /// Answers `value` as JSON with status 200.
     pub fn json(value: &impl Serialize) -> Reply {
         Reply::json_with(200, value)
     }
 
-    /// An answer of `value` as JSON.
+    /// Answers `value` as JSON with this status.
     pub fn json_with(status: u16, value: &impl Serialize) -> Reply {
         match serde_json::to_vec(value) {
             Ok(body) => {
@@ -100,19 +100,19 @@
         }
     }
 
-    /// An answer of plain text.
+    /// Answers plain text.
     pub fn text(status: u16, text: impl Into<String>) -> Reply {
         let body = text.into().into_bytes();
         Reply::Whole { status, media_type: "text/plain", headers: Vec::new(), body }
     }
 
-    /// An answer of bytes with status 200.
+    /// Answers bytes with status 200.
     pub fn bytes(body: Vec<u8>) -> Reply {
         let media_type = "application/octet-stream";
         Reply::Whole { status: 200, media_type, headers: Vec::new(), body }
     }
 
-    /// The answer cut in the middle of its body.
+    /// Truncates the answer in the middle of its body.
     pub fn truncated(self) -> Reply {
         match self {
             Reply::Whole { mut body, .. } => {
@@ -124,12 +124,12 @@
     }
 }
 
-/// Yields its bytes and then fails, so that the server stops in the middle of a body.
-struct Breaking {
+/// Yields its bytes and then fails, so that the server aborts in the middle of a body.
+struct FailingReader {
     rest: io::Cursor<Vec<u8>>,
 }
 
-impl Read for Breaking {
+impl Read for FailingReader {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
         match self.rest.read(buf)? {
             0 => Err(io::Error::new(io::ErrorKind::BrokenPipe, "cut by a fault")),
@@ -138,16 +138,16 @@
     }
 }
 
-/// Serves `handler` on the loopback address and returns where. Port 0 takes a free one.
+/// Serves `handler` on the loopback interface and returns the address. Port 0 picks a free port.
 ///
-/// `oxhttp` binds by itself and doesn't tell the port, so a free one is found first. Another process
-/// may take it in between: then the bind fails and the next is tried, so no port is ever shared.
+/// `oxhttp` doesn't report the port it binds, so a free one is determined first. If another process
+/// takes it before the bind, the next one is tried.
 pub fn serve(
     port: u16,
     handler: impl Fn(&Call) -> Reply + Clone + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
     let mut last = io::Error::new(io::ErrorKind::AddrInUse, "no free port found; try again");
-    for _ in 0..BIND_TRIES {
+    for _ in 0..MAX_BIND_ATTEMPTS {
         let addr = match port {
             0 => TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()?,
             port => SocketAddr::from((Ipv4Addr::LOCALHOST, port)),
@@ -165,7 +165,7 @@
     Err(last)
 }
 
-/// The wall clock in microseconds, so that histories of several stand-ins on one machine compare.
+/// Returns the wall clock time, which makes histories of stand-ins on one machine comparable.
 pub fn wall_clock() -> Time {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Time::from_micros(since.as_micros() as u64)
@@ -173,7 +173,7 @@
 
 fn respond(req: &mut Request<Body>, handler: &impl Fn(&Call) -> Reply) -> Response<Body> {
     let mut body = Vec::new();
-    let read = req.body_mut().take(BODY_MAX_BYTES + 1).read_to_end(&mut body);
+    let read = req.body_mut().take(MAX_BODY_BYTES + 1).read_to_end(&mut body);
     let call = Call {
         method: req.method().as_str().to_owned(),
         path: req.uri().path().to_owned(),
@@ -183,8 +183,8 @@
     };
     let reply = match read {
         Err(_) => Reply::Sever,
-        Ok(n) if n as u64 > BODY_MAX_BYTES => {
-            Reply::text(413, format!("the body is too large; send at most {BODY_MAX_BYTES} bytes"))
+        Ok(n) if n as u64 > MAX_BODY_BYTES => {
+            Reply::text(413, format!("the body is too large; send at most {MAX_BODY_BYTES} bytes"))
         }
         Ok(_) => handler(&call),
     };
@@ -204,11 +204,11 @@
                 broken
             })
         }
-        // The connection's thread owns the stream: unwinding it closes the connection before a byte
-        // of an answer is written. This way of unwinding prints nothing.
+        // The connection's thread owns the stream: unwinding closes the connection before any byte
+        // is written. `resume_unwind` prints no panic message.
         Reply::Sever => panic::resume_unwind(Box::new("severed by a fault")),
         Reply::Truncated { body } => {
-            Response::new(Body::from_read(Breaking { rest: io::Cursor::new(body) }))
+            Response::new(Body::from_read(FailingReader { rest: io::Cursor::new(body) }))
         }
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,11 +1,9 @@
-//! Small stand-ins for the platform's services, and the checker of recorded histories.
+//! Stand-ins for the platform's services with fault injection, and a checker of recorded histories.
 //!
-//! Test support only; no product depends on it. Each stand-in is a plain state machine that takes
-//! the time as an argument (for tests in virtual time), a server over HTTP that runs in threads of
-//! the calling program, and a small binary. All of them take faults on command.
+//! Test support only. Each stand-in is a state machine that takes the time as an argument (for
+//! tests in virtual time), an HTTP server in threads of the calling program, and a binary.
 //!
-//! The stand-ins keep everything in memory and trust their callers: they are not meant for more
-//! than one machine.
+//! The stand-ins keep all state in memory and trust their callers; use them on one machine only.
 
 pub mod checker;
 pub mod http;
--- a/crates/standins/src/log/faults.rs
+++ b/crates/standins/src/log/faults.rs
@@ -1,17 +1,17 @@
-//! What can be made to go wrong at the log service.
+//! Faults that can be injected into the log service.
 
 use {
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
 };
 
-/// Records of a stream that are forgotten before their time.
+/// Records of a stream to expire early.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expire {
     /// The stream.
     pub stream: CompactString,
-    /// All records before this offset are forgotten.
+    /// All records before this offset expire.
     pub before: u64,
 }
 
@@ -23,25 +23,26 @@
     pub down: bool,
     /// Like `down`, for appends only.
     pub appends_down: bool,
-    /// Every answer waits this long after the effect, in milliseconds.
+    /// Delay of every answer after the effect, in milliseconds.
     pub delay_ms: u64,
-    /// So many appends take effect and then lose their answer.
+    /// Number of appends that take effect and then lose their answer.
     pub lose_answers: u32,
-    /// The nodes cut off from the log, as their header `Egretlb-Node` names them.
+    /// Nodes, named by the header `Egretlb-Node`, that are cut off from the log.
     pub refuse_nodes: Vec<CompactString>,
-    /// Records to forget at once.
+    /// Records that expire at once.
     pub expire: Vec<Expire>,
 }
 
 impl LogFaults {
-    /// Whether a call is lost before it has any effect.
-    pub fn cuts(&self, node: Option<&str>, append: bool) -> bool {
-        let refused = node.is_some_and(|node| self.refuse_nodes.iter().any(|cut| cut == node));
+    /// Returns whether a call is severed before it has any effect.
+    pub fn severs(&self, node: Option<&str>, append: bool) -> bool {
+        let refused = node
+            .is_some_and(|node| self.refuse_nodes.iter().any(|refused_node| refused_node == node));
         self.down || refused || (append && self.appends_down)
     }
 
-    /// Whether the answer of an append that took effect is lost; counts it.
-    pub fn takes_answer(&mut self) -> bool {
+    /// Returns whether the answer of an effective append is lost, and counts it down.
+    pub fn take_lost_answer(&mut self) -> bool {
         let lost = self.lose_answers > 0;
         self.lose_answers = self.lose_answers.saturating_sub(1);
         lost
--- a/crates/standins/src/log/mod.rs
+++ b/crates/standins/src/log/mod.rs
@@ -7,11 +7,11 @@
 //! | `POST /faults` | [`LogFaults`] | 200; replaces the faults in force |
 //! | `GET /stats` | none | 200 [`LogStats`] |
 //!
-//! A stream comes into being by its first append; an unknown one reads as empty, its end at 0. A
-//! read gives at least one record if there is one, however large. Reads are binary because nearly
-//! all of a reader's traffic is records, and text would make it a third larger or more.
+//! The first append creates a stream; an unknown stream reads as empty with its end at 0. A read
+//! returns at least one record if there is one, whatever its size. Answers to reads are binary to
+//! keep them small.
 //!
-//! A caller names itself by the header `Egretlb-Node`, so that single nodes can be cut off.
+//! Callers identify themselves by the header `Egretlb-Node`, so that single nodes can be cut off.
 
 mod faults;
 mod server;
--- a/crates/standins/src/log/server.rs
+++ b/crates/standins/src/log/server.rs
@@ -15,8 +15,8 @@
     },
 };
 
-/// How much a read gives if the caller doesn't say.
-const READ_BYTES: u64 = 1 << 20;
+/// Default of `max_bytes` for a read.
+const DEFAULT_READ_BYTES: u64 = 1 << 20;
 
 #[derive(Debug)]
 struct Shared {
@@ -31,7 +31,7 @@
     shared: Arc<Mutex<Shared>>,
 }
 
-/// Starts a log service on the loopback address; port 0 takes a free one.
+/// Starts a log service on the loopback interface; port 0 picks a free port.
 pub fn start_log(settings: LogSettings, port: u16) -> io::Result<LogServer> {
     let faults = LogFaults::default();
     let shared = Arc::new(Mutex::new(Shared { log: LogState::new(settings), faults }));
@@ -41,7 +41,7 @@
 }
 
 impl LogServer {
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -51,7 +51,7 @@
         set_faults(&self.shared, faults);
     }
 
-    /// What was asked so far.
+    /// Returns the statistics so far.
     pub fn stats(&self) -> LogStats {
         lock(&self.shared).log.stats()
     }
@@ -86,7 +86,7 @@
 fn append(call: &Call, stream: &str, shared: &Mutex<Shared>) -> Reply {
     let (reply, delay, lost) = {
         let mut shared = lock(shared);
-        if shared.faults.cuts(call.header("egretlb-node"), true) {
+        if shared.faults.severs(call.header("egretlb-node"), true) {
             return Reply::Sever;
         }
         let reply = match shared.log.append(wall_clock(), stream, call.body.clone()) {
@@ -98,7 +98,7 @@
                 return Reply::text(413, "the record is too large; split it");
             }
         };
-        (reply, shared.faults.delay_ms, shared.faults.takes_answer())
+        (reply, shared.faults.delay_ms, shared.faults.take_lost_answer())
     };
     thread::sleep(Duration::from_millis(delay));
     if lost { Reply::Sever } else { reply }
@@ -106,10 +106,10 @@
 
 fn read(call: &Call, stream: &str, shared: &Mutex<Shared>) -> Reply {
     let from = call.query_number("from").unwrap_or(0);
-    let max_bytes = call.query_number("max_bytes").unwrap_or(READ_BYTES) as usize;
+    let max_bytes = call.query_number("max_bytes").unwrap_or(DEFAULT_READ_BYTES) as usize;
     let (result, delay) = {
         let mut shared = lock(shared);
-        if shared.faults.cuts(call.header("egretlb-node"), false) {
+        if shared.faults.severs(call.header("egretlb-node"), false) {
             return Reply::Sever;
         }
         (shared.log.read(wall_clock(), stream, from, max_bytes), shared.faults.delay_ms)
--- a/crates/standins/src/log/state.rs
+++ b/crates/standins/src/log/state.rs
@@ -1,4 +1,4 @@
-//! The streams, their retention and the limit of the append rate, without input or output.
+//! Streams with retention and a limited append rate, without I/O.
 
 use {
     crate::log::Expire,
@@ -14,13 +14,13 @@
 /// The limits of the log service.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
-    /// The most records kept in one stream.
+    /// Maximum number of records kept per stream.
     pub retain_records: usize,
-    /// How long a record is kept.
+    /// Maximum age of a kept record.
     pub retain_age: Duration,
-    /// The most appends accepted in a second, over all streams.
+    /// Maximum number of appends per second over all streams.
     pub appends_per_s: u32,
-    /// The largest record accepted, in bytes.
+    /// Maximum size of a record, in bytes.
     pub record_max_bytes: usize,
 }
 
@@ -38,52 +38,52 @@
 /// The answer to an append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Appended {
-    /// Where the record stands.
+    /// The record's offset.
     pub offset: u64,
 }
 
-/// Why an append had no effect.
+/// Reason for refusing an append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AppendRefused {
-    /// More appends came in this second than are allowed.
+    /// The append rate exceeds its limit.
     TooMany,
-    /// The record is larger than allowed.
+    /// The record exceeds the maximum size.
     TooLarge,
 }
 
 /// One record of a stream.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its place.
+    /// The record's offset.
     pub offset: u64,
-    /// Its bytes.
+    /// The record's content.
     pub data: Vec<u8>,
 }
 
 /// The answer to a read.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ReadPage {
-    /// Records from the asked offset on, in order.
+    /// Records from the requested offset on, in order.
     pub records: Vec<Record>,
     /// The offset to read from next.
     pub next: u64,
-    /// Whether `next` is the end of the stream: there was no later record when it was read.
+    /// Whether `next` was the end of the stream at the time of the read.
     pub end: bool,
 }
 
-/// The asked offset is older than the oldest record kept.
+/// The requested offset is older than the oldest record kept.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct OffsetGone {
     /// The oldest offset that can be read.
     pub oldest: u64,
 }
 
-/// What was asked of one stream.
+/// Statistics of one stream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct StreamStats {
     /// Appends that took effect.
     pub appends: u64,
-    /// Their bytes.
+    /// Bytes of these appends.
     pub append_bytes: u64,
     /// Reads answered.
     pub reads: u64,
@@ -95,14 +95,14 @@
     pub next: u64,
 }
 
-/// What was asked of the log.
+/// Statistics of the log.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LogStats {
-    /// Each stream by name.
+    /// Statistics of each stream by name.
     pub streams: BTreeMap<CompactString, StreamStats>,
-    /// Appends refused for the rate.
+    /// Appends refused because of the rate.
     pub too_many: u64,
-    /// The most appends accepted within one second.
+    /// Maximum number of appends accepted within one second.
     pub peak_appends_per_s: u32,
 }
 
@@ -113,17 +113,17 @@
 }
 
 impl Stream {
-    fn forget(&mut self, now: Time, settings: &LogSettings) {
+    fn apply_retention(&mut self, now: Time, settings: &LogSettings) {
         while let Some((at, _)) = self.records.front() {
             let old = now.since(*at) > settings.retain_age;
             if !old && self.records.len() <= settings.retain_records {
                 return;
             }
-            self.forget_one();
+            self.drop_oldest();
         }
     }
 
-    fn forget_one(&mut self) {
+    fn drop_oldest(&mut self) {
         self.records.pop_front();
         self.stats.oldest += 1;
     }
@@ -134,26 +134,26 @@
 pub struct LogState {
     settings: LogSettings,
     streams: BTreeMap<CompactString, Stream>,
-    second: u64,
-    in_second: u32,
-    peak: u32,
+    current_second: u64,
+    appends_in_second: u32,
+    peak_appends: u32,
     too_many: u64,
 }
 
 impl LogState {
-    /// An empty log.
+    /// Creates an empty log.
     pub fn new(settings: LogSettings) -> Self {
         LogState {
             settings,
             streams: BTreeMap::new(),
-            second: 0,
-            in_second: 0,
-            peak: 0,
+            current_second: 0,
+            appends_in_second: 0,
+            peak_appends: 0,
             too_many: 0,
         }
     }
 
-    /// Appends a record, or says why not.
+    /// Appends a record.
     pub fn append(
         &mut self,
         now: Time,
@@ -170,11 +170,11 @@
         stream.stats.appends += 1;
         stream.stats.append_bytes += data.len() as u64;
         stream.records.push_back((now, data));
-        stream.forget(now, &self.settings);
+        stream.apply_retention(now, &self.settings);
         Ok(Appended { offset })
     }
 
-    /// Reads records from `from` on, up to `max_bytes` but at least one.
+    /// Reads records from `from` on, at most `max_bytes` but at least one record.
     pub fn read(
         &mut self,
         now: Time,
@@ -185,7 +185,7 @@
         let Some(stream) = self.streams.get_mut(stream) else {
             return Ok(ReadPage { records: Vec::new(), next: 0, end: true });
         };
-        stream.forget(now, &self.settings);
+        stream.apply_retention(now, &self.settings);
         let oldest = stream.stats.oldest;
         if from < oldest {
             return Err(OffsetGone { oldest });
@@ -206,35 +206,35 @@
         Ok(page)
     }
 
-    /// Forgets records before their time.
+    /// Expires records early.
     pub fn expire(&mut self, expire: &Expire) {
         let Some(stream) = self.streams.get_mut(&expire.stream) else { return };
         while stream.stats.oldest < expire.before && !stream.records.is_empty() {
-            stream.forget_one();
+            stream.drop_oldest();
         }
     }
 
-    /// What was asked so far.
+    /// Returns the statistics so far.
     pub fn stats(&self) -> LogStats {
         LogStats {
             streams: self.streams.iter().map(|(name, s)| (name.clone(), s.stats)).collect(),
             too_many: self.too_many,
-            peak_appends_per_s: self.peak,
+            peak_appends_per_s: self.peak_appends,
         }
     }
 
     fn count_append(&mut self, now: Time) -> Result<(), AppendRefused> {
         let second = now.as_micros() / 1_000_000;
-        if second != self.second {
-            self.second = second;
-            self.in_second = 0;
+        if second != self.current_second {
+            self.current_second = second;
+            self.appends_in_second = 0;
         }
-        if self.in_second >= self.settings.appends_per_s {
+        if self.appends_in_second >= self.settings.appends_per_s {
             self.too_many += 1;
             return Err(AppendRefused::TooMany);
         }
-        self.in_second += 1;
-        self.peak = self.peak.max(self.in_second);
+        self.appends_in_second += 1;
+        self.peak_appends = self.peak_appends.max(self.appends_in_second);
         Ok(())
     }
 }
--- a/crates/standins/src/vms/mod.rs
+++ b/crates/standins/src/vms/mod.rs
@@ -5,7 +5,7 @@
 //! | `GET /vms` | none | 200 a list of [`VmRecord`] as it was `lag_ms` ago, with its `ETag`; 304 if the caller has it |
 //! | `POST /vms` | a list of [`VmRecord`] | 200; replaces the list |
 //! | `PUT /vms/{vm}` | a [`VmRecord`] | 200; sets one |
-//! | `DELETE /vms/{vm}` | none | 200; takes one out |
+//! | `DELETE /vms/{vm}` | none | 200; removes one |
 //! | `POST /faults` | [`VmListFaults`] | 200; replaces the faults in force |
 
 mod server;
@@ -18,8 +18,8 @@
 
 pub use crate::vms::server::{VmListServer, start_vms};
 
-/// How many earlier lists are remembered for the lag.
-const VERSIONS_MAX: usize = 1_000;
+/// Maximum number of versions kept for the lag.
+const MAX_VERSIONS: usize = 1_000;
 
 /// The faults in force. Setting them replaces all; the default is none.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
@@ -27,26 +27,26 @@
 pub struct VmListFaults {
     /// Connections are closed without an answer.
     pub down: bool,
-    /// Every answer waits this long, in milliseconds.
+    /// Delay of every answer, in milliseconds.
     pub delay_ms: u64,
-    /// Readers see the list as it was this long ago, in milliseconds.
+    /// Age of the list that readers get, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// The list and its past.
+/// The list with its earlier versions.
 #[derive(Debug)]
 pub struct VmList {
     versions: VecDeque<(Time, Vec<VmRecord>)>,
 }
 
 impl VmList {
-    /// A list as it has always been.
+    /// Creates a list whose first version has time zero.
     pub fn new(records: Vec<VmRecord>) -> Self {
         VmList { versions: VecDeque::from([(Time::ZERO, records)]) }
     }
 
-    /// The list as it was `lag` ago.
-    pub fn seen(&self, now: Time, lag: Duration) -> &[VmRecord] {
+    /// Returns the list as it was `lag` ago.
+    pub fn at_lag(&self, now: Time, lag: Duration) -> &[VmRecord] {
         let old_enough = |(at, _): &&(Time, Vec<VmRecord>)| now.since(*at) >= lag;
         let version = self.versions.iter().rev().find(old_enough).or(self.versions.front());
         version.map_or(&[], |(_, records)| records)
@@ -55,7 +55,7 @@
     /// Replaces the list.
     pub fn replace(&mut self, now: Time, records: Vec<VmRecord>) {
         self.versions.push_back((now, records));
-        if self.versions.len() > VERSIONS_MAX {
+        if self.versions.len() > MAX_VERSIONS {
             self.versions.pop_front();
         }
     }
@@ -67,7 +67,7 @@
         self.replace(now, records);
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove(&mut self, now: Time, vm: &VmId) {
         let records = self.newest_without(vm);
         self.replace(now, records);
--- a/crates/standins/src/vms/server.rs
+++ b/crates/standins/src/vms/server.rs
@@ -31,7 +31,7 @@
     shared: Arc<Mutex<Shared>>,
 }
 
-/// Starts a VM list on the loopback address; port 0 takes a free one.
+/// Starts a VM list on the loopback interface; port 0 picks a free port.
 pub fn start_vms(records: Vec<VmRecord>, port: u16) -> io::Result<VmListServer> {
     let shared = Shared { list: VmList::new(records), faults: VmListFaults::default() };
     let shared = Arc::new(Mutex::new(shared));
@@ -41,7 +41,7 @@
 }
 
 impl VmListServer {
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -56,22 +56,22 @@
         lock(&self.shared).list.set(wall_clock(), record);
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove(&self, vm: &VmId) {
         lock(&self.shared).list.remove(wall_clock(), vm);
     }
 }
 
 fn handle(call: &Call, shared: &Mutex<Shared>) -> Reply {
-    match change(call, shared) {
+    match handle_change(call, shared) {
         Some(Ok(())) => Reply::text(200, ""),
         Some(Err(reply)) => reply,
         None => list(call, shared),
     }
 }
 
-/// Performs a call that changes something; `None` is a read.
-fn change(call: &Call, shared: &Mutex<Shared>) -> Option<Result<(), Reply>> {
+/// Handles a call that changes the list or the faults; `None` for a read.
+fn handle_change(call: &Call, shared: &Mutex<Shared>) -> Option<Result<(), Reply>> {
     let vm = call.path.strip_prefix("/vms/").map(str::parse::<VmId>);
     let now = wall_clock();
     let result = match (call.method.as_str(), call.path.as_str(), vm) {
@@ -88,19 +88,19 @@
     Some(result)
 }
 
-/// The tag of an answer: another list has another one.
-fn tag(body: &[u8]) -> String {
+/// Computes the `ETag` of an answer from its body.
+fn etag(body: &[u8]) -> String {
     let mut hasher = SipHasher13::new();
     hasher.write(body);
     format!("\"{:016x}\"", hasher.finish())
 }
 
-/// Adds the answer's tag; a caller who has the same list already gets no body.
-fn tagged(call: &Call, reply: Reply) -> Reply {
+/// Adds the `ETag`; answers 304 without a body if the caller has the same list.
+fn with_etag(call: &Call, reply: Reply) -> Reply {
     let Reply::Whole { status, media_type, mut headers, body } = reply else { return reply };
-    let tag = tag(&body);
-    let same = call.header("if-none-match") == Some(tag.as_str());
-    headers.push(("etag", tag));
+    let etag = etag(&body);
+    let same = call.header("if-none-match") == Some(etag.as_str());
+    headers.push(("etag", etag));
     match same {
         true => Reply::Whole { status: 304, media_type, headers, body: Vec::new() },
         false => Reply::Whole { status, media_type, headers, body },
@@ -114,8 +114,8 @@
             return Reply::Sever;
         }
         let lag = Duration::from_millis(shared.faults.lag_ms);
-        (Reply::json(&shared.list.seen(wall_clock(), lag)), shared.faults.delay_ms)
+        (Reply::json(&shared.list.at_lag(wall_clock(), lag)), shared.faults.delay_ms)
     };
     thread::sleep(Duration::from_millis(delay));
-    tagged(call, reply)
+    with_etag(call, reply)
 }
--- a/crates/standins/src/worker/command.rs
+++ b/crates/standins/src/worker/command.rs
@@ -1,29 +1,29 @@
-//! What a task does, read from its command.
+//! Simulated behaviour of a task, parsed from its command.
 
 use {
     egretlb_types::{Megabytes, MilliCores},
     std::{fmt, str::FromStr, time::Duration},
 };
 
-/// What a task does, written like `run=500ms use=800m mem=200MB fail=0.1 checkpoint=100ms`.
+/// Simulated behaviour of a task, written like
+/// `run=500ms use=800m mem=200MB fail=0.1 checkpoint=100ms`.
 ///
-/// Every part may be left out. Words without `=` are passed over, so that a command may carry a
-/// name.
+/// Every part is optional. Words without `=` are ignored.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Command {
-    /// How long it runs on an unthrottled worker; zero if it isn't said.
+    /// Run time on an unthrottled worker; zero by default.
     pub run: Duration,
-    /// The processor time it uses; what it was given if it isn't said.
+    /// CPU usage; by default the CPU of its resources.
     pub cpu: Option<MilliCores>,
-    /// The memory it uses; what it was given if it isn't said.
+    /// Memory usage; by default the memory of its resources.
     pub memory: Option<Megabytes>,
-    /// The share of its runs that fail.
+    /// Probability that a run fails.
     pub fail: f64,
-    /// How much work lies between two points that it can resume from; without it, none.
+    /// Work between checkpoints; `None` for a task without checkpoints.
     pub checkpoint: Option<Duration>,
 }
 
-/// A part of a command that can't be read.
+/// A part of a command that can't be parsed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ParseCommandError {
     /// The part.
@@ -45,8 +45,8 @@
         let mut command = Command::default();
         for part in text.split_whitespace() {
             if let Some((key, value)) = part.split_once('=') {
-                let read = command.set(key, value);
-                read.ok_or_else(|| ParseCommandError { part: part.to_owned() })?;
+                let parsed = command.set(key, value);
+                parsed.ok_or_else(|| ParseCommandError { part: part.to_owned() })?;
             }
         }
         Ok(command)
@@ -56,18 +56,18 @@
 impl Command {
     fn set(&mut self, key: &str, value: &str) -> Option<()> {
         match key {
-            "run" => self.run = span(value)?,
+            "run" => self.run = parse_duration(value)?,
             "use" => self.cpu = Some(value.parse().ok()?),
             "mem" => self.memory = Some(value.parse().ok()?),
             "fail" => self.fail = value.parse().ok()?,
-            "checkpoint" => self.checkpoint = Some(span(value)?),
+            "checkpoint" => self.checkpoint = Some(parse_duration(value)?),
             _ => return None,
         }
         Some(())
     }
 }
 
-fn span(text: &str) -> Option<Duration> {
+fn parse_duration(text: &str) -> Option<Duration> {
     match text.strip_suffix("ms") {
         Some(millis) => millis.parse().ok().map(Duration::from_millis),
         None => text.strip_suffix('s')?.parse().ok().map(Duration::from_secs),
--- a/crates/standins/src/worker/faults.rs
+++ b/crates/standins/src/worker/faults.rs
@@ -1,4 +1,4 @@
-//! What can be made to go wrong at a worker.
+//! Faults that can be injected into a worker.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,16 +6,16 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WorkerFaults {
-    /// The VM is gone with all that ran on it; connections are closed without an answer. Taken
-    /// back, the worker starts empty.
+    /// The VM is lost with all its tasks; connections are closed without an answer. When cleared,
+    /// the worker starts empty.
     pub dead: bool,
-    /// The VM is paused: connections wait until this is taken back.
+    /// The VM is paused: connections wait until this is cleared.
     pub frozen: bool,
-    /// So many calls take effect and then lose their answer.
+    /// Number of calls that take effect and then lose their answer.
     pub lose_answers: u32,
-    /// So many answers break off in the middle.
+    /// Number of answers that are truncated.
     pub truncate_answers: u32,
-    /// Every answer waits this long after the effect, in milliseconds.
+    /// Delay of every answer after the effect, in milliseconds.
     pub delay_ms: u64,
     /// Every task that starts fails at once.
     pub fail_tasks: bool,
@@ -23,8 +23,8 @@
     pub fail_requests: bool,
     /// Starts and requests are refused.
     pub refuse: bool,
-    /// The worker says that it is leaving and takes nothing new.
+    /// The worker drains: it reports that it is leaving and refuses new work.
     pub leaving: bool,
-    /// How much slower than alone everything runs, in thousandths; below 1000 counts as 1000.
+    /// Slowdown of all tasks by interference, in thousandths; below 1000 counts as 1000.
     pub slowdown_permille: u32,
 }
--- a/crates/standins/src/worker/history.rs
+++ b/crates/standins/src/worker/history.rs
@@ -1,4 +1,4 @@
-//! What truly happened at a worker.
+//! Events at a worker.
 
 use {
     compact_str::CompactString,
@@ -9,80 +9,80 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Why a worker refused a start.
+/// Reason for refusing a start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// It would have held more than its capacity.
+    /// The task would exceed the capacity.
     NoRoom,
     /// A higher fence was seen for the task.
     Stale,
-    /// The worker is leaving, or refuses by a fault.
+    /// The worker drains, or an injected fault refuses starts.
     Unwilling,
 }
 
-/// One thing that happened.
+/// Kind of an event at a worker.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
-pub enum What {
+pub enum WorkerEventKind {
     /// A task began to run.
     Started {
         /// The task and its fence.
         of: TaskFence,
         /// Its class.
         class: ClassName,
-        /// What it was given.
+        /// Its resources.
         resources: Resources,
-        /// What it resumed from.
+        /// The checkpoint it resumed from.
         checkpoint: Option<CompactString>,
     },
     /// A start was refused; nothing ran.
     Refused {
         /// The task and its fence.
         of: TaskFence,
-        /// Why.
+        /// The reason.
         why: Refusal,
     },
-    /// A task ended by itself or by its lease.
+    /// A task ended by itself or because its lease expired.
     Ended {
         /// The task and its fence.
         of: TaskFence,
-        /// How.
+        /// How the task ended.
         end: TaskEnd,
     },
     /// A task was stopped.
     Stopped {
         /// The task and its fence.
         of: TaskFence,
-        /// What it can be resumed from.
+        /// The checkpoint to resume from.
         checkpoint: Option<CompactString>,
     },
     /// A request began to run.
     RequestBegan {
-        /// The caller's id of it.
+        /// The request's id.
         id: CompactString,
         /// Its class.
         class: ClassName,
     },
     /// A request ran to its end.
     RequestDone {
-        /// The caller's id of it.
+        /// The request's id.
         id: CompactString,
     },
-    /// The worker began to say that it is leaving.
+    /// The worker started to drain.
     Leaving,
-    /// The VM was lost with all that ran on it.
+    /// The VM was lost with all its tasks.
     Died,
 }
 
-/// Something that happened at a VM at a time.
+/// An event at a worker.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Happening {
-    /// When, by a clock that all stand-ins of a test share.
+pub struct WorkerEvent {
+    /// Time of the event, by a clock that all stand-ins of a test share.
     pub at: Time,
-    /// Where.
+    /// The VM.
     pub vm: VmId,
-    /// What.
+    /// Kind of the event.
     #[serde(flatten)]
-    pub what: What,
+    pub kind: WorkerEventKind,
 }
--- a/crates/standins/src/worker/mod.rs
+++ b/crates/standins/src/worker/mod.rs
@@ -1,19 +1,18 @@
-//! A stand-in for one of the platform's workers, which is also the backend server of the services
-//! that run there.
+//! A stand-in for one of the platform's workers, which is also the backend server of its services.
 //!
-//! It speaks the messages of [`egretlb_types::worker`], and besides:
+//! It implements the messages of [`egretlb_types::worker`] and these calls:
 //!
 //! | call | body | answer |
 //! |---|---|---|
 //! | `* /serve/{class}/{path}` | any | 200 [`Served`]; 404 if no service of the class runs, 503 if busy or leaving, both with `Worker-Declined` |
 //! | `POST /faults` | [`WorkerFaults`] | 200; replaces the faults in force |
-//! | `GET /history` | none | 200 a list of [`Happening`] |
+//! | `GET /history` | none | 200 a list of [`WorkerEvent`] |
 //!
-//! A request's time is its header `X-Service-Ms`, else the worker's setting. Its id is its header
-//! `X-Request-Id`, which the answer carries too. `X-Answer-Bytes` makes the answer longer.
+//! A request's service time is its header `X-Service-Ms`, or the worker's default. Its id is its
+//! header `X-Request-Id`, which the answer repeats. `X-Answer-Bytes` sets the length of the
+//! padding.
 //!
-//! The worker keeps a history of what truly ran, which the tests trust over anything that egretlb
-//! says of itself.
+//! The worker records a history of its events, from which tests check egretlb's behaviour.
 
 mod command;
 mod faults;
@@ -26,7 +25,7 @@
 pub use crate::worker::{
     command::{Command, ParseCommandError},
     faults::WorkerFaults,
-    history::{Happening, Refusal, What},
+    history::{Refusal, WorkerEvent, WorkerEventKind},
     serve::{Served, body_hash},
     server::{WorkerServer, start_worker},
     state::{WorkerSettings, WorkerState},
--- a/crates/standins/src/worker/running.rs
+++ b/crates/standins/src/worker/running.rs
@@ -1,4 +1,4 @@
-//! One task that runs at a worker: its progress, its end, its checkpoints.
+//! Progress, end and checkpoints of a running task.
 
 use {
     crate::worker::Command,
@@ -7,7 +7,7 @@
     std::time::Duration,
 };
 
-/// One task that runs.
+/// A running task.
 #[derive(Clone, Debug)]
 pub(super) struct Running {
     pub(super) fence: Fence,
@@ -19,31 +19,31 @@
     pub(super) started: Time,
     pub(super) lease_until: Time,
     pub(super) throttle_permille: u16,
-    /// Work done, as time on an unthrottled worker, up to `counted`.
+    /// Work done up to `counted`, as time on an unthrottled worker.
     pub(super) progress: Duration,
-    pub(super) counted: Time,
+    pub(super) progress_at: Time,
 }
 
-/// The share of full speed at which a task runs, in thousandths.
+/// Returns the speed of a task in thousandths of full speed.
 fn speed(throttle_permille: u16, slowdown_permille: u32) -> u64 {
     u64::from(throttle_permille) * 1_000 / u64::from(slowdown_permille.max(1_000))
 }
 
 impl Running {
-    pub(super) fn count(&mut self, now: Time, slowdown_permille: u32) {
+    pub(super) fn update_progress(&mut self, now: Time, slowdown_permille: u32) {
         let speed = speed(self.throttle_permille, slowdown_permille);
-        let micros = now.since(self.counted).as_micros() as u64 * speed / 1_000;
+        let micros = now.since(self.progress_at).as_micros() as u64 * speed / 1_000;
         self.progress += Duration::from_micros(micros);
-        self.counted = self.counted.max(now);
+        self.progress_at = self.progress_at.max(now);
     }
 
-    /// When it ends if nothing changes, and how.
+    /// Returns the time and kind of its end if nothing changes.
     pub(super) fn end(&self, slowdown_permille: u32) -> (Time, TaskEnd) {
         let speed = speed(self.throttle_permille, slowdown_permille);
-        let rest = self.command.run.saturating_sub(self.progress).as_micros() as u64;
+        let remaining_micros = self.command.run.saturating_sub(self.progress).as_micros() as u64;
         let done = match (self.service, speed) {
             (false, speed @ 1..) => {
-                self.counted + Duration::from_micros((rest * 1_000).div_ceil(speed))
+                self.progress_at + Duration::from_micros((remaining_micros * 1_000).div_ceil(speed))
             }
             _ => Time::from_micros(u64::MAX),
         };
@@ -70,8 +70,8 @@
     }
 }
 
-/// The work already done at a checkpoint.
-pub(super) fn resumed(checkpoint: Option<&CompactString>) -> Duration {
+/// Returns the work done up to a checkpoint.
+pub(super) fn checkpoint_progress(checkpoint: Option<&CompactString>) -> Duration {
     let millis = checkpoint.and_then(|c| c.strip_prefix("at-")?.strip_suffix("ms")?.parse().ok());
     Duration::from_millis(millis.unwrap_or(0))
 }
--- a/crates/standins/src/worker/serve.rs
+++ b/crates/standins/src/worker/serve.rs
@@ -1,10 +1,10 @@
-//! Requests to the services that run at a worker.
+//! Requests to a worker's services.
 
 use {
     crate::{
         http::{Call, Reply, wall_clock},
         sync::lock,
-        worker::{What, WorkerState},
+        worker::{WorkerEventKind, WorkerState},
     },
     compact_str::CompactString,
     egretlb_types::{
@@ -16,54 +16,55 @@
     std::{hash::Hasher, sync::Mutex, thread, time::Duration},
 };
 
-/// The longest answer that a request may ask for, in bytes.
-const ANSWER_MAX_BYTES: u64 = 16 << 20;
+/// Maximum padding of an answer.
+const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// The longest service time that a request may ask for.
-const SERVICE_MAX: Duration = Duration::from_secs(600);
+/// Maximum service time of a request.
+const MAX_SERVICE_TIME: Duration = Duration::from_secs(600);
 
-/// What a service answers. A caller can tell from it whether the answer is its own and whole.
+/// The answer of a service, from which a caller verifies that it is the whole answer to its
+/// request.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Served {
     /// The request's id.
     pub id: CompactString,
     /// [`body_hash`] of the request's body.
     pub hash: u64,
-    /// Where it ran.
+    /// The VM that ran the request.
     pub vm: VmId,
-    /// As many letters as the request asked for.
+    /// Padding of the requested length.
     pub padding: String,
 }
 
-/// The hash of a request's body that its answer carries.
+/// Returns the hash of a request body.
 pub fn body_hash(body: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(body);
     hasher.finish()
 }
 
-/// Counts the requests in progress; the count falls however the request ends.
-pub(crate) struct Busy<'a>(&'a Mutex<u16>);
+/// Occupies one of the slots for requests until dropped.
+pub(crate) struct SlotGuard<'a>(&'a Mutex<u16>);
 
-impl<'a> Busy<'a> {
-    fn enter(busy: &'a Mutex<u16>, slots: u16) -> Option<Self> {
+impl<'a> SlotGuard<'a> {
+    fn acquire(busy: &'a Mutex<u16>, slots: u16) -> Option<Self> {
         let mut count = lock(busy);
         if *count >= slots {
             return None;
         }
         *count += 1;
         drop(count);
-        Some(Busy(busy))
+        Some(SlotGuard(busy))
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         *lock(self.0) -= 1;
     }
 }
 
-/// Answers one request. The caller of this has looked at the faults that hit every call.
+/// Answers a request; faults that affect every call are already applied.
 pub(crate) fn serve(call: &Call, state: &Mutex<WorkerState>, busy: &Mutex<u16>) -> Reply {
     let class = call.path.strip_prefix("/serve/").and_then(|rest| rest.split('/').next());
     let Some(Ok(class)) = class.map(str::parse::<ClassName>) else {
@@ -79,25 +80,25 @@
         }
         (state.settings().slots, state.settings().service_time)
     };
-    let Some(_busy) = Busy::enter(busy, slots) else {
+    let Some(_slot) = SlotGuard::acquire(busy, slots) else {
         return declined(503, DECLINED_BUSY);
     };
     let id = CompactString::new(call.header("x-request-id").unwrap_or_default());
-    lock(state).record(wall_clock(), What::RequestBegan { id: id.clone(), class });
-    work(call, state, default_time);
+    lock(state).record(wall_clock(), WorkerEventKind::RequestBegan { id: id.clone(), class });
+    sleep_service_time(call, state, default_time);
     finish(call, state, id)
 }
 
-/// An answer of the worker itself: the request wasn't handed on.
+/// Answers that the worker declined the request without running it.
 fn declined(status: u16, why: &str) -> Reply {
     let body = why.as_bytes().to_vec();
     let headers = vec![(DECLINED_HEADER, why.to_owned())];
     Reply::Whole { status, media_type: "text/plain", headers, body }
 }
 
-fn work(call: &Call, state: &Mutex<WorkerState>, default_time: Duration) {
-    let asked = call.header("x-service-ms").and_then(|text| text.parse().ok());
-    let time = asked.map_or(default_time, Duration::from_millis).min(SERVICE_MAX);
+fn sleep_service_time(call: &Call, state: &Mutex<WorkerState>, default_time: Duration) {
+    let requested_time = call.header("x-service-ms").and_then(|text| text.parse().ok());
+    let time = requested_time.map_or(default_time, Duration::from_millis).min(MAX_SERVICE_TIME);
     let slowdown = lock(state).faults().slowdown_permille.max(1_000);
     thread::sleep(time * slowdown / 1_000);
 }
@@ -107,7 +108,7 @@
     if state.faults().dead {
         return Reply::Sever;
     }
-    state.record(wall_clock(), What::RequestDone { id: id.clone() });
+    state.record(wall_clock(), WorkerEventKind::RequestDone { id: id.clone() });
     if state.faults().fail_requests {
         return Reply::text(500, "failed by a fault");
     }
@@ -116,7 +117,7 @@
         id: id.clone(),
         hash: body_hash(&call.body),
         vm: state.settings().vm.clone(),
-        padding: "x".repeat(padding.unwrap_or(0).min(ANSWER_MAX_BYTES) as usize),
+        padding: "x".repeat(padding.unwrap_or(0).min(MAX_ANSWER_BYTES) as usize),
     };
     match Reply::json(&served) {
         Reply::Whole { status, media_type, mut headers, body } => {
--- a/crates/standins/src/worker/server.rs
+++ b/crates/standins/src/worker/server.rs
@@ -4,7 +4,7 @@
     crate::{
         http::{self, Call, Reply, wall_clock},
         sync::lock,
-        worker::{Happening, WorkerFaults, WorkerSettings, WorkerState, serve},
+        worker::{WorkerEvent, WorkerFaults, WorkerSettings, WorkerState, serve},
     },
     egretlb_types::worker::WorkerReport,
     std::{
@@ -16,8 +16,8 @@
     },
 };
 
-/// How often a frozen call looks whether the worker goes on.
-const FROZEN_POLL: Duration = Duration::from_millis(10);
+/// How often a call at a paused worker checks whether it continues.
+const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Debug)]
 struct Shared {
@@ -32,7 +32,7 @@
     shared: Arc<Shared>,
 }
 
-/// Starts a worker on the loopback address; port 0 takes a free one.
+/// Starts a worker on the loopback interface; port 0 picks a free port.
 pub fn start_worker(settings: WorkerSettings, port: u16) -> io::Result<WorkerServer> {
     let state = Mutex::new(WorkerState::new(settings));
     let shared = Arc::new(Shared { state, busy: Mutex::new(0) });
@@ -42,7 +42,7 @@
 }
 
 impl WorkerServer {
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -52,14 +52,14 @@
         lock(&self.shared.state).set_faults(wall_clock(), faults);
     }
 
-    /// What truly happened so far.
-    pub fn history(&self) -> Vec<Happening> {
+    /// Returns the events so far.
+    pub fn history(&self) -> Vec<WorkerEvent> {
         let mut state = lock(&self.shared.state);
         state.advance(wall_clock());
         state.history().to_vec()
     }
 
-    /// What the worker would say of itself now.
+    /// Returns the worker's current report.
     pub fn report(&self) -> WorkerReport {
         lock(&self.shared.state).report(wall_clock())
     }
@@ -82,11 +82,11 @@
             state.advance(wall_clock());
             Reply::json(&state.history())
         }
-        _ => under_faults(call, shared),
+        _ => handle_with_faults(call, shared),
     }
 }
 
-fn under_faults(call: &Call, shared: &Shared) -> Reply {
+fn handle_with_faults(call: &Call, shared: &Shared) -> Reply {
     loop {
         let mut state = lock(&shared.state);
         if state.faults().dead {
@@ -96,9 +96,9 @@
             break;
         }
         drop(state);
-        thread::sleep(FROZEN_POLL);
+        thread::sleep(FROZEN_POLL_INTERVAL);
     }
-    let reply = act(call, shared);
+    let reply = dispatch(call, shared);
     let (delay, lost, cut) = {
         let mut state = lock(&shared.state);
         let faults = state.faults();
@@ -116,7 +116,7 @@
     }
 }
 
-fn act(call: &Call, shared: &Shared) -> Reply {
+fn dispatch(call: &Call, shared: &Shared) -> Reply {
     if call.path.starts_with("/serve/") {
         return serve::serve(call, &shared.state, &shared.busy);
     }
@@ -130,5 +130,5 @@
         ("GET", "/report") => Ok(Reply::json(&state.report(now))),
         _ => Err(Reply::text(404, "no such call; see POST /tasks, /leases, /stop, GET /report")),
     };
-    reply.unwrap_or_else(|wrong| wrong)
+    reply.unwrap_or_else(|error| error)
 }
--- a/crates/standins/src/worker/state.rs
+++ b/crates/standins/src/worker/state.rs
@@ -1,9 +1,9 @@
-//! A worker's tasks, without input or output.
+//! State of a worker's tasks, without I/O.
 
 use {
     crate::worker::{
-        Command, Happening, Refusal, What, WorkerFaults,
-        running::{Running, resumed},
+        Command, Refusal, WorkerEvent, WorkerEventKind, WorkerFaults,
+        running::{Running, checkpoint_progress},
     },
     compact_str::CompactString,
     egretlb_types::{
@@ -20,27 +20,27 @@
     },
 };
 
-/// A worker's size and habits.
+/// Settings of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerSettings {
     /// The VM.
     pub vm: VmId,
-    /// What it can hold.
+    /// The VM's capacity.
     pub capacity: Resources,
-    /// How many requests it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u16,
-    /// How far its reports lag.
+    /// Lag of the measurements in its reports.
     pub report_lag: Duration,
-    /// How long it remembers tasks that ended.
+    /// How long ended tasks are reported.
     pub keep_ended: Duration,
-    /// How long a request takes that doesn't say.
+    /// Default service time of a request.
     pub service_time: Duration,
-    /// Draws which tasks fail.
+    /// Seed for the random failures of tasks.
     pub seed: u64,
 }
 
 impl WorkerSettings {
-    /// A worker of the size of those in Bogota.
+    /// Settings with default values.
     pub fn new(vm: VmId, capacity: Resources) -> Self {
         WorkerSettings {
             vm,
@@ -54,7 +54,7 @@
     }
 }
 
-/// A worker's state. Times given to its functions never go back.
+/// A worker's state. Times passed to its methods must not decrease.
 #[derive(Debug)]
 pub struct WorkerState {
     settings: WorkerSettings,
@@ -62,18 +62,18 @@
     rng: SmallRng,
     running: BTreeMap<TaskId, Running>,
     ended: Vec<(Time, EndedTask)>,
-    /// The highest fence seen of each task: nothing starts below it.
+    /// The highest fence of each task; starts with lower fences are refused.
     fences: BTreeMap<TaskId, Fence>,
-    /// All that ever started.
+    /// All starts so far.
     started: BTreeSet<TaskFence>,
-    /// What each stop answered, so that a repeated stop answers the same.
+    /// Checkpoint of each stop, for the answer to a repeated stop.
     stopped: BTreeMap<TaskFence, Option<CompactString>>,
     reports: VecDeque<(Time, WorkerReport)>,
-    history: Vec<Happening>,
+    history: Vec<WorkerEvent>,
 }
 
 impl WorkerState {
-    /// A worker that runs nothing.
+    /// Creates a worker without tasks.
     pub fn new(settings: WorkerSettings) -> Self {
         WorkerState {
             rng: SmallRng::seed_from_u64(settings.seed),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The worker's size and habits.
+    /// Returns the worker's settings.
     pub fn settings(&self) -> &WorkerSettings {
         &self.settings
     }
@@ -103,7 +103,7 @@
     pub fn set_faults(&mut self, now: Time, faults: WorkerFaults) {
         self.advance(now);
         if faults.dead && !self.faults.dead {
-            self.record(now, What::Died);
+            self.record(now, WorkerEventKind::Died);
             self.running.clear();
             self.ended.clear();
             self.fences.clear();
@@ -112,17 +112,17 @@
             self.reports.clear();
         }
         if faults.leaving && !self.faults.leaving {
-            self.record(now, What::Leaving);
+            self.record(now, WorkerEventKind::Leaving);
         }
         self.faults = faults;
     }
 
-    /// What happened so far.
-    pub fn history(&self) -> &[Happening] {
+    /// Returns the events so far.
+    pub fn history(&self) -> &[WorkerEvent] {
         &self.history
     }
 
-    /// Ends what has come to its end by `now`, each at its own time.
+    /// Ends all tasks that are due by `now`, each at its own time.
     pub fn advance(&mut self, now: Time) {
         let slowdown = self.faults.slowdown_permille;
         loop {
@@ -130,10 +130,10 @@
             let first = ends.filter(|((at, _), _)| *at <= now).min_by_key(|((at, _), _)| *at);
             let Some(((at, end), task)) = first else { break };
             let task = task.clone();
-            self.finish(at, &task, end);
+            self.end_task(at, &task, end);
         }
         for run in self.running.values_mut() {
-            run.count(now, slowdown);
+            run.update_progress(now, slowdown);
         }
         let keep = self.settings.keep_ended;
         self.ended.retain(|(at, _)| now.since(*at) <= keep);
@@ -143,32 +143,32 @@
     pub fn start(&mut self, now: Time, start: StartTask) -> StartAnswer {
         self.advance(now);
         let of = TaskFence { task: start.task.clone(), fence: start.fence };
-        let seen = self.fences.get(&start.task).copied().unwrap_or_default();
-        if let Some(answer) = self.repeated(&of, seen) {
+        let highest_fence = self.fences.get(&start.task).copied().unwrap_or_default();
+        if let Some(answer) = self.answer_to_repeated_start(&of, highest_fence) {
             return answer;
         }
-        if start.fence <= seen {
-            self.record(now, What::Refused { of, why: Refusal::Stale });
+        if start.fence <= highest_fence {
+            self.record(now, WorkerEventKind::Refused { of, why: Refusal::Stale });
             return StartAnswer::StaleFence;
         }
         if self.faults.leaving || self.faults.refuse {
-            self.record(now, What::Refused { of, why: Refusal::Unwilling });
+            self.record(now, WorkerEventKind::Refused { of, why: Refusal::Unwilling });
             return StartAnswer::Refused;
         }
-        if !self.has_room(&start) {
-            self.record(now, What::Refused { of, why: Refusal::NoRoom });
+        if !self.has_free_capacity(&start) {
+            self.record(now, WorkerEventKind::Refused { of, why: Refusal::NoRoom });
             return StartAnswer::Refused;
         }
         self.fences.insert(start.task.clone(), start.fence);
-        // An older start of the same task gives way, so that the task never runs twice here.
+        // A newer start replaces an older one of the same task.
         if self.running.contains_key(&start.task) {
-            self.finish(now, &start.task, TaskEnd::LeaseLapsed);
+            self.end_task(now, &start.task, TaskEnd::LeaseLapsed);
         }
-        self.begin(now, of, start);
+        self.begin_task(now, of, start);
         StartAnswer::Started
     }
 
-    /// Renews leases; tells which of the tasks don't run.
+    /// Renews leases; the answer lists tasks that aren't running.
     pub fn renew(&mut self, now: Time, renew: RenewLeases) -> RenewAnswer {
         self.advance(now);
         let until = now + Duration::from_millis(u64::from(renew.lease_ms));
@@ -186,20 +186,20 @@
     pub fn stop(&mut self, now: Time, stop: StopTask) -> StopAnswer {
         self.advance(now);
         let of = stop.of;
-        if let Some(answer) = self.not_running(&of) {
+        if let Some(answer) = self.answer_if_not_running(&of) {
             return answer;
         }
         let run = self.running.remove(&of.task);
         let checkpoint = run.filter(|_| stop.checkpoint).and_then(|run| run.checkpoint());
         self.stopped.insert(of.clone(), checkpoint.clone());
-        self.record(now, What::Stopped { of, checkpoint: checkpoint.clone() });
+        self.record(now, WorkerEventKind::Stopped { of, checkpoint: checkpoint.clone() });
         StopAnswer::Stopped { checkpoint }
     }
 
-    /// Limits a task's processor time.
+    /// Limits a task's CPU time.
     pub fn throttle(&mut self, now: Time, throttle: ThrottleTask) -> StopAnswer {
         self.advance(now);
-        if let Some(answer) = self.not_running(&throttle.of) {
+        if let Some(answer) = self.answer_if_not_running(&throttle.of) {
             return answer;
         }
         if let Some(run) = self.running.get_mut(&throttle.of.task) {
@@ -208,31 +208,35 @@
         StopAnswer::Throttled
     }
 
-    /// What the worker says of itself; what was used lags, what runs doesn't.
+    /// Returns the worker's report; measurements lag, the list of tasks doesn't.
     pub fn report(&mut self, now: Time) -> WorkerReport {
         self.advance(now);
         let report = WorkerReport {
             leaving: self.faults.leaving,
-            running: self.running.iter().map(|(task, run)| self.describe(task, run)).collect(),
+            running: self.running.iter().map(|(task, run)| self.running_task(task, run)).collect(),
             ended: self.ended.iter().map(|(_, ended)| ended.clone()).collect(),
         };
-        self.with_lag(now, report)
+        self.with_lagged_measurements(now, report)
     }
 
-    /// Whether a service of the class runs here.
+    /// Returns whether a service of the class is running.
     pub fn serves(&mut self, now: Time, class: &ClassName) -> bool {
         self.advance(now);
         self.running.values().any(|run| run.service && run.class == *class)
     }
 
-    /// Adds to the history.
-    pub fn record(&mut self, at: Time, what: What) {
-        self.history.push(Happening { at, vm: self.settings.vm.clone(), what });
+    /// Adds an event to the history.
+    pub fn record(&mut self, at: Time, kind: WorkerEventKind) {
+        self.history.push(WorkerEvent { at, vm: self.settings.vm.clone(), kind });
     }
 
-    /// The answer to a start that came before.
-    fn repeated(&self, of: &TaskFence, seen: Fence) -> Option<StartAnswer> {
-        if seen != of.fence {
+    /// Returns the answer to a repeated start, if it is one.
+    fn answer_to_repeated_start(
+        &self,
+        of: &TaskFence,
+        highest_fence: Fence,
+    ) -> Option<StartAnswer> {
+        if highest_fence != of.fence {
             return None;
         }
         if self.running.get(&of.task).is_some_and(|run| run.fence == of.fence) {
@@ -242,16 +246,16 @@
         ended.then_some(StartAnswer::AlreadyEnded)
     }
 
-    fn has_room(&self, start: &StartTask) -> bool {
+    fn has_free_capacity(&self, start: &StartTask) -> bool {
         let others = self.running.iter().filter(|(task, _)| **task != start.task);
-        let held = others.fold(start.resources, |sum, (_, run)| sum.plus(&run.resources));
-        held.fits(&self.settings.capacity)
+        let used = others.fold(start.resources, |sum, (_, run)| sum.plus(&run.resources));
+        used.fits(&self.settings.capacity)
     }
 
-    fn begin(&mut self, now: Time, of: TaskFence, start: StartTask) {
+    fn begin_task(&mut self, now: Time, of: TaskFence, start: StartTask) {
         let command: Command = start.command.parse().unwrap_or_default();
-        let drawn = self.rng.random::<f64>();
-        let fails = self.faults.fail_tasks || drawn < command.fail;
+        let sample = self.rng.random::<f64>();
+        let fails = self.faults.fail_tasks || sample < command.fail;
         let command = Command {
             run: if self.faults.fail_tasks { Duration::ZERO } else { command.run },
             ..command
@@ -266,25 +270,25 @@
             started: now,
             lease_until: now + Duration::from_millis(u64::from(start.lease_ms)),
             throttle_permille: 1_000,
-            progress: resumed(start.checkpoint.as_ref()),
-            counted: now,
+            progress: checkpoint_progress(start.checkpoint.as_ref()),
+            progress_at: now,
         };
         self.running.insert(start.task, run);
         self.started.insert(of.clone());
         let StartTask { class, resources, checkpoint, .. } = start;
-        self.record(now, What::Started { of, class, resources, checkpoint });
+        self.record(now, WorkerEventKind::Started { of, class, resources, checkpoint });
     }
 
-    fn finish(&mut self, at: Time, task: &TaskId, end: TaskEnd) {
+    fn end_task(&mut self, at: Time, task: &TaskId, end: TaskEnd) {
         let Some(run) = self.running.remove(task) else { return };
         let of = TaskFence { task: task.clone(), fence: run.fence };
         let ran_ms = at.since(run.started).as_millis() as u64;
         self.ended.push((at, EndedTask { of: of.clone(), end, ran_ms, peak: run.used() }));
-        self.record(at, What::Ended { of, end });
+        self.record(at, WorkerEventKind::Ended { of, end });
     }
 
-    /// The answer to a stop or throttle of something that doesn't run.
-    fn not_running(&mut self, of: &TaskFence) -> Option<StopAnswer> {
+    /// Returns the answer to a stop or throttle of a task that isn't running.
+    fn answer_if_not_running(&mut self, of: &TaskFence) -> Option<StopAnswer> {
         if self.running.get(&of.task).is_some_and(|run| run.fence == of.fence) {
             return None;
         }
@@ -295,13 +299,13 @@
             let checkpoint = self.stopped.get(of).cloned().flatten();
             return Some(StopAnswer::Stopped { checkpoint });
         }
-        // "Never will": a start under this fence that is still on its way must be refused.
-        let seen = self.fences.entry(of.task.clone()).or_default();
-        *seen = of.fence.max(*seen);
+        // Ensures that a delayed start with this fence is refused.
+        let highest_fence = self.fences.entry(of.task.clone()).or_default();
+        *highest_fence = of.fence.max(*highest_fence);
         Some(StopAnswer::NeverRan)
     }
 
-    fn describe(&self, task: &TaskId, run: &Running) -> RunningTask {
+    fn running_task(&self, task: &TaskId, run: &Running) -> RunningTask {
         RunningTask {
             of: TaskFence { task: task.clone(), fence: run.fence },
             class: run.class.clone(),
@@ -312,22 +316,22 @@
         }
     }
 
-    /// Replaces the measurements in a report by those of `report_lag` ago.
-    fn with_lag(&mut self, now: Time, report: WorkerReport) -> WorkerReport {
+    /// Replaces the measurements in a report with those of `report_lag` ago.
+    fn with_lagged_measurements(&mut self, now: Time, report: WorkerReport) -> WorkerReport {
         let lag = self.settings.report_lag;
         self.reports.push_back((now, report.clone()));
         while self.reports.get(1).is_some_and(|(at, _)| now.since(*at) >= lag) {
             self.reports.pop_front();
         }
         let Some((at, old)) = self.reports.front() else { return report };
-        let known = now.since(*at) >= lag;
+        let old_enough = now.since(*at) >= lag;
         let mut report = report;
         for task in &mut report.running {
-            let before = old.running.iter().find(|before| before.of == task.of);
-            match before.filter(|_| known) {
-                Some(before) => {
-                    task.used = before.used;
-                    task.slowdown_permille = before.slowdown_permille;
+            let earlier = old.running.iter().find(|earlier| earlier.of == task.of);
+            match earlier.filter(|_| old_enough) {
+                Some(earlier) => {
+                    task.used = earlier.used;
+                    task.slowdown_permille = earlier.slowdown_permille;
                 }
                 None => {
                     task.used = Resources::default();
--- a/crates/standins/tests/checker_notices.rs
+++ b/crates/standins/tests/checker_notices.rs
@@ -1,10 +1,10 @@
-//! Each invariant of the checker notices a history that breaks it, and passes one that keeps it.
+//! The checker reports histories that violate an invariant and accepts those that satisfy it.
 
 use {
     compact_str::CompactString,
     egretlb_standins::{
-        checker::{Answer, History, InForce, Told, Violation},
-        worker::{Happening, Refusal, Served, What},
+        checker::{Answer, CallerRecord, History, InForce, Violation},
+        worker::{Refusal, Served, WorkerEvent, WorkerEventKind},
     },
     egretlb_types::{
         Attempt, Epoch, Fence, Megabytes, MilliCores, NodeId, Offset, Ran, Resources, Time, VmId,
@@ -26,29 +26,29 @@
     TaskFence { task: "j/0".parse().expect("a task"), fence }
 }
 
-fn started(attempt: u32, checkpoint: Option<&str>) -> What {
+fn started(attempt: u32, checkpoint: Option<&str>) -> WorkerEventKind {
     let checkpoint = checkpoint.map(CompactString::new);
     let class = "c".parse().expect("a name");
-    What::Started { of: of(attempt), class, resources: size(600), checkpoint }
+    WorkerEventKind::Started { of: of(attempt), class, resources: size(600), checkpoint }
 }
 
-fn ended(attempt: u32, end: TaskEnd) -> What {
-    What::Ended { of: of(attempt), end }
+fn ended(attempt: u32, end: TaskEnd) -> WorkerEventKind {
+    WorkerEventKind::Ended { of: of(attempt), end }
 }
 
-fn stopped(attempt: u32, checkpoint: Option<&str>) -> What {
-    What::Stopped { of: of(attempt), checkpoint: checkpoint.map(CompactString::new) }
+fn stopped(attempt: u32, checkpoint: Option<&str>) -> WorkerEventKind {
+    WorkerEventKind::Stopped { of: of(attempt), checkpoint: checkpoint.map(CompactString::new) }
 }
 
-fn history(steps: &[(u64, &str, What)]) -> History {
-    let happening = |(millis, name, what): &(u64, &str, What)| Happening {
+fn history(steps: &[(u64, &str, WorkerEventKind)]) -> History {
+    let happening = |(millis, name, kind): &(u64, &str, WorkerEventKind)| WorkerEvent {
         at: Time::from_millis(*millis),
         vm: vm(name),
-        what: what.clone(),
+        kind: kind.clone(),
     };
     let capacities = [(vm("a"), size(1_000)), (vm("b"), size(1_000))].into();
-    let happenings = steps.iter().map(happening).collect();
-    History { happenings, capacities, ..History::default() }
+    let worker_events = steps.iter().map(happening).collect();
+    History { worker_events, capacities, ..History::default() }
 }
 
 #[test]
@@ -57,7 +57,7 @@
         (0, "a", started(1, None)),
         (5, "a", stopped(1, Some("at-4ms"))),
         (5, "b", started(2, Some("at-4ms"))),
-        (7, "b", What::Died),
+        (7, "b", WorkerEventKind::Died),
         (9, "a", started(3, Some("at-4ms"))),
         (10, "a", ended(3, TaskEnd::Done)),
     ]);
@@ -66,8 +66,7 @@
 
 #[test]
 fn two_places() {
-    // A task is started anew while the first start still runs: two reconciliations merge the same
-    // records. The lapse of the first lease comes too late to excuse it.
+    // A second start while the first still runs is a violation, even if the first ends soon after.
     let h = history(&[
         (0, "a", started(1, None)),
         (5, "b", started(2, None)),
@@ -77,24 +76,24 @@
 }
 
 #[test]
-fn too_much() {
-    // Two tasks of 600 on a VM of 1000, once held in fact and once refused by the worker's guard.
-    let other = |what| match what {
-        What::Started { class, resources, checkpoint, .. } => {
+fn over_capacity() {
+    // Two tasks of 600 on a VM of 1000: one pair runs, the other is refused by the worker.
+    let other = |kind| match kind {
+        WorkerEventKind::Started { class, resources, checkpoint, .. } => {
             let of = TaskFence { task: "j/1".parse().expect("a task"), ..of(1) };
-            What::Started { of, class, resources, checkpoint }
+            WorkerEventKind::Started { of, class, resources, checkpoint }
         }
-        what => what,
+        kind => kind,
     };
     let held = history(&[(0, "a", started(1, None)), (1, "a", other(started(1, None)))]);
     assert!(matches!(held.check()[..], [Violation::OverCapacity { .. }]));
-    let guarded = history(&[(0, "a", What::Refused { of: of(1), why: Refusal::NoRoom })]);
+    let guarded =
+        history(&[(0, "a", WorkerEventKind::Refused { of: of(1), why: Refusal::NoRoom })]);
     assert!(matches!(guarded.check()[..], [Violation::OverCapacity { .. }]));
 }
 
 #[test]
 fn done_twice() {
-    // A batch runs again after it was done: owners of recalled cars get two letters.
     let h = history(&[
         (0, "a", started(1, None)),
         (1, "a", ended(1, TaskEnd::Done)),
@@ -109,7 +108,7 @@
 
 #[test]
 fn resumed_wrongly() {
-    // Evicted work starts from the beginning, or never again: the night's work is lost.
+    // An evicted task restarts from the beginning, or is never resumed.
     let h = history(&[
         (0, "a", started(1, None)),
         (5, "a", stopped(1, Some("at-4ms"))),
@@ -126,13 +125,14 @@
 
 fn requests(runs: u32, idempotent: bool, answer: Answer) -> History {
     let id = CompactString::new("r1");
-    let began = What::RequestBegan { id: id.clone(), class: "c".parse().expect("a name") };
-    let done = What::RequestDone { id: id.clone() };
+    let began =
+        WorkerEventKind::RequestBegan { id: id.clone(), class: "c".parse().expect("a name") };
+    let done = WorkerEventKind::RequestDone { id: id.clone() };
     let steps: Vec<_> = (0..u64::from(runs))
         .flat_map(|n| [(2 * n, "a", began.clone()), (2 * n + 1, "a", done.clone())])
         .collect();
-    let told = vec![Told { id, idempotent, hash: 7, answer }];
-    History { told, ..history(&steps) }
+    let caller_records = vec![CallerRecord { id, idempotent, hash: 7, answer }];
+    History { caller_records, ..history(&steps) }
 }
 
 fn served(id: &str, hash: u64) -> Answer {
@@ -141,14 +141,13 @@
 
 #[test]
 fn ran_twice() {
-    // A filing is sent again after its answer was lost, and an agency fines the firm.
     let id = CompactString::new("r1");
     assert_eq!(requests(2, false, served("r1", 7)).check(), [Violation::RanTwice { id }]);
     assert_eq!(requests(2, true, served("r1", 7)).check(), []);
 }
 
 #[test]
-fn told_wrongly() {
+fn misreported_outcome() {
     let id = || CompactString::new("r1");
     let check = |runs, answer| requests(runs, true, answer).check();
     assert_eq!(check(1, Answer::Error(Ran::No)), [Violation::RanAfterAll { id: id() }]);
@@ -159,7 +158,7 @@
 
 #[test]
 fn wrong_answer() {
-    // A late answer is handed to the next caller on the same connection.
+    // Guards against delivering a late answer to another caller.
     let id = || CompactString::new("r1");
     let check = |answer| requests(1, true, answer).check();
     assert_eq!(check(served("r2", 7)), [Violation::WrongAnswer { id: id() }]);
@@ -169,7 +168,7 @@
 
 #[test]
 fn work_while_leaving() {
-    let h = history(&[(0, "a", What::Leaving), (4_000, "a", started(1, None))]);
+    let h = history(&[(0, "a", WorkerEventKind::Leaving), (4_000, "a", started(1, None))]);
     let with = |secs| History { leaving_limit: Some(Duration::from_secs(secs)), ..h.clone() };
     assert!(matches!(with(3).check()[..], [Violation::WorkWhileLeaving { .. }]));
     assert_eq!(with(4).check(), []);
@@ -177,7 +176,7 @@
 
 #[test]
 fn config_went_back() {
-    // A process restarts in a log outage and takes an older configuration than it had.
+    // Guards against an older configuration after a restart during a log outage.
     let seen = |secs, node, version, content| InForce {
         at: Time::from_secs(secs),
         node: NodeId(node),
--- a/crates/standins/tests/common/mod.rs
+++ b/crates/standins/tests/common/mod.rs
@@ -8,7 +8,7 @@
     std::{io, net::SocketAddr, time::Duration},
 };
 
-/// Long enough that only a real hang runs into it.
+/// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Sends one request and reads the whole answer.
--- a/crates/standins/tests/log_service.rs
+++ b/crates/standins/tests/log_service.rs
@@ -34,8 +34,7 @@
 
 #[test]
 fn answer_lost() {
-    // The log takes a record and the connection breaks before the answer. The writer can't tell
-    // that from an append that never arrived; a user would see a job twice if it just tried again.
+    // An append takes effect although its answer is lost.
     let log = start_log(LogSettings::default(), 0).expect("a free port");
     log.set_faults(LogFaults { lose_answers: 1, ..LogFaults::default() });
     assert!(call(log.addr(), "POST", "/streams/s", &[], b"r").is_err());
@@ -45,7 +44,7 @@
 
 #[test]
 fn one_node_cut_off() {
-    // A network fault hits one node only. It must stop on its own, while the others go on.
+    // Only the refused node is cut off.
     let log = start_log(LogSettings::default(), 0).expect("a free port");
     let refuse_nodes = vec![CompactString::new("7")];
     log.set_faults(LogFaults { refuse_nodes, ..LogFaults::default() });
@@ -56,8 +55,7 @@
 
 #[test]
 fn records_forgotten() {
-    // Records age out, by count, by time, or early by a fault of the platform. A reader who was
-    // away must be told so, or it would take an old state for the present one.
+    // Records expire by count, by age or by an injected fault; reading them must be an error.
     let settings = LogSettings {
         retain_records: 2,
         retain_age: Duration::from_secs(10),
--- a/crates/standins/tests/vm_list.rs
+++ b/crates/standins/tests/vm_list.rs
@@ -24,13 +24,13 @@
 
 #[test]
 fn list_lags() {
-    // The platform's list lags: a VM that has left is still on it, and a new one not yet.
+    // The list lags: removed VMs are still on it, and new ones are missing.
     let mut list = VmList::new(vec![record("a")]);
     list.set(Time::from_secs(5), record("b"));
     list.remove(Time::from_secs(6), &"a".parse().expect("a name"));
     let lag = Duration::from_secs(2);
     let names = |secs| -> Vec<_> {
-        list.seen(Time::from_secs(secs), lag).iter().map(|r| r.vm.to_string()).collect()
+        list.at_lag(Time::from_secs(secs), lag).iter().map(|r| r.vm.to_string()).collect()
     };
     assert_eq!(names(6), ["a"]);
     assert_eq!(names(7), ["a", "b"]);
--- a/crates/standins/tests/worker_serve.rs
+++ b/crates/standins/tests/worker_serve.rs
@@ -47,8 +47,7 @@
 
 #[test]
 fn answer_cut() {
-    // The backend server breaks off in the middle of its answer, or never answers. A caller must
-    // not take half an answer for a whole one; the request ran all the same.
+    // A truncated or lost answer must be an error for the caller, although the request ran.
     let worker = worker_with_service();
     worker.set_faults(WorkerFaults { truncate_answers: 1, ..WorkerFaults::default() });
     let headers = [("x-request-id", "r1"), ("x-answer-bytes", "50000")];
--- a/crates/standins/tests/worker_tasks.rs
+++ b/crates/standins/tests/worker_tasks.rs
@@ -2,7 +2,9 @@
 
 use {
     compact_str::CompactString,
-    egretlb_standins::worker::{Refusal, What, WorkerFaults, WorkerSettings, WorkerState},
+    egretlb_standins::worker::{
+        Refusal, WorkerEventKind, WorkerFaults, WorkerSettings, WorkerState,
+    },
     egretlb_types::{
         Accelerators, Attempt, Epoch, Fence, Megabytes, MilliCores, Resources, Time,
         worker::{
@@ -39,8 +41,8 @@
 }
 
 fn ends(worker: &WorkerState) -> Vec<(Time, TaskEnd)> {
-    let end = |h: &egretlb_standins::worker::Happening| match h.what {
-        What::Ended { end, .. } => Some((h.at, end)),
+    let end = |h: &egretlb_standins::worker::WorkerEvent| match h.kind {
+        WorkerEventKind::Ended { end, .. } => Some((h.at, end)),
         _ => None,
     };
     worker.history().iter().filter_map(end).collect()
@@ -61,8 +63,7 @@
 
 #[test]
 fn lease_lapses() {
-    // The holder of a lease was paused. The task ends by itself at the lease's end, so that another
-    // start elsewhere isn't a second one; a renewal that comes too late is told so.
+    // A task ends when its lease expires, and a late renewal reports it as unknown.
     let mut w = worker();
     w.start(Time::ZERO, start(of("j/0", 1), 1_000, "run=9s"));
     let renew = || RenewLeases { tasks: vec![of("j/0", 1)], lease_ms: 1_000 };
@@ -73,8 +74,7 @@
 
 #[test]
 fn fences_hold() {
-    // A start that was delayed on the network arrives after the task was stopped here. If it still
-    // ran, the task would run in two places.
+    // Guards against a delayed start that arrives after the stop of the task.
     let mut w = worker();
     let stop = |attempt| StopTask { of: of("j/0", attempt), checkpoint: false };
     assert_eq!(w.stop(Time::ZERO, stop(1)), StopAnswer::NeverRan);
@@ -88,8 +88,7 @@
 
 #[test]
 fn stopped_with_checkpoint() {
-    // An evicted task resumes from where it stopped; asked again after a lost answer, the worker
-    // gives the same checkpoint.
+    // A stopped task resumes from its checkpoint, and a repeated stop returns the same checkpoint.
     let mut w = worker();
     w.start(Time::ZERO, start(of("j/0", 1), 10_000, "run=1s checkpoint=100ms"));
     let stop = || StopTask { of: of("j/0", 1), checkpoint: true };
@@ -114,14 +113,13 @@
 }
 
 #[test]
-fn no_room() {
-    // Two owners both believe that a VM has room. The worker's guard refuses the second, and the
-    // history keeps the attempt for the checker.
+fn over_capacity() {
+    // A start beyond the capacity is refused and recorded for the checker.
     let mut w = worker();
     w.start(Time::ZERO, start(of("j/0", 1), 10_000, "run=1s"));
     assert_eq!(w.start(Time::ZERO, start(of("j/1", 1), 1_000, "")), StartAnswer::Refused);
-    let refused = What::Refused { of: of("j/1", 1), why: Refusal::NoRoom };
-    assert_eq!(w.history()[1].what, refused);
+    let refused = WorkerEventKind::Refused { of: of("j/1", 1), why: Refusal::NoRoom };
+    assert_eq!(w.history()[1].kind, refused);
 }
 
 #[test]
@@ -135,12 +133,12 @@
     assert!(w.report(Time::from_millis(3)).leaving);
     assert_eq!(w.start(Time::from_millis(3), start(of("j/1", 1), 9, "")), StartAnswer::Refused);
     w.set_faults(Time::from_millis(4), WorkerFaults { dead: true, ..WorkerFaults::default() });
-    assert_eq!(w.history().last().map(|h| &h.what), Some(&What::Died));
+    assert_eq!(w.history().last().map(|h| &h.kind), Some(&WorkerEventKind::Died));
 }
 
 #[test]
-fn drawn_failures() {
-    // The share that fails is drawn from a fixed seed, so that a test gives one verdict.
+fn random_failures() {
+    // Failures are random with a fixed seed, so that tests are reproducible.
     let failed = |seed| {
         let settings = WorkerSettings { seed, ..worker().settings().clone() };
         let mut w = WorkerState::new(settings);
