--- a/crates/lab/src/experiments/books.rs
+++ b/crates/lab/src/experiments/books.rs
@@ -1,4 +1,4 @@
-//! Memory of the books of jobs and racks, the cost of a placement, and of taking jobs over.
+//! Memory of the job and rack tables, and cost of placements and takeovers.
 
 use {
     crate::{
@@ -28,14 +28,14 @@
     },
 };
 
-/// Tasks that run on a worker at the target size: 17,200 over 1,300.
+/// Running tasks per worker at the target size: 17,200 tasks on 1,300 workers.
 const TASKS_PER_VM: usize = 13;
 
-/// Wants placed for each measurement of the placement's cost.
-const PLACED: u32 = 4_000;
+/// Number of placements per measurement.
+const PLACEMENTS: u32 = 4_000;
 
-/// A batch class of the model's configuration.
-const BATCH: usize = 13;
+/// Index of a batch class of the model's configuration.
+const BATCH_CLASS: usize = 13;
 
 /// Runs the experiment.
 pub fn run(seed: u64) -> Report {
@@ -47,8 +47,8 @@
     report
 }
 
-/// Keeps memory from being given back, where the next measurement would find it and grow by less.
-fn keep<T>(value: T) {
+/// Leaks a value, so that the next measurement of memory growth can't reuse its memory.
+fn leak<T>(value: T) {
     mem::forget(value);
 }
 
@@ -60,19 +60,20 @@
     Resources { cpu: MilliCores(cpu), memory: Megabytes(memory), ..Resources::default() }
 }
 
-/// A rack book that owns everything, with its VMs' reports answered.
-struct Racks {
-    book: RackTable,
+/// A rack table that owns all shards, with a model of its workers.
+struct RackModel {
+    table: RackTable,
     held: Held,
     now: Time,
     tasks_per_vm: usize,
 }
 
-impl Racks {
+impl RackModel {
     fn new(seed: u64, tasks_per_vm: usize) -> Self {
         let shards = all_shards();
-        let book = RackTable::builder().seed(seed).build();
-        let mut racks = Racks { book, held: Held::new(&shards), now: Time::ZERO, tasks_per_vm };
+        let table = RackTable::builder().seed(seed).build();
+        let mut racks =
+            RackModel { table, held: Held::new(&shards), now: Time::ZERO, tasks_per_vm };
         racks.step(RackEvent::Config { document: Arc::new(document(40, 25)) });
         for shard in shards {
             racks.step(RackEvent::Owned { shard, epoch: Held::EPOCH, released: true });
@@ -82,12 +83,12 @@
 
     fn step(&mut self, event: RackEvent) -> Vec<RackEffect> {
         let mut out = Vec::new();
-        self.book.step(self.now, event, &self.held, &mut out);
+        self.table.step(self.now, event, &self.held, &mut out);
         out
     }
 
-    /// Takes so many VMs and answers their first fresh reports.
-    fn take(&mut self, vms: usize) {
+    /// Adds VMs and answers the first calls for their reports.
+    fn add_vms(&mut self, vms: usize) {
         self.step(RackEvent::Vms { vms: vm_list(vms) });
         for _ in 0..8 {
             self.now = self.now + Duration::from_secs(1);
@@ -113,7 +114,7 @@
                 task: TaskId { job: job_id(vm.as_str(), n), index: 0 },
                 fence: Fence { epoch: Epoch(1), attempt: Attempt(1) },
             },
-            class: class_name(BATCH),
+            class: class_name(BATCH_CLASS),
             service: false,
             resources: size(1_000, 2_000),
             used: size(800, 1_500),
@@ -132,13 +133,13 @@
     let mut empty = Series::new("rack book, VMs that run nothing", "VMs", "MB");
     let mut full = Series::new("rack book, 13 tasks on each VM", "VMs", "MB");
     for (series, tasks) in [(&mut empty, 0), (&mut full, TASKS_PER_VM)] {
-        let mut racks = Racks::new(seed, tasks);
+        let mut racks = RackModel::new(seed, tasks);
         let before = resident_bytes();
         for vms in [1_300, 2_600, 5_200, 10_400] {
-            racks.take(vms);
+            racks.add_vms(vms);
             series.push(vms as f64, (resident_bytes() - before) / 1e6);
         }
-        keep(racks);
+        leak(racks);
     }
     report.series.extend([empty, full]);
 }
@@ -147,12 +148,12 @@
     let mut cost = Series::new("processor time of a placement", "VMs", "us");
     let mut tick = Series::new("processor time of a tick", "VMs", "us");
     for vms in [65, 1_300, 5_000] {
-        let mut racks = Racks::new(seed, TASKS_PER_VM);
-        racks.take(vms);
+        let mut racks = RackModel::new(seed, TASKS_PER_VM);
+        racks.add_vms(vms);
         let mut timer = OpTimer::new();
         let mut granted = 0;
         let mut spent = Duration::ZERO;
-        for n in 0..PLACED {
+        for n in 0..PLACEMENTS {
             racks.now = racks.now + Duration::from_millis(50);
             let msg = NodeMsg::Place(place(n));
             let event = RackEvent::NodeMessage { from: node_id(1), msg };
@@ -171,10 +172,10 @@
             racks.step(RackEvent::Tick);
         }
         tick.push(vms as f64, cpu.micros_each(100));
-        cost.push(vms as f64, spent.as_secs_f64() * 1e6 / f64::from(PLACED));
+        cost.push(vms as f64, spent.as_secs_f64() * 1e6 / f64::from(PLACEMENTS));
         report.spreads.push(timer.spread("placement", vms as f64));
         if vms == 1_300 {
-            report.fact("placements granted, 1300 VMs", granted as f64 / f64::from(PLACED), "");
+            report.fact("placements granted, 1300 VMs", granted as f64 / f64::from(PLACEMENTS), "");
         }
     }
     report.series.extend([cost, tick]);
@@ -186,10 +187,10 @@
 }
 
 fn place(n: u32) -> Place {
-    let want = TaskRequest {
+    let request = TaskRequest {
         task: TaskId { job: job_id("want", n as usize), index: 0 },
         attempt: Attempt(1),
-        class: class_name(BATCH),
+        class: class_name(BATCH_CLASS),
         team: None,
         resources: size(1_000, 2_000),
         learned_size: false,
@@ -199,24 +200,24 @@
         avoid: Default::default(),
         avoid_data_centres: Default::default(),
     };
-    Place { shard: ShardId(0), round: Ticket(u64::from(n) + 1), requests: vec![want] }
+    Place { shard: ShardId(0), round: Ticket(u64::from(n) + 1), requests: vec![request] }
 }
 
-/// A job book that owns everything and has room nowhere.
-struct Jobs {
-    book: JobTable,
+/// A job table that owns all shards but has no worker capacity.
+struct JobModel {
+    table: JobTable,
     held: Held,
     now: Time,
     entries: Vec<(ShardId, Vec<u8>)>,
     submitted: usize,
 }
 
-impl Jobs {
+impl JobModel {
     fn new(seed: u64) -> Self {
         let shards = all_shards();
-        let book = JobTable::builder().seed(seed).build();
+        let table = JobTable::builder().seed(seed).build();
         let held = Held::new(&shards);
-        let mut jobs = Jobs { book, held, now: Time::ZERO, entries: Vec::new(), submitted: 0 };
+        let mut jobs = JobModel { table, held, now: Time::ZERO, entries: Vec::new(), submitted: 0 };
         jobs.step(JobEvent::Config { document: Arc::new(document(40, 25)) });
         for shard in shards {
             jobs.step(JobEvent::Owned { shard, epoch: Held::EPOCH });
@@ -226,7 +227,7 @@
 
     fn step(&mut self, event: JobEvent) {
         let mut out = Vec::new();
-        self.book.step(self.now, event, &self.held, &mut out);
+        self.table.step(self.now, event, &self.held, &mut out);
         for effect in out {
             if let JobEffect::Journal { shard, entry, ticket } = effect {
                 self.entries.push((shard, postcard::to_stdvec(&entry).expect("entries encode")));
@@ -237,7 +238,7 @@
 
     fn submit(&mut self, tasks: u32) {
         self.submitted += 1;
-        let class: ClassName = class_name(BATCH);
+        let class: ClassName = class_name(BATCH_CLASS);
         let command = "reconcile --registry bogota --night 2026-01-31".into();
         let job = job_id("batch", self.submitted);
         let spec = JobSpec { job, class, tasks, command, resources: None };
@@ -248,44 +249,44 @@
 fn jobs(seed: u64, report: &mut Report) {
     let mut memory = Series::new("job book, queued tasks", "tasks", "MB");
     let mut snapshot = Series::new("snapshots of all job shards, queued tasks", "tasks", "kB");
-    let mut few = Series::new("job book, jobs of one task", "jobs", "MB");
-    let mut book = Jobs::new(seed);
+    let mut single_task_jobs = Series::new("job book, jobs of one task", "jobs", "MB");
+    let mut model = JobModel::new(seed);
     let before = resident_bytes();
     for tasks in [50_000, 100_000, 200_000, 400_000] {
-        while book.submitted * 25 < tasks {
-            book.submit(25);
+        while model.submitted * 25 < tasks {
+            model.submit(25);
         }
-        book.entries.clear();
+        model.entries.clear();
         memory.push(tasks as f64, (resident_bytes() - before) / 1e6);
         let len = |shard: &ShardId| {
-            postcard::to_stdvec(&book.book.snapshot(*shard)).map_or(0, |b| b.len())
+            postcard::to_stdvec(&model.table.snapshot(*shard)).map_or(0, |b| b.len())
         };
         let bytes: usize = all_shards().iter().map(len).sum();
         snapshot.push(tasks as f64, bytes as f64 / 1e3);
     }
-    keep(book);
-    let mut book = Jobs::new(seed);
+    leak(model);
+    let mut model = JobModel::new(seed);
     let before = resident_bytes();
     for jobs in [10_000, 20_000, 40_000, 80_000] {
-        while book.submitted < jobs {
-            book.submit(1);
+        while model.submitted < jobs {
+            model.submit(1);
         }
-        book.entries.clear();
-        few.push(jobs as f64, (resident_bytes() - before) / 1e6);
+        model.entries.clear();
+        single_task_jobs.push(jobs as f64, (resident_bytes() - before) / 1e6);
     }
-    keep(book);
-    report.series.extend([memory, snapshot, few]);
+    leak(model);
+    report.series.extend([memory, snapshot, single_task_jobs]);
 }
 
-/// One shard is read back: a snapshot of its jobs, and as many changes as it has jobs.
+/// Measures the recovery of a shard from a snapshot of its jobs and one change per job.
 fn takeover(seed: u64, report: &mut Report) {
     let mut read = Series::new("reading a shard's journal back", "tasks of the shard", "ms");
     let mut fold = Series::new("restoring, replaying, owning a shard", "tasks of the shard", "ms");
     let mut bytes = Series::new("journal read for a shard", "tasks of the shard", "kB");
     for tasks in [1_000, 10_000, 40_000] {
-        let mut old = Jobs::new(seed);
-        let shard = fill_shard(&mut old, tasks);
-        let records = journal_of(&old, shard);
+        let mut previous_owner = JobModel::new(seed);
+        let shard = fill_shard(&mut previous_owner, tasks);
+        let records = journal_of(&previous_owner, shard);
         let total: usize = records.iter().map(|record| record.bytes.len()).sum();
         bytes.push(tasks as f64, total as f64 / 1e3);
         let start = Instant::now();
@@ -308,8 +309,8 @@
     report.series.extend([read, fold, bytes]);
 }
 
-/// Submits jobs until one shard has so many tasks; returns it.
-fn fill_shard(jobs: &mut Jobs, tasks: usize) -> ShardId {
+/// Submits jobs until one shard has `tasks` tasks; returns the shard.
+fn fill_shard(jobs: &mut JobModel, tasks: usize) -> ShardId {
     let shard = shard_of_job(&job_id("batch", 1));
     let mut held = 0;
     while held < tasks {
@@ -324,8 +325,8 @@
     shard
 }
 
-fn journal_of(jobs: &Jobs, shard: ShardId) -> Vec<Record> {
-    let snapshot = postcard::to_stdvec(&jobs.book.snapshot(shard)).expect("snapshots encode");
+fn journal_of(jobs: &JobModel, shard: ShardId) -> Vec<Record> {
+    let snapshot = postcard::to_stdvec(&jobs.table.snapshot(shard)).expect("snapshots encode");
     let first = (EntryKind::Snapshot, snapshot);
     let changes = jobs.entries.iter().filter(|(of, _)| *of == shard);
     let changes = changes.map(|(_, body)| (EntryKind::Change, body.clone()));
--- a/crates/lab/src/experiments/journal.rs
+++ b/crates/lab/src/experiments/journal.rs
@@ -1,8 +1,8 @@
-//! Appends to the log by owners who gather entries, as starts and owners grow.
+//! Appends to the log by owners that batch journal entries, by starts and by owners.
 //!
-//! Model: each owner gets starts at random times (exponential gaps) and journals an entry for each
-//! attempt and one for its end; the log answers after 5 to 20 ms. Each owner has one append under
-//! way at most, as the writer allows.
+//! Model: each owner gets starts at random times (exponential gaps) and journals one entry for the
+//! attempt and one for its end; the log answers after 5 to 20 ms. Each owner has at most one append
+//! in flight.
 
 use {
     crate::{
@@ -16,30 +16,30 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Entries for each start: the attempt, and its end.
+/// Entries per start: the attempt and its end.
 const ENTRIES_PER_START: f64 = 2.0;
 
-/// The body of an entry in bytes.
+/// Size of the body of an entry.
 const ENTRY_BYTES: usize = 96;
 
-/// The length of a run in model time.
-const RUN: Duration = Duration::from_secs(60);
+/// Virtual time of a run.
+const RUN_TIME: Duration = Duration::from_secs(60);
 
-/// How finely the model steps.
-const STEP: Duration = Duration::from_millis(1);
+/// Time step of the model.
+const TIME_STEP: Duration = Duration::from_millis(1);
 
-/// How fast the log answers, in milliseconds.
+/// Range of the answer times of the log, in milliseconds.
 const ANSWER_MS: std::ops::Range<u64> = 5..20;
 
-/// The target's peak, in starts a second.
-const PEAK: f64 = 250.0;
+/// Starts per second at the target's peak.
+const PEAK_STARTS_PER_S: f64 = 250.0;
 
-/// The owners at the target size.
+/// Number of owners at the target size.
 const OWNERS: u64 = 17;
 
 struct Owner {
     writer: JournalWriter,
-    /// When each entry was pushed, by ticket.
+    /// Tickets of pending entries with the time of their push.
     pushed: VecDeque<(Ticket, Time)>,
     answer: Option<(Time, Seq)>,
     next_start: Time,
@@ -60,18 +60,18 @@
     let mut appends = Series::new("appends over 17 owners", "starts/s", "1/s");
     let mut bytes = Series::new("appended bytes over 17 owners", "starts/s", "B/s");
     let mut cost = Series::new("processor time of an entry", "starts/s", "us");
-    for starts in [25.0, 125.0, PEAK, 500.0] {
+    for starts in [25.0, 125.0, PEAK_STARTS_PER_S, 500.0] {
         let cpu = CpuClock::start();
         let totals = simulate(OWNERS, starts, seed);
         cost.push(starts, cpu.micros_each(totals.entries as usize));
-        appends.push(starts, totals.appends as f64 / RUN.as_secs_f64());
-        bytes.push(starts, totals.bytes as f64 / RUN.as_secs_f64());
+        appends.push(starts, totals.appends as f64 / RUN_TIME.as_secs_f64());
+        bytes.push(starts, totals.bytes as f64 / RUN_TIME.as_secs_f64());
         report.spreads.push(totals.durable.spread("push to durable, model time", starts));
     }
     let mut by_owners = Series::new("appends at 250 starts/s", "owners", "1/s");
     for owners in [4, 9, OWNERS, 34] {
-        let totals = simulate(owners, PEAK, seed);
-        by_owners.push(owners as f64, totals.appends as f64 / RUN.as_secs_f64());
+        let totals = simulate(owners, PEAK_STARTS_PER_S, seed);
+        by_owners.push(owners as f64, totals.appends as f64 / RUN_TIME.as_secs_f64());
     }
     report.series.extend([appends, bytes, cost, by_owners]);
     report.fact("outage until a writer is full, at 250 starts/s over 17", outage_secs(), "s");
@@ -81,17 +81,17 @@
 fn simulate(owners: u64, starts_per_s: f64, seed: u64) -> Totals {
     let mut rng = SmallRng::seed_from_u64(seed);
     let gaps = Exp::new(starts_per_s * ENTRIES_PER_START / owners as f64).expect("a rate");
-    let mut all: Vec<_> = (0..owners).map(|n| owner(n, seed)).collect();
-    for owner in &mut all {
+    let mut owner_states: Vec<_> = (0..owners).map(|n| owner(n, seed)).collect();
+    for owner in &mut owner_states {
         owner.next_start = Time::ZERO + Duration::from_secs_f64(gaps.sample(&mut rng));
     }
     let mut totals = Totals::default();
     let mut now = Time::ZERO;
-    while now < Time::ZERO + RUN {
-        for owner in &mut all {
+    while now < Time::ZERO + RUN_TIME {
+        for owner in &mut owner_states {
             owner.step(now, &gaps, &mut rng, &mut totals);
         }
-        now = now + STEP;
+        now = now + TIME_STEP;
     }
     totals
 }
@@ -136,16 +136,16 @@
         if let Some(append) = self.writer.poll(now) {
             totals.appends += 1;
             totals.bytes += append.bytes.len() as u64;
-            let answer_in = Duration::from_millis(rng.random_range(ANSWER_MS));
-            self.answer = Some((now + answer_in, append.seq));
+            let answer_delay = Duration::from_millis(rng.random_range(ANSWER_MS));
+            self.answer = Some((now + answer_delay, append.seq));
         }
     }
 }
 
-/// How long one of the owners can go on taking entries while the log is down.
+/// Returns how long an owner accepts entries during an outage of the log.
 fn outage_secs() -> f64 {
     let mut writer = owner(0, 0).writer;
-    let per_s = PEAK * ENTRIES_PER_START / OWNERS as f64;
-    let taken = (0..).take_while(|n| writer.push(entry(0), Ticket(*n)).is_ok()).count();
-    taken as f64 / per_s
+    let per_s = PEAK_STARTS_PER_S * ENTRIES_PER_START / OWNERS as f64;
+    let accepted = (0..).take_while(|n| writer.push(entry(0), Ticket(*n)).is_ok()).count();
+    accepted as f64 / per_s
 }
--- a/crates/lab/src/experiments/keys.rs
+++ b/crates/lab/src/experiments/keys.rs
@@ -1,7 +1,7 @@
-//! What a request key costs its owner.
+//! Cost of an idempotency key for its owner.
 //!
-//! Each key goes its usual way: an entry asks, the intent is journalled, the permit is granted, the
-//! outcome is reported and journalled, and the key is remembered for a day.
+//! Each key goes through all its states: an entry requests a permit, the intent is journalled, the
+//! permit is granted, the outcome is reported and journalled, and the key is kept for a day.
 
 use {
     crate::{
@@ -21,10 +21,10 @@
     std::time::Duration,
 };
 
-/// How many keys are remembered, step by step. The book's bound for all shards is a million.
-const SIZES: [usize; 4] = [50_000, 100_000, 200_000, 400_000];
+/// Numbers of kept keys. The table's limit for all shards is a million.
+const KEY_COUNTS: [usize; 4] = [50_000, 100_000, 200_000, 400_000];
 
-/// The recorded answer's body in bytes.
+/// Size of the body of a recorded answer.
 const ANSWER_BYTES: usize = 64;
 
 /// Runs the experiment.
@@ -34,27 +34,27 @@
     let mut cost = Series::new("processor time of a key", "keys", "us");
     let mut snapshot = Series::new("snapshots of all shards", "keys", "MB");
     let all: Vec<_> = (0..SHARD_COUNT).map(ShardId).collect();
-    let mut book = Book::new(&all);
+    let mut model = KeyModel::new(&all);
     let before = resident_bytes();
-    let mut known = 0;
-    for size in SIZES {
+    let mut kept_keys = 0;
+    for size in KEY_COUNTS {
         let cpu = CpuClock::start();
-        for n in known..size {
-            book.remember(n, seed);
+        for n in kept_keys..size {
+            model.add_key(n, seed);
         }
-        cost.push(size as f64, cpu.micros_each(size - known));
-        known = size;
+        cost.push(size as f64, cpu.micros_each(size - kept_keys));
+        kept_keys = size;
         memory.push(size as f64, (resident_bytes() - before) / 1e6);
-        snapshot.push(size as f64, book.snapshot_bytes(&all) as f64 / 1e6);
+        snapshot.push(size as f64, model.snapshot_bytes(&all) as f64 / 1e6);
     }
-    report.fact("journal bytes of a key", book.journal_bytes as f64 / known as f64, "B");
-    report.fact("journal entries of a key", book.entries as f64 / known as f64, "");
+    report.fact("journal bytes of a key", model.journal_bytes as f64 / kept_keys as f64, "B");
+    report.fact("journal entries of a key", model.entries as f64 / kept_keys as f64, "");
     report.series.extend([memory, cost, snapshot]);
     report
 }
 
-struct Book {
-    book: KeyTable,
+struct KeyModel {
+    table: KeyTable,
     held: Held,
     now: Time,
     out: Vec<KeyTableEffect>,
@@ -62,10 +62,10 @@
     entries: usize,
 }
 
-impl Book {
+impl KeyModel {
     fn new(shards: &[ShardId]) -> Self {
-        let mut book = Book {
-            book: KeyTable::new(),
+        let mut model = KeyModel {
+            table: KeyTable::new(),
             held: Held::new(shards),
             now: Time::ZERO,
             out: Vec::new(),
@@ -73,25 +73,25 @@
             entries: 0,
         };
         for shard in shards {
-            book.step(KeyTableEvent::Owned { shard: *shard, epoch: Held::EPOCH });
+            model.step(KeyTableEvent::Owned { shard: *shard, epoch: Held::EPOCH });
         }
-        book
+        model
     }
 
-    /// Takes one step and acknowledges what it journals.
+    /// Performs a step and acknowledges its journal entries.
     fn step(&mut self, event: KeyTableEvent) {
-        self.book.step(self.now, event, &self.held, &mut self.out);
+        self.table.step(self.now, event, &self.held, &mut self.out);
         while let Some(effect) = self.out.pop() {
             if let KeyTableEffect::Journal { entry, ticket, .. } = effect {
                 self.entries += 1;
                 self.journal_bytes += postcard::to_stdvec(&entry).map_or(0, |b| b.len());
                 let event = KeyTableEvent::Journaled { ticket };
-                self.book.step(self.now, event, &self.held, &mut self.out);
+                self.table.step(self.now, event, &self.held, &mut self.out);
             }
         }
     }
 
-    fn remember(&mut self, n: usize, seed: u64) {
+    fn add_key(&mut self, n: usize, seed: u64) {
         self.now = self.now + Duration::from_millis(1);
         let text = format_compact!("01890a5d-ac96-774b-{seed:04x}-{n:012x}");
         let member = "mineria-andina".parse().expect("a name");
@@ -109,7 +109,7 @@
 
     fn snapshot_bytes(&self, shards: &[ShardId]) -> usize {
         let len = |shard: &ShardId| {
-            postcard::to_stdvec(&self.book.snapshot(self.now, *shard)).map_or(0, |b| b.len())
+            postcard::to_stdvec(&self.table.snapshot(self.now, *shard)).map_or(0, |b| b.len())
         };
         shards.iter().map(len).sum()
     }
--- a/crates/lab/src/experiments/mod.rs
+++ b/crates/lab/src/experiments/mod.rs
@@ -1,7 +1,7 @@
-//! The experiments, each over three sizes or more.
+//! The experiments, each over at least three sizes.
 //!
-//! An experiment builds a small model around a real reducer, drives it with a seeded generator in
-//! virtual time, and measures the reducer alone. A model knows only what its reducer's border says.
+//! An experiment drives a real reducer in virtual time with a small seeded model of its
+//! environment, and measures the reducer alone.
 
 mod books;
 mod control;
@@ -13,12 +13,12 @@
 
 use crate::report::Report;
 
-/// An experiment that can be asked for by name.
+/// A named experiment.
 #[derive(Clone, Copy, Debug)]
 pub struct Experiment {
     /// Its name on the command line.
     pub name: &'static str,
-    /// What it measures, in one line.
+    /// One-line description for the help text.
     pub about: &'static str,
     /// Runs it with a seed.
     pub run: fn(u64) -> Report,
@@ -63,7 +63,7 @@
     },
 ];
 
-/// The experiment of the name.
+/// Finds an experiment by its name.
 pub fn find(name: &str) -> Option<&'static Experiment> {
     ALL.iter().find(|experiment| experiment.name == name)
 }
--- a/crates/lab/src/experiments/tasks.rs
+++ b/crates/lab/src/experiments/tasks.rs
@@ -1,7 +1,7 @@
-//! What tasks cost the nodes that own them, as workers, running tasks and starts grow together.
+//! Cost of tasks for the nodes that own them, as workers, running tasks and starts grow together.
 //!
-//! At 1,300 workers the model holds the letter's target: 9,200 replicas of services and 8,000 batch
-//! tasks running, 250 starts a second, a tenth of them urgent.
+//! With 1,300 workers the model has the target size: 9,200 service replicas, 8,000 running batch
+//! tasks and 250 starts per second, a tenth of them urgent.
 
 use {
     crate::{
@@ -15,46 +15,46 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Nodes at the target size.
+/// Number of nodes at the target size.
 const NODES: usize = 17;
 
-/// Workers at the target size.
+/// Number of workers at the target size.
 const WORKERS: f64 = 1_300.0;
 
-/// Service replicas at the target size, over the classes that answer requests.
+/// Number of service replicas at the target size, over all latency classes.
 const REPLICAS: f64 = 9_200.0;
 
-/// Batch tasks running and starts a second at the target size.
-const BATCH: f64 = 8_000.0;
+/// Number of running batch tasks, and starts per second, at the target size.
+const RUNNING_BATCH_TASKS: f64 = 8_000.0;
 const STARTS_PER_S: f64 = 250.0;
 
-/// Classes, half of them services.
+/// Number of classes, half of them latency classes.
 const CLASSES: usize = 40;
 
-/// Tasks of a job.
+/// Number of tasks per job.
 const JOB_TASKS: u32 = 25;
 
-/// Requests open at once that make the job book want one replica, in thousandths.
-const OPEN_PER_REPLICA: f64 = 4_800.0;
+/// Open requests for which the job table requests one replica, in thousandths.
+const OPEN_PERMILLE_PER_REPLICA: f64 = 4_800.0;
 
-/// Model time to place the services, and to fill the workers with batch tasks.
-const SERVICES_UP: Duration = Duration::from_secs(60);
+/// Virtual time to place the services.
+const SERVICE_START_TIME: Duration = Duration::from_secs(60);
 
-/// Model time that is measured, idle and at the peak.
-const RUN: Duration = Duration::from_secs(60);
+/// Measured virtual time, idle and at the peak.
+const MEASURED_TIME: Duration = Duration::from_secs(60);
 
 /// Runs the experiment.
 pub fn run(seed: u64) -> Report {
     let mut report = Report::new("tasks", seed);
-    let mut found = Found::default();
+    let mut results = Results::default();
     for workers in [65, 325, 650, 1_300] {
-        measure(workers, seed, &mut report, &mut found);
+        measure(workers, seed, &mut report, &mut results);
     }
-    report.series.extend(found.series());
+    report.series.extend(results.series());
     report
 }
 
-struct Found {
+struct Results {
     idle_jobs: Series,
     idle_racks: Series,
     idle_peer: Series,
@@ -71,10 +71,10 @@
     started: Series,
 }
 
-impl Default for Found {
+impl Default for Results {
     fn default() -> Self {
         let series = |name, unit| Series::new(name, "workers", unit);
-        Found {
+        Results {
             idle_jobs: series("job book of a node, nothing starts", "permille of a core"),
             idle_racks: series("rack book of a node, nothing starts", "permille of a core"),
             idle_peer: series("peer messages of a node, nothing starts", "B/s"),
@@ -93,7 +93,7 @@
     }
 }
 
-impl Found {
+impl Results {
     fn series(self) -> [Series; 14] {
         [
             self.idle_jobs,
@@ -113,49 +113,49 @@
         ]
     }
 
-    fn idle(&mut self, workers: f64, t: &Totals) {
+    fn add_idle(&mut self, workers: f64, t: &Totals) {
         self.idle_jobs.push(workers, permille(t.jobs_time));
         self.idle_racks.push(workers, permille(t.racks_time));
-        self.idle_peer.push(workers, each(t.message_bytes));
-        self.idle_worker.push(workers, each(t.worker_bytes));
-        self.idle_report.push(workers, each(t.report_bytes));
+        self.idle_peer.push(workers, per_node_second(t.message_bytes));
+        self.idle_worker.push(workers, per_node_second(t.worker_bytes));
+        self.idle_report.push(workers, per_node_second(t.report_bytes));
     }
 
-    fn peak(&mut self, workers: f64, t: &Totals) {
+    fn add_peak(&mut self, workers: f64, t: &Totals) {
         self.peak_jobs.push(workers, permille(t.jobs_time));
         self.peak_racks.push(workers, permille(t.racks_time));
         self.peak_journal.push(workers, permille(t.journal_time));
-        self.peak_peer.push(workers, each(t.message_bytes));
-        self.peak_worker.push(workers, each(t.worker_bytes));
-        self.peak_appends.push(workers, t.appends as f64 / RUN.as_secs_f64());
+        self.peak_peer.push(workers, per_node_second(t.message_bytes));
+        self.peak_worker.push(workers, per_node_second(t.worker_bytes));
+        self.peak_appends.push(workers, t.appends as f64 / MEASURED_TIME.as_secs_f64());
         self.append_bytes.push(workers, t.append_bytes as f64 / t.starts.max(1) as f64);
-        self.started.push(workers, t.starts as f64 / RUN.as_secs_f64());
+        self.started.push(workers, t.starts as f64 / MEASURED_TIME.as_secs_f64());
     }
 }
 
-/// Time in thousandths of the measured span, for each node.
+/// Returns the time per node, in thousandths of the measured time.
 fn permille(time: Duration) -> f64 {
-    time.as_secs_f64() * 1e3 / RUN.as_secs_f64() / NODES as f64
+    time.as_secs_f64() * 1e3 / MEASURED_TIME.as_secs_f64() / NODES as f64
 }
 
-/// A count for each second and node.
-fn each(count: u64) -> f64 {
-    count as f64 / RUN.as_secs_f64() / NODES as f64
+/// Returns the count per second and node.
+fn per_node_second(count: u64) -> f64 {
+    count as f64 / MEASURED_TIME.as_secs_f64() / NODES as f64
 }
 
-fn measure(workers: usize, seed: u64, report: &mut Report, found: &mut Found) {
+fn measure(workers: usize, seed: u64, report: &mut Report, results: &mut Results) {
     let scale = workers as f64 / WORKERS;
     let mut load = Load { world: world(workers, seed), jobs: 0 };
-    load.services(REPLICAS * scale);
-    // Tasks that outlast the idle span: the workers hold them while nothing starts.
-    load.fill((BATCH * scale) as u32);
+    load.start_services(REPLICAS * scale);
+    // These tasks run longer than the idle measurement.
+    load.start_batch_tasks((RUNNING_BATCH_TASKS * scale) as u32);
     load.world.reset();
-    load.run(RUN, REPLICAS * scale, 0.0);
-    found.idle(workers as f64, &load.world.totals());
-    found.running.push(workers as f64, load.world.running() as f64);
+    load.run(MEASURED_TIME, REPLICAS * scale, 0.0);
+    results.add_idle(workers as f64, &load.world.totals());
+    results.running.push(workers as f64, load.world.running() as f64);
     load.world.reset();
-    load.run(RUN, REPLICAS * scale, STARTS_PER_S * scale);
-    found.peak(workers as f64, &load.world.totals());
+    load.run(MEASURED_TIME, REPLICAS * scale, STARTS_PER_S * scale);
+    results.add_peak(workers as f64, &load.world.totals());
     let urgent = class_name(URGENT);
     let delays = load.world.delays(Some(&urgent));
     report.spreads.push(delays.spread("urgent: submission to start, model time", workers as f64));
@@ -174,7 +174,7 @@
     world
 }
 
-/// An urgent batch class, and one that isn't.
+/// Indexes of an urgent batch class and one that is not urgent.
 const URGENT: usize = 11;
 const ORDINARY: usize = 13;
 
@@ -184,10 +184,10 @@
 }
 
 impl Load {
-    /// Tells the owners such loads that they want so many replicas in all.
-    fn tell_loads(&mut self, replicas: f64) {
+    /// Reports loads for which the owners request `replicas` replicas in total.
+    fn report_loads(&mut self, replicas: f64) {
         let classes = CLASSES / 2;
-        let open = (replicas / classes as f64 * OPEN_PER_REPLICA) as u32;
+        let open = (replicas / classes as f64 * OPEN_PERMILLE_PER_REPLICA) as u32;
         let load = ClassLoad {
             period: Duration::from_secs(5),
             arrived: 1_000,
@@ -196,41 +196,41 @@
             ..ClassLoad::default()
         };
         for class in (0..CLASSES).step_by(2) {
-            self.world.load(&class_name(class), load);
+            self.world.report_load(&class_name(class), load);
         }
     }
 
-    fn services(&mut self, replicas: f64) {
-        for _ in 0..SERVICES_UP.as_secs() / 5 {
-            self.tell_loads(replicas);
+    fn start_services(&mut self, replicas: f64) {
+        for _ in 0..SERVICE_START_TIME.as_secs() / 5 {
+            self.report_loads(replicas);
             self.world.run(Duration::from_secs(5));
         }
     }
 
-    /// Starts tasks that run for a long time, over a minute.
-    fn fill(&mut self, tasks: u32) {
-        let mut left = tasks;
-        while left > 0 {
-            let count = left.min(JOB_TASKS);
+    /// Submits tasks with a run time of two hours.
+    fn start_batch_tasks(&mut self, tasks: u32) {
+        let mut remaining = tasks;
+        while remaining > 0 {
+            let count = remaining.min(JOB_TASKS);
             self.submit(ORDINARY, count, "run=7200s use=800m mem=1500MB");
-            left -= count;
+            remaining -= count;
             self.world.run(Duration::from_millis(150));
         }
         self.world.run(Duration::from_secs(20));
     }
 
-    /// Goes on for `span` with so many starts a second, of which a tenth are urgent.
+    /// Advances the time by `span` with `starts_per_s` starts per second, a tenth of them urgent.
     fn run(&mut self, span: Duration, replicas: f64, starts_per_s: f64) {
         let step = Duration::from_millis(100);
         let jobs_per_step = starts_per_s * step.as_secs_f64() / f64::from(JOB_TASKS);
-        let mut owed = 0.0;
+        let mut due_jobs = 0.0;
         for n in 0..span.as_millis() / step.as_millis() {
             if n % 50 == 0 {
-                self.tell_loads(replicas);
+                self.report_loads(replicas);
             }
-            owed += jobs_per_step;
-            while owed >= 1.0 {
-                owed -= 1.0;
+            due_jobs += jobs_per_step;
+            while due_jobs >= 1.0 {
+                due_jobs -= 1.0;
                 let class = if self.jobs.is_multiple_of(10) { URGENT } else { ORDINARY };
                 self.submit(class, JOB_TASKS, "run=10s use=800m mem=1500MB");
             }
--- a/crates/lab/src/experiments/wire.rs
+++ b/crates/lab/src/experiments/wire.rs
@@ -1,6 +1,6 @@
-//! Bytes that calls put on the wire, as a relay on the loopback counts them.
+//! Bytes of calls on the wire, counted by a relay on the loopback interface.
 //!
-//! The headers of HTTP and of the peers' codec are counted, those of TCP and IP are not.
+//! Includes the headers of HTTP and of the peer codec, but not those of TCP and IP.
 
 use {
     crate::{
@@ -31,16 +31,16 @@
     tokio::runtime::Builder,
 };
 
-/// Messages sent for each size of a body.
+/// Number of messages per body size.
 const MESSAGES: u64 = 200;
 
-/// Readings of the VM list for each size.
+/// Number of reads of the VM list per size.
 const VM_READS: u64 = 20;
 
-/// How long the last answers may take to pass the relay.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum time for a message to pass the relay.
+const RELAY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Passes bytes on and counts them.
+/// Forwards bytes and counts them.
 struct Relay {
     addr: SocketAddr,
     bytes: Arc<AtomicU64>,
@@ -54,8 +54,8 @@
         let count = Arc::clone(&bytes);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                // A connection that can't be passed on is closed, and its caller sees an error.
-                let _ = pass(stream, to, &count);
+                // If forwarding fails, the connection is closed and its caller gets an error.
+                let _ = forward(stream, to, &count);
             }
         });
         Ok(Relay { addr, bytes })
@@ -66,7 +66,7 @@
     }
 }
 
-fn pass(caller: TcpStream, to: SocketAddr, count: &Arc<AtomicU64>) -> io::Result<()> {
+fn forward(caller: TcpStream, to: SocketAddr, count: &Arc<AtomicU64>) -> io::Result<()> {
     let server = TcpStream::connect(to)?;
     for (from, into) in [(caller.try_clone()?, server.try_clone()?), (server, caller)] {
         let count = Arc::clone(count);
@@ -83,7 +83,7 @@
             break;
         }
     }
-    // The other side learns of the end; an error means that it has gone already.
+    // An error means that the other side has already closed the connection.
     let _ = into.shutdown(std::net::Shutdown::Write);
 }
 
@@ -124,10 +124,10 @@
     let rt = Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
     let arrived = Arc::new(AtomicU64::new(0));
     let count = Arc::clone(&arrived);
-    let take = move |_| {
+    let count_message = move |_| {
         count.fetch_add(1, Ordering::Relaxed);
     };
-    let addr = listen(rt.handle(), Ipv4Addr::LOCALHOST.into(), 0, take)?;
+    let addr = listen(rt.handle(), Ipv4Addr::LOCALHOST.into(), 0, count_message)?;
     let relay = Relay::start(addr)?;
     let sender = PeerSender::new(rt.handle().clone(), node_id(0));
     let mut bytes = Series::new("bytes of a peer message and its answer", "bytes of the body", "B");
@@ -136,7 +136,8 @@
         for sent in 1..=MESSAGES {
             sender.send(relay.addr, vec![0; size], None);
             let start = Instant::now();
-            while arrived.load(Ordering::Relaxed) < first + sent && start.elapsed() < PATIENCE {
+            while arrived.load(Ordering::Relaxed) < first + sent && start.elapsed() < RELAY_TIMEOUT
+            {
                 thread::yield_now();
             }
         }
@@ -148,8 +149,8 @@
 }
 
 fn vm_lists(report: &mut Report) -> io::Result<()> {
-    let mut whole = Series::new("bytes of reading the VM list first", "workers", "B");
-    let mut again = Series::new("bytes of reading it again unchanged", "workers", "B");
+    let mut first_reads = Series::new("bytes of reading the VM list first", "workers", "B");
+    let mut unchanged_reads = Series::new("bytes of reading it again unchanged", "workers", "B");
     for workers in [65, 325, 1_300] {
         let vms = start_vms(vm_list(workers), 0)?;
         let relay = Relay::start(vms.addr())?;
@@ -159,7 +160,7 @@
             timer.time(|| VmListClient::new(relay.addr).read()).map_err(io::Error::other)?;
         }
         let read = relay.count();
-        whole.push(workers as f64, (read - before) as f64 / VM_READS as f64);
+        first_reads.push(workers as f64, (read - before) as f64 / VM_READS as f64);
         report.spreads.push(timer.spread("reading the VM list first", workers as f64));
         let client = VmListClient::new(relay.addr);
         client.read().map_err(io::Error::other)?;
@@ -167,10 +168,10 @@
         for _ in 0..VM_READS {
             timer.time(|| client.read()).map_err(io::Error::other)?;
         }
-        again.push(workers as f64, (relay.count() - before) as f64 / VM_READS as f64);
+        unchanged_reads.push(workers as f64, (relay.count() - before) as f64 / VM_READS as f64);
         report.spreads.push(timer.spread("reading it again unchanged", workers as f64));
     }
-    report.series.push(whole);
-    report.series.push(again);
+    report.series.push(first_reads);
+    report.series.push(unchanged_reads);
     Ok(())
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,8 +1,7 @@
-//! Measures what egretlb's reducers cost as what they serve grows: processor time, memory, messages.
+//! Measures how the CPU time, memory and messages of egretlb's reducers grow with their load.
 //!
-//! The slopes that it finds are what the capacity page is worked out from. It drives the real
-//! reducers with fixed seeds in virtual time, without sockets: what the network and the kernel add
-//! isn't in its figures.
+//! The capacity page is derived from the slopes. The experiments drive the real reducers with fixed
+//! seeds in virtual time and without sockets, so the figures exclude the network and the kernel.
 
 pub mod experiments;
 pub mod measure;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The command: `egretlb-lab <experiment>... [--seed N] [--json] [--svg DIR]`.
+//! The program `egretlb-lab <experiment>... [--seed N] [--json] [--svg DIR]`.
 
 use {
     egretlb_lab::{experiments, report},
@@ -6,11 +6,11 @@
     std::{path::PathBuf, process::ExitCode},
 };
 
-/// The seed if none is given.
-const SEED: u64 = 1;
+/// The default seed.
+const DEFAULT_SEED: u64 = 1;
 
-/// What the command is asked to do.
-struct Asked {
+/// Parsed arguments.
+struct Args {
     seed: u64,
     json: bool,
     svg: Option<PathBuf>,
@@ -23,7 +23,7 @@
         print!("{}", help());
         return ExitCode::SUCCESS;
     }
-    match parse(args).and_then(|asked| run(&asked)) {
+    match parse(args).and_then(|args| run(&args)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("{message}");
@@ -44,8 +44,9 @@
     text
 }
 
-fn parse(mut args: Arguments) -> Result<Asked, String> {
-    let seed = args.opt_value_from_str("--seed").map_err(|e| e.to_string())?.unwrap_or(SEED);
+fn parse(mut args: Arguments) -> Result<Args, String> {
+    let seed =
+        args.opt_value_from_str("--seed").map_err(|e| e.to_string())?.unwrap_or(DEFAULT_SEED);
     let json = args.contains("--json");
     let svg = args.opt_value_from_str("--svg").map_err(|e| e.to_string())?;
     let names: Vec<_> =
@@ -57,11 +58,11 @@
         true => experiments::ALL.iter().map(|experiment| experiment.name.to_owned()).collect(),
         false => names,
     };
-    Ok(Asked { seed, json, svg, names })
+    Ok(Args { seed, json, svg, names })
 }
 
-fn run(asked: &Asked) -> Result<(), String> {
-    let found: Result<Vec<_>, _> = asked
+fn run(args: &Args) -> Result<(), String> {
+    let experiments_to_run: Result<Vec<_>, _> = args
         .names
         .iter()
         .map(|name| {
@@ -69,13 +70,13 @@
                 .ok_or(format!("no experiment {name:?}; see --help for the list"))
         })
         .collect();
-    for experiment in found? {
-        let report = (experiment.run)(asked.seed);
-        match asked.json {
+    for experiment in experiments_to_run? {
+        let report = (experiment.run)(args.seed);
+        match args.json {
             true => println!("{}", report.to_json()),
             false => println!("{report}"),
         }
-        if let Some(dir) = &asked.svg {
+        if let Some(dir) = &args.svg {
             report::draw(&report, dir).map_err(|e| e.to_string())?;
         }
     }
--- a/crates/lab/src/measure/line.rs
+++ b/crates/lab/src/measure/line.rs
@@ -1,13 +1,13 @@
-//! Points and the least-squares line through them.
+//! Measured points and their least-squares line.
 
 use serde::Serialize;
 
 /// One measured value at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
-    /// How much there was, in the series' unit of size.
+    /// The size, in the series' unit of size.
     pub size: f64,
-    /// What was measured.
+    /// The measured value.
     pub value: f64,
 }
 
@@ -16,27 +16,27 @@
 pub struct Line {
     /// The value at size 0.
     pub start: f64,
-    /// The growth of the value for each unit of size.
+    /// The growth of the value per unit of size.
     pub slope: f64,
-    /// How much of the variation the line explains: 1 is all of it.
+    /// Coefficient of determination, from 0 to 1.
     pub r2: f64,
 }
 
 /// Values measured over growing sizes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Series {
-    /// What was measured.
+    /// What is measured.
     pub name: &'static str,
-    /// What grows, with its unit.
+    /// The unit of the sizes.
     pub size: &'static str,
     /// The unit of the values.
     pub unit: &'static str,
-    /// The points, by growing size.
+    /// The points, ordered by size.
     pub points: Vec<Point>,
 }
 
 impl Series {
-    /// A series without points.
+    /// Creates a series without points.
     pub fn new(name: &'static str, size: &'static str, unit: &'static str) -> Self {
         Series { name, size, unit, points: Vec::new() }
     }
@@ -46,7 +46,7 @@
         self.points.push(Point { size, value });
     }
 
-    /// The least-squares line, or `None` with fewer than two sizes.
+    /// Returns the least-squares line; `None` with fewer than two sizes.
     pub fn line(&self) -> Option<Line> {
         let n = self.points.len() as f64;
         let mean_size = self.points.iter().map(|p| p.size).sum::<f64>() / n;
--- a/crates/lab/src/measure/mod.rs
+++ b/crates/lab/src/measure/mod.rs
@@ -1,9 +1,8 @@
-//! Processor time, memory and the straight line through measured points.
+//! CPU time, memory and the line fitted to measured points.
 //!
-//! Processor time is what the kernel charged to this thread, so other programs on the machine add
-//! little to it; memory is the growth of the process's resident pages. Both come from `/proc`, which
-//! needs no unsafe code; the price is that a measurement must be long (tens of milliseconds) or
-//! large (megabytes) to be exact.
+//! CPU time is that of the calling thread; memory is the growth of the process's resident pages.
+//! Both come from `/proc`, so a measurement must be long (tens of milliseconds) or large
+//! (megabytes) to be accurate.
 
 mod line;
 mod process;
--- a/crates/lab/src/measure/process.rs
+++ b/crates/lab/src/measure/process.rs
@@ -1,8 +1,8 @@
-//! What the kernel says of this process.
+//! CPU time and memory of this process, read from `/proc`.
 
 use std::{fs, time::Duration};
 
-/// Measures the processor time of the calling thread.
+/// Measures the CPU time of the calling thread.
 #[derive(Clone, Copy, Debug)]
 pub struct CpuClock {
     start: Duration,
@@ -14,26 +14,26 @@
         CpuClock { start: thread_time() }
     }
 
-    /// The processor time since the start.
+    /// Returns the CPU time since the start.
     pub fn elapsed(&self) -> Duration {
         thread_time().saturating_sub(self.start)
     }
 
-    /// The processor time since the start for each of `count` operations, in microseconds.
+    /// Returns the CPU time since the start per operation of `count`, in microseconds.
     pub fn micros_each(&self, count: usize) -> f64 {
         self.elapsed().as_secs_f64() * 1e6 / count.max(1) as f64
     }
 }
 
-/// The first number of the scheduler's statistics: nanoseconds on a processor. Zero on a kernel
-/// without them, which shows as costs of zero in the report.
+/// Returns the thread's CPU time from the kernel's scheduler statistics; zero if the kernel has
+/// none.
 fn thread_time() -> Duration {
     let text = fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text.split_whitespace().next().and_then(|word| word.parse().ok());
     Duration::from_nanos(nanos.unwrap_or(0))
 }
 
-/// The memory that this process has resident, in bytes; zero where the kernel doesn't tell.
+/// Returns the resident memory of this process in bytes; zero if unknown.
 pub fn resident_bytes() -> f64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/lab/src/measure/spread.rs
+++ b/crates/lab/src/measure/spread.rs
@@ -1,4 +1,4 @@
-//! Distributions.
+//! Distributions of measured times.
 
 use {
     hdrhistogram::Histogram,
@@ -6,34 +6,34 @@
     std::time::{Duration, Instant},
 };
 
-/// How exact a distribution is kept: significant decimal digits.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of recorded times.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// The longest time told apart; longer ones count as this.
-const LONGEST: Duration = Duration::from_secs(3_600);
+/// Maximum recorded time; longer ones are recorded as this.
+const MAX_DURATION: Duration = Duration::from_secs(3_600);
 
-/// A distribution in brief.
+/// Summary of a distribution.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Spread {
-    /// What was measured.
+    /// What is measured.
     pub name: &'static str,
-    /// The size at which it was measured.
+    /// The size of the measured system.
     pub size: f64,
     /// The unit of the values.
     pub unit: &'static str,
-    /// How many values.
+    /// Number of values.
     pub count: u64,
-    /// The value that half of them don't pass.
+    /// The median.
     pub p50: f64,
-    /// The value that 99 of 100 don't pass.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The value that 999 of 1000 don't pass.
+    /// The 99.9th percentile.
     pub p999: f64,
-    /// The largest.
+    /// The maximum.
     pub max: f64,
 }
 
-/// Collects the times of single operations by the wall clock, or of model time.
+/// Collects durations of single operations, in wall clock or virtual time.
 #[derive(Debug)]
 pub struct OpTimer {
     nanos: Histogram<u64>,
@@ -46,10 +46,11 @@
 }
 
 impl OpTimer {
-    /// An empty collection.
+    /// Creates an empty collection.
     pub fn new() -> Self {
-        let nanos = Histogram::new_with_bounds(1, LONGEST.as_nanos() as u64, DIGITS)
-            .expect("the bounds and the digits are in range");
+        let nanos =
+            Histogram::new_with_bounds(1, MAX_DURATION.as_nanos() as u64, SIGNIFICANT_DIGITS)
+                .expect("the bounds and the digits are in range");
         OpTimer { nanos }
     }
 
@@ -61,12 +62,12 @@
         result
     }
 
-    /// Adds a time measured elsewhere.
+    /// Adds a duration.
     pub fn add(&mut self, time: Duration) {
         self.nanos.saturating_record(time.as_nanos() as u64);
     }
 
-    /// The distribution in microseconds.
+    /// Returns the distribution in microseconds.
     pub fn spread(&self, name: &'static str, size: f64) -> Spread {
         let at = |quantile| self.nanos.value_at_quantile(quantile) as f64 / 1e3;
         Spread {
--- a/crates/lab/src/models/classes.rs
+++ b/crates/lab/src/models/classes.rs
@@ -1,4 +1,4 @@
-//! Configurations of any size.
+//! Class configurations of any size.
 
 use {
     egretlb_types::{
@@ -20,8 +20,8 @@
     format!("member-{}", n % 2).parse().expect("a name")
 }
 
-/// The name of the class of that number: even ones answer requests, odd ones are batch, and of
-/// these every fifth is urgent.
+/// Returns the name of class `n`. Even classes are latency classes, odd ones are batch classes, of
+/// which every fifth is urgent.
 pub fn class_name(n: usize) -> ClassName {
     format!("class-{n:03}").parse().expect("a name")
 }
@@ -46,7 +46,7 @@
     ClassSpec { name: class_name(n), member: member(n % teams), team: team(n % teams), kind }
 }
 
-/// A configuration of so many classes, half of each kind, over so many teams.
+/// Creates a configuration with `classes` classes, half of each kind, and `teams` teams.
 pub fn document(classes: usize, teams: usize) -> ConfigDocument {
     let quota = size(2_000_000, 9_000_000);
     ConfigDocument {
--- a/crates/lab/src/models/cluster.rs
+++ b/crates/lab/src/models/cluster.rs
@@ -1,7 +1,7 @@
 //! Processes that follow one control stream, in virtual time.
 //!
-//! The log answers after 5 ms, a heartbeat arrives after 1 ms, a shard's recovery takes 50 ms. No
-//! message is lost.
+//! The log answers after 5 ms, a heartbeat arrives after 1 ms, and the recovery of a shard takes
+//! 50 ms. Messages aren't lost.
 
 use {
     crate::models::timeline::Timeline,
@@ -23,9 +23,9 @@
 const TICK: Duration = Duration::from_millis(100);
 const LOG_DELAY: Duration = Duration::from_millis(5);
 const PEER_DELAY: Duration = Duration::from_millis(1);
-const RECOVERY: Duration = Duration::from_millis(50);
+const RECOVERY_TIME: Duration = Duration::from_millis(50);
 
-/// What one or all processes sent and received, without the headers of any protocol.
+/// Traffic of the processes, without protocol headers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Reads of the control stream.
@@ -34,13 +34,13 @@
     pub read_bytes: u64,
     /// Appends to the control stream.
     pub appends: u64,
-    /// Their bytes.
+    /// Bytes appended.
     pub append_bytes: u64,
     /// Heartbeats sent.
     pub heartbeats: u64,
-    /// Their bytes.
+    /// Bytes of heartbeats sent.
     pub heartbeat_bytes: u64,
-    /// The largest heartbeat.
+    /// Bytes of the largest heartbeat.
     pub heartbeat_max: u64,
 }
 
@@ -50,11 +50,11 @@
     nodes: Vec<Option<Control>>,
     index: BTreeMap<NodeId, usize>,
     stream: Vec<Record>,
-    due: Timeline<(usize, ControlEvent)>,
+    timeline: Timeline<(usize, ControlEvent)>,
     traffic: Traffic,
-    in_force: Vec<ConfigVersion>,
+    versions_in_force: Vec<ConfigVersion>,
     cpu: Duration,
-    reset_at: usize,
+    counted_from: usize,
     out: Vec<ControlEffect>,
 }
 
@@ -64,18 +64,18 @@
 }
 
 impl Cluster {
-    /// So many schedulers and as many entries, started together.
+    /// Starts `schedulers` schedulers and as many entries.
     pub fn new(schedulers: usize, seed: u64) -> Self {
         let mut cluster = Cluster {
             now: Time::ZERO,
             nodes: Vec::new(),
             index: BTreeMap::new(),
             stream: Vec::new(),
-            due: Timeline::new(),
+            timeline: Timeline::new(),
             traffic: Traffic::default(),
-            in_force: vec![ConfigVersion::NONE; 2 * schedulers],
+            versions_in_force: vec![ConfigVersion::NONE; 2 * schedulers],
             cpu: Duration::ZERO,
-            reset_at: 0,
+            counted_from: 0,
             out: Vec::new(),
         };
         for n in 0..2 * schedulers {
@@ -84,24 +84,24 @@
             cluster.index.insert(info.node, n);
             let options = ControlOptions::new(info, seed.wrapping_add(n as u64));
             cluster.nodes.push(Some(Control::new(options, validator())));
-            // Started within one tick, as processes on different VMs are.
+            // Spread over one tick, like processes on different VMs.
             let offset = TICK.mul_f64(n as f64 / (2 * schedulers) as f64);
             cluster.push(Time::ZERO + offset, n, ControlEvent::Tick);
         }
         cluster
     }
 
-    /// Goes on for `span`.
+    /// Advances the time by `span`.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
-        while let Some((at, (node, event))) = self.due.pop_before(until) {
+        while let Some((at, (node, event))) = self.timeline.pop_before(until) {
             self.now = at;
             self.step(node, event);
         }
         self.now = until;
     }
 
-    /// Goes on until `done`, up to `limit`, and tells how long that took.
+    /// Advances until `done` or `limit`; returns the elapsed time.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Cluster) -> bool) -> Duration {
         let start = self.now;
         while !done(self) && self.now.since(start) < limit {
@@ -110,82 +110,83 @@
         self.now.since(start)
     }
 
-    /// Whether every shard has an owner other than `gone`, as the last process has read.
+    /// Returns whether the last process sees an owner other than `gone` for every shard.
     pub fn all_owned_without(&self, gone: Option<usize>) -> bool {
         let Some(reader) = self.nodes.iter().flatten().last() else { return false };
-        let kept = |shard| {
+        let owned_by_other = |shard| {
             let owner = reader.owner_of(ShardId(shard)).and_then(|info| self.index.get(&info.node));
             owner.is_some() && owner != gone.as_ref()
         };
-        (0..SHARD_COUNT).all(kept)
+        (0..SHARD_COUNT).all(owned_by_other)
     }
 
-    /// The records in the control stream since the last reset, by kind.
+    /// Counts the control records since the last reset by kind.
     pub fn records_by_kind(&self) -> BTreeMap<&'static str, usize> {
         let mut kinds = BTreeMap::new();
-        for record in &self.stream[self.reset_at..] {
+        for record in &self.stream[self.counted_from..] {
             let kind = ControlRecord::decode(&record.bytes).map_or("unreadable", |r| kind(&r));
             *kinds.entry(kind).or_default() += 1;
         }
         kinds
     }
 
-    /// The lowest version in force in any living process.
+    /// Returns the lowest configuration version in force in any living process.
     pub fn lowest_version(&self) -> ConfigVersion {
-        let living = self.nodes.iter().zip(&self.in_force).filter(|(node, _)| node.is_some());
+        let living =
+            self.nodes.iter().zip(&self.versions_in_force).filter(|(node, _)| node.is_some());
         living.map(|(_, version)| *version).min().unwrap_or_default()
     }
 
-    /// Ends a process without a word.
+    /// Kills a process.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node] = None;
     }
 
-    /// Asks a process to end.
+    /// Requests a graceful shutdown of a process.
     pub fn shut_down(&mut self, node: usize) {
         self.step(node, ControlEvent::Shutdown);
     }
 
-    /// Proposes a document at a process, on the version in force there.
+    /// Proposes a document at a process, based on the process's version.
     pub fn propose(&mut self, node: usize, id: u64, document: String) {
-        let base = self.in_force[node];
+        let base = self.versions_in_force[node];
         let by = CompactString::const_new("operator");
         let event = ControlEvent::Propose { id: ProposalId(id), base, by, document };
         self.step(node, event);
     }
 
-    /// Forgets what was counted.
+    /// Resets all counts.
     pub fn reset(&mut self) {
         self.traffic = Traffic::default();
         self.cpu = Duration::ZERO;
-        self.reset_at = self.stream.len();
+        self.counted_from = self.stream.len();
     }
 
-    /// What all processes sent since the last reset.
+    /// Returns the traffic of all processes since the last reset.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// The time that all reducers' steps took since the last reset.
+    /// Returns the duration of all reducer steps since the last reset.
     pub fn cpu(&self) -> Duration {
         self.cpu
     }
 
-    /// The size of the control stream's fold, encoded.
+    /// Returns the encoded size of the state folded from the control stream.
     pub fn state_bytes(&self) -> usize {
         let state = self.nodes.iter().flatten().next().and_then(Control::state);
         state.map_or(0, |state| state.encode().len())
     }
 
     fn push(&mut self, at: Time, node: usize, event: ControlEvent) {
-        self.due.push(at, (node, event));
+        self.timeline.push(at, (node, event));
     }
 
     fn step(&mut self, node: usize, event: ControlEvent) {
         let Some(control) = &mut self.nodes[node] else { return };
         let tick = matches!(event, ControlEvent::Tick);
         let mut out = std::mem::take(&mut self.out);
-        // A step takes microseconds, too short for the kernel's account of processor time.
+        // A step takes microseconds, too short for the kernel's CPU accounting.
         let start = Instant::now();
         control.step(self.now, event, &mut out);
         self.cpu += start.elapsed();
@@ -215,7 +216,7 @@
             }
             ControlEffect::Recover { shard, epoch, .. } => {
                 let event = ControlEvent::RecoveryDone { shard, epoch };
-                self.push(self.now + RECOVERY, node, event);
+                self.push(self.now + RECOVERY_TIME, node, event);
             }
             ControlEffect::Heartbeat { to, heartbeat } => {
                 let len = heartbeat.encoded_len() as u64;
@@ -227,7 +228,7 @@
                     self.push(self.now + PEER_DELAY, peer, event);
                 }
             }
-            ControlEffect::ConfigInForce { version, .. } => self.in_force[node] = version,
+            ControlEffect::ConfigInForce { version, .. } => self.versions_in_force[node] = version,
             _ => {}
         }
     }
@@ -241,7 +242,7 @@
 }
 
 fn info(n: usize, role: Role, seed: u64) -> NodeInfo {
-    // Spread over the whole range, as ids drawn at random are.
+    // Spread over the whole range, like random ids.
     let node = NodeId((n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ seed);
     let data_centre: DataCentre = format_compact!("dc{}", n % 5).parse().expect("a name");
     NodeInfo {
--- a/crates/lab/src/models/mod.rs
+++ b/crates/lab/src/models/mod.rs
@@ -1,4 +1,4 @@
-//! Small models of what the reducers meet.
+//! Small models of the reducers' environment.
 
 mod classes;
 mod cluster;
--- a/crates/lab/src/models/place.rs
+++ b/crates/lab/src/models/place.rs
@@ -1,4 +1,4 @@
-//! Workers in racks and data centres, and the nodes that own them.
+//! Workers in racks and data centres, and the nodes that own their shards.
 
 use {
     compact_str::format_compact,
@@ -8,17 +8,17 @@
     },
 };
 
-/// Workers in a rack, as in Bogota.
-const PER_RACK: usize = 8;
+/// Workers per rack.
+const WORKERS_PER_RACK: usize = 8;
 
-/// Data centres.
+/// Number of data centres.
 const DATA_CENTRES: usize = 5;
 
-/// Accelerators over the workers, in thousandths of one for each: 1,700 over 1,300.
+/// Accelerators per worker, in thousandths: 1,700 accelerators for 1,300 workers.
 const ACCELERATORS_PERMILLE: usize = 1_308;
 
-/// A worker's size: that of one in Bogota, every third with four accelerators.
-pub fn worker_size(n: usize) -> Resources {
+/// Returns the resources of worker `n`; every third has accelerators.
+pub fn worker_resources(n: usize) -> Resources {
     let accelerators =
         if n.is_multiple_of(3) { 3 * ACCELERATORS_PERMILLE / 1_000 + n % 2 } else { 0 };
     Resources {
@@ -28,55 +28,57 @@
     }
 }
 
-/// The worker's id.
+/// Returns the worker's id.
 pub fn worker_id(n: usize) -> VmId {
     format_compact!("vm-{n:05}").parse().expect("a name")
 }
 
-/// The worker's rack.
+/// Returns the worker's rack.
 pub fn rack_of(n: usize) -> Rack {
-    format_compact!("rack-{:04}", n / PER_RACK).parse().expect("a name")
+    format_compact!("rack-{:04}", n / WORKERS_PER_RACK).parse().expect("a name")
 }
 
-/// The platform's list of so many workers.
+/// Creates the platform's VM list of `workers` workers.
 pub fn vm_list(workers: usize) -> Vec<VmRecord> {
     let record = |n: usize| VmRecord {
         vm: worker_id(n),
         addr: format_compact!("10.1.{}.{}:9000", n / 250, n % 250),
-        data_centre: format_compact!("dc{}", n / PER_RACK % DATA_CENTRES).parse().expect("a name"),
+        data_centre: format_compact!("dc{}", n / WORKERS_PER_RACK % DATA_CENTRES)
+            .parse()
+            .expect("a name"),
         rack: rack_of(n),
         state: VmState::Live,
-        capacity: worker_size(n),
+        capacity: worker_resources(n),
         slots: 8,
         connections: 64,
     };
     (0..workers).map(record).collect()
 }
 
-/// The id of the node of that number, spread over the whole range as ids drawn at random are.
+/// Returns the id of node `n`; ids are spread over the whole range like random ones.
 pub fn node_id(n: usize) -> NodeId {
     NodeId((n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// The number of the node that a shard prefers, among so many.
+/// Returns the index of the preferred owner of a shard among `nodes` nodes.
 pub fn owner(shard: ShardId, nodes: usize) -> usize {
     (0..nodes).max_by_key(|n| rendezvous_score(shard, node_id(*n))).unwrap_or(0)
 }
 
-/// The shards of a node among so many.
+/// Returns the shards of a node among `nodes` nodes.
 pub fn shards_of(node: usize, nodes: usize) -> Vec<ShardId> {
     (0..SHARD_COUNT).map(ShardId).filter(|shard| owner(*shard, nodes) == node).collect()
 }
 
-/// Authority over some shards that never lapses.
+/// Authority over a set of shards that never expires.
 #[derive(Clone, Debug)]
 pub struct Held(Vec<bool>);
 
 impl Held {
-    /// The epoch of every held shard.
+    /// The epoch of each shard in the set.
     pub const EPOCH: Epoch = Epoch(1);
 
-    /// Authority over these shards.
+    /// Creates an authority over these shards.
     pub fn new(shards: &[ShardId]) -> Self {
         let mut held = vec![false; usize::from(SHARD_COUNT)];
         for shard in shards {
--- a/crates/lab/src/models/requests.rs
+++ b/crates/lab/src/models/requests.rs
@@ -1,7 +1,7 @@
 //! Entries, a grantor of shares and backend servers, in virtual time.
 //!
 //! A message between nodes arrives after 1 ms, a backend server answers after 20 ms on average
-//! (exponential). One grantor owns all racks. No message is lost.
+//! (exponential). One grantor owns all racks. Messages aren't lost.
 
 use {
     crate::models::{
@@ -32,18 +32,18 @@
 const PEER_DELAY: Duration = Duration::from_millis(1);
 const SERVICE_MEAN_S: f64 = 0.020;
 
-/// The node that grants.
+/// Index of the grantor node.
 const GRANTOR: usize = 1_000;
 
-/// Classes that each backend server serves.
+/// Number of classes per backend server.
 const CLASSES_PER_SERVER: usize = 7;
 
-/// What happened since the last reset.
+/// Counts since the last reset.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Time in the entries' steps.
+    /// Duration of the entries' steps.
     pub entry_time: Duration,
-    /// Time in the grantor's steps.
+    /// Duration of the grantor's steps.
     pub grantor_time: Duration,
     /// Requests that arrived.
     pub arrived: u64,
@@ -51,13 +51,13 @@
     pub answered: u64,
     /// Requests refused or failed.
     pub refused: u64,
-    /// Asks for shares.
-    pub asks: u64,
-    /// Their bytes in `postcard`.
-    pub ask_bytes: u64,
+    /// Share requests.
+    pub share_requests: u64,
+    /// Bytes of the share requests.
+    pub share_request_bytes: u64,
     /// Bytes of the grants.
     pub grant_bytes: u64,
-    /// Bytes of the loads reported to the owners of classes.
+    /// Bytes of the load reports.
     pub load_bytes: u64,
 }
 
@@ -68,7 +68,7 @@
     Grantor(ShareTableEvent),
 }
 
-/// The entries and their surroundings.
+/// Entries, their grantor and backend servers.
 pub struct Requests {
     now: Time,
     rng: SmallRng,
@@ -76,8 +76,8 @@
     index: BTreeMap<NodeId, usize>,
     grantor: ShareTable,
     held: Held,
-    due: Timeline<(usize, Event)>,
-    gaps: Option<Exp<f64>>,
+    timeline: Timeline<(usize, Event)>,
+    arrival_gaps: Option<Exp<f64>>,
     service: Exp<f64>,
     class: ClassName,
     next_request: u64,
@@ -85,7 +85,7 @@
 }
 
 impl Requests {
-    /// So many entries and backend servers; no request arrives yet.
+    /// Creates entries and backend servers without arriving requests.
     pub fn new(entries: usize, servers: usize, document: Arc<ConfigDocument>, seed: u64) -> Self {
         let shards: Vec<_> = (0..SHARD_COUNT).map(ShardId).collect();
         let mut requests = Requests {
@@ -95,27 +95,27 @@
             index: (0..entries).map(|n| (node_id(n), n)).collect(),
             grantor: ShareTable::new(),
             held: Held::new(&shards),
-            due: Timeline::new(),
-            gaps: None,
+            timeline: Timeline::new(),
+            arrival_gaps: None,
             service: Exp::new(1.0 / SERVICE_MEAN_S).expect("a rate"),
             class: class_name(0),
             next_request: 0,
             counts: Counts::default(),
         };
         let list = vm_list(servers);
-        requests.own(&shards, &list);
+        requests.assign_shards(&shards, &list);
         for n in 0..entries {
             requests.add_entry(n, &shards, &list, &document, seed);
         }
         requests
     }
 
-    fn own(&mut self, shards: &[ShardId], list: &[VmRecord]) {
+    fn assign_shards(&mut self, shards: &[ShardId], list: &[VmRecord]) {
         for shard in shards {
             let (shard, epoch) = (*shard, Held::EPOCH);
             self.grant(ShareTableEvent::Owned { shard, epoch, had_owner: false });
             let here = list.iter().enumerate().filter(|(_, r)| shard_of_rack(&r.rack) == shard);
-            let servers = here.map(|(n, record)| spec(n, record)).collect();
+            let servers = here.map(|(n, record)| server_spec(n, record)).collect();
             self.grant(ShareTableEvent::Servers { shard, servers });
         }
     }
@@ -142,10 +142,10 @@
         self.push(TICK.mul_f64((n + 1) as f64 / 18.0), n, Event::Tick);
     }
 
-    /// From now on so many requests arrive at each entry in a second.
-    pub fn arrive(&mut self, per_s: f64) {
-        let first = self.gaps.is_none();
-        self.gaps = Exp::new(per_s).ok();
+    /// Sets the rate of arriving requests per entry, in requests per second.
+    pub fn set_arrival_rate(&mut self, per_s: f64) {
+        let first = self.arrival_gaps.is_none();
+        self.arrival_gaps = Exp::new(per_s).ok();
         for n in 0..self.entries.len() {
             if first {
                 self.push(TICK, n, Event::Arrive);
@@ -153,17 +153,17 @@
         }
     }
 
-    /// Goes on for `span`.
+    /// Advances the time by `span`.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
-        while let Some((at, (n, event))) = self.due.pop_before(until) {
+        while let Some((at, (n, event))) = self.timeline.pop_before(until) {
             self.now = at;
             match event {
                 Event::Tick => {
                     self.entry(n, EntryEvent::Tick);
                     self.push(TICK, n, Event::Tick);
                 }
-                Event::Arrive => self.arrival(n),
+                Event::Arrive => self.arrive(n),
                 Event::Entry(event) => self.entry(n, event),
                 Event::Grantor(event) => self.grant(event),
             }
@@ -171,24 +171,24 @@
         self.now = until;
     }
 
-    /// One more request at the first entry, now.
-    pub fn one(&mut self) {
+    /// Adds a request at the first entry now.
+    pub fn add_request(&mut self) {
         let arrival = self.new_arrival();
         self.entry(0, EntryEvent::Arrived(arrival));
     }
 
-    /// Forgets what was counted.
+    /// Resets all counts.
     pub fn reset(&mut self) {
         self.counts = Counts::default();
     }
 
-    /// What was counted.
+    /// Returns the counts.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
     fn push(&mut self, after: Duration, entry: usize, event: Event) {
-        self.due.push(self.now + after, (entry, event));
+        self.timeline.push(self.now + after, (entry, event));
     }
 
     fn new_arrival(&mut self) -> Arrival {
@@ -204,11 +204,11 @@
         }
     }
 
-    fn arrival(&mut self, entry: usize) {
+    fn arrive(&mut self, entry: usize) {
         let arrival = self.new_arrival();
         self.entry(entry, EntryEvent::Arrived(arrival));
-        if let Some(gaps) = self.gaps {
-            let gap = Duration::from_secs_f64(gaps.sample(&mut self.rng));
+        if let Some(arrival_gaps) = self.arrival_gaps {
+            let gap = Duration::from_secs_f64(arrival_gaps.sample(&mut self.rng));
             self.push(gap, entry, Event::Arrive);
         }
     }
@@ -230,8 +230,8 @@
                 self.push(time, n, answered(attempt));
             }
             EntryEffect::RequestShares { request, .. } => {
-                self.counts.asks += 1;
-                self.counts.ask_bytes += len(&request);
+                self.counts.share_requests += 1;
+                self.counts.share_request_bytes += len(&request);
                 self.push(PEER_DELAY, n, Event::Grantor(ShareTableEvent::Request { request }));
             }
             EntryEffect::Answer { verdict: Verdict::Forward { .. }, .. } => {
@@ -275,16 +275,16 @@
     postcard::to_stdvec(value).map_or(0, |bytes| bytes.len() as u64)
 }
 
-fn spec(n: usize, record: &VmRecord) -> ServerSpec {
-    // Every class that answers requests on some of the servers; the first one on all.
-    let others = (1..CLASSES_PER_SERVER).map(|k| class_name(2 * (1 + (n + 3 * k) % 19)));
+fn server_spec(n: usize, record: &VmRecord) -> ServerSpec {
+    // Each latency class runs on some of the servers, the first class on all.
+    let other_classes = (1..CLASSES_PER_SERVER).map(|k| class_name(2 * (1 + (n + 3 * k) % 19)));
     ServerSpec {
         info: ServerInfo {
             vm: record.vm.clone(),
             addr: record.addr.clone(),
             data_centre: record.data_centre.clone(),
             state: record.state,
-            classes: std::iter::once(class_name(0)).chain(others).collect(),
+            classes: std::iter::once(class_name(0)).chain(other_classes).collect(),
         },
         slots: record.slots,
         connections: record.connections,
--- a/crates/lab/src/models/timeline.rs
+++ b/crates/lab/src/models/timeline.rs
@@ -1,4 +1,4 @@
-//! Events that happen at their time.
+//! A queue of events in virtual time.
 
 use {
     egretlb_types::Time,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Events by time; those of one time in the order in which they were added, so that a run repeats.
+/// Events ordered by time, then by insertion, so that runs are reproducible.
 pub(super) struct Timeline<E> {
     due: BinaryHeap<Reverse<Due<E>>>,
     order: u64,
@@ -45,13 +45,13 @@
         Timeline { due: BinaryHeap::new(), order: 0 }
     }
 
-    /// Lets `event` happen at `at`.
+    /// Schedules `event` at `at`.
     pub(super) fn push(&mut self, at: Time, event: E) {
         self.order += 1;
         self.due.push(Reverse(Due { at, order: self.order, event }));
     }
 
-    /// Takes out the next event before `until`.
+    /// Removes the next event before `until`.
     pub(super) fn pop_before(&mut self, until: Time) -> Option<(Time, E)> {
         if self.due.peek().is_none_or(|Reverse(due)| due.at >= until) {
             return None;
--- a/crates/lab/src/models/world.rs
+++ b/crates/lab/src/models/world.rs
@@ -1,8 +1,7 @@
-//! Nodes with their books, journals and workers, in virtual time.
+//! Nodes with their tables, journals and workers, in virtual time.
 //!
 //! The log answers after 5 to 20 ms, a message between nodes arrives after 1 ms, a worker answers
-//! after 2 ms. No message is lost. The workers are the stand-ins' state machines, so what runs
-//! there is theirs to say.
+//! after 2 ms. Messages aren't lost. The workers are the stand-ins' state machines.
 
 use {
     crate::{
@@ -36,36 +35,36 @@
 const WORKER_DELAY: Duration = Duration::from_millis(2);
 const ANSWER_MS: std::ops::Range<u64> = 5..20;
 
-/// What all nodes did since the last reset.
+/// Totals of all nodes since the last reset.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Totals {
-    /// Time in the steps of the job books.
+    /// Duration of the steps of the job tables.
     pub jobs_time: Duration,
-    /// Time in the steps of the rack books.
+    /// Duration of the steps of the rack tables.
     pub racks_time: Duration,
-    /// Time in the journals' writers.
+    /// Duration of the journal writers' calls.
     pub journal_time: Duration,
-    /// Messages between nodes, those to oneself left out.
+    /// Messages between different nodes.
     pub messages: u64,
-    /// Their bytes in `postcard`.
+    /// Bytes of these messages.
     pub message_bytes: u64,
-    /// Calls to workers that report.
+    /// Report calls to workers.
     pub reports: u64,
-    /// Calls to workers that renew.
+    /// Lease renewals at workers.
     pub renewals: u64,
     /// Other calls to workers.
     pub other_calls: u64,
-    /// Bytes of JSON of all calls and answers of workers.
+    /// JSON bytes of all worker calls and their answers.
     pub worker_bytes: u64,
-    /// Bytes of the reports among them.
+    /// JSON bytes of the reports.
     pub report_bytes: u64,
     /// Appends to the journals.
     pub appends: u64,
-    /// Their bytes.
+    /// Bytes of these appends.
     pub append_bytes: u64,
-    /// Entries in them.
+    /// Journal entries.
     pub entries: u64,
-    /// Starts that workers took.
+    /// Start calls to workers.
     pub starts: u64,
     /// Submissions accepted.
     pub accepted: u64,
@@ -89,7 +88,7 @@
     held: Held,
 }
 
-/// The nodes, their workers and the time.
+/// The nodes, their workers and the virtual time.
 pub struct World {
     now: Time,
     rng: SmallRng,
@@ -97,16 +96,16 @@
     index: BTreeMap<NodeId, usize>,
     owners: Vec<usize>,
     workers: BTreeMap<VmId, WorkerState>,
-    due: Timeline<(usize, Event)>,
+    timeline: Timeline<(usize, Event)>,
     submitted: BTreeMap<JobId, Time>,
-    urgent: BTreeMap<ClassName, OpTimer>,
+    watched: BTreeMap<ClassName, OpTimer>,
     others: OpTimer,
     totals: Totals,
     next_call: u64,
 }
 
 impl World {
-    /// So many nodes that own all shards, and so many workers that run nothing.
+    /// Creates nodes that own all shards, and idle workers.
     pub fn new(nodes: usize, workers: usize, document: Arc<ConfigDocument>, seed: u64) -> Self {
         let list = vm_list(workers);
         let worker = |record: &egretlb_types::VmRecord| {
@@ -120,9 +119,9 @@
             index: (0..nodes).map(|n| (node_id(n), n)).collect(),
             owners: (0..egretlb_types::SHARD_COUNT).map(|s| owner(ShardId(s), nodes)).collect(),
             workers: list.iter().map(worker).collect(),
-            due: Timeline::new(),
+            timeline: Timeline::new(),
             submitted: BTreeMap::new(),
-            urgent: BTreeMap::new(),
+            watched: BTreeMap::new(),
             others: OpTimer::new(),
             totals: Totals::default(),
             next_call: 0,
@@ -162,17 +161,17 @@
         self.push(self.now + offset, n, Event::Tick);
     }
 
-    /// Goes on for `span`.
+    /// Advances the time by `span`.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
-        while let Some((at, (node, event))) = self.due.pop_before(until) {
+        while let Some((at, (node, event))) = self.timeline.pop_before(until) {
             self.now = at;
             self.step(node, event);
         }
         self.now = until;
     }
 
-    /// Submits a job at its owner; its starts are timed from here.
+    /// Submits a job at its owner; start delays count from now.
     pub fn submit(&mut self, spec: JobSpec) {
         self.submitted.insert(spec.job.clone(), self.now);
         let node = self.owners[usize::from(shard_of_job(&spec.job).0)];
@@ -180,44 +179,44 @@
         self.job(node, JobEvent::Submit { call: CallId(self.next_call), spec });
     }
 
-    /// Tells the owner of a service's class what one entry measured.
-    pub fn load(&mut self, class: &ClassName, load: ClassLoad) {
+    /// Reports an entry's load to the owner of a class.
+    pub fn report_load(&mut self, class: &ClassName, load: ClassLoad) {
         let node = self.owners[usize::from(shard_of_class(class).0)];
         self.job(node, JobEvent::Load { from: node_id(0), class: class.clone(), load });
     }
 
-    /// Times the starts of a class on their own.
+    /// Measures the start delays of a class separately.
     pub fn watch(&mut self, class: ClassName) {
-        self.urgent.insert(class, OpTimer::new());
+        self.watched.insert(class, OpTimer::new());
     }
 
-    /// Forgets what was counted and timed.
+    /// Resets all counts and timers.
     pub fn reset(&mut self) {
         self.totals = Totals::default();
         self.others = OpTimer::new();
-        for timer in self.urgent.values_mut() {
+        for timer in self.watched.values_mut() {
             *timer = OpTimer::new();
         }
     }
 
-    /// What was counted.
+    /// Returns the totals.
     pub fn totals(&self) -> Totals {
         self.totals
     }
 
-    /// The delays from submission to start: of a watched class, or of all others.
+    /// Returns the delays from submission to start of a watched class, or of all others.
     pub fn delays(&self, class: Option<&ClassName>) -> &OpTimer {
-        class.and_then(|class| self.urgent.get(class)).unwrap_or(&self.others)
+        class.and_then(|class| self.watched.get(class)).unwrap_or(&self.others)
     }
 
-    /// How many tasks run at all workers.
+    /// Returns the number of running tasks.
     pub fn running(&mut self) -> usize {
         let now = self.now;
         self.workers.values_mut().map(|worker| worker.report(now).running.len()).sum()
     }
 
     fn push(&mut self, at: Time, node: usize, event: Event) {
-        self.due.push(at, (node, event));
+        self.timeline.push(at, (node, event));
     }
 
     fn step(&mut self, node: usize, event: Event) {
@@ -318,8 +317,8 @@
         if let Some(append) = append {
             self.totals.appends += 1;
             self.totals.append_bytes += append.bytes.len() as u64;
-            let answer_in = Duration::from_millis(self.rng.random_range(ANSWER_MS));
-            self.push(now + answer_in, node, Event::LogAnswer(append.seq));
+            let answer_delay = Duration::from_millis(self.rng.random_range(ANSWER_MS));
+            self.push(now + answer_delay, node, Event::LogAnswer(append.seq));
         }
     }
 
@@ -340,47 +339,47 @@
     fn call(&mut self, node: usize, ticket: Ticket, vm: &VmId, call: WorkerCall) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(vm) else { return };
-        let mut timed = None;
-        let (sent, answer, got) = match call {
+        let mut started_task = None;
+        let (call_len, answer, answer_len) = match call {
             WorkerCall::Start(start) => {
                 self.totals.other_calls += 1;
                 self.totals.starts += 1;
-                timed = Some((start.task.job.clone(), start.class.clone()));
-                let sent = json_len(&start);
+                started_task = Some((start.task.job.clone(), start.class.clone()));
+                let call_len = json_len(&start);
                 let answer = worker.start(now, start);
-                (sent, WorkerAnswer::Start(answer), json_len(&answer))
+                (call_len, WorkerAnswer::Start(answer), json_len(&answer))
             }
             WorkerCall::Renew(renew) => {
                 self.totals.renewals += 1;
-                let sent = json_len(&renew);
+                let call_len = json_len(&renew);
                 let answer = worker.renew(now, renew);
-                let got = json_len(&answer);
-                (sent, WorkerAnswer::Renew(answer), got)
+                let answer_len = json_len(&answer);
+                (call_len, WorkerAnswer::Renew(answer), answer_len)
             }
             WorkerCall::Stop(stop) => {
                 self.totals.other_calls += 1;
-                let (sent, answer) = (json_len(&stop), worker.stop(now, stop));
-                let got = json_len(&answer);
-                (sent, WorkerAnswer::Stop(answer), got)
+                let (call_len, answer) = (json_len(&stop), worker.stop(now, stop));
+                let answer_len = json_len(&answer);
+                (call_len, WorkerAnswer::Stop(answer), answer_len)
             }
             WorkerCall::Throttle(throttle) => {
                 self.totals.other_calls += 1;
-                let (sent, answer) = (json_len(&throttle), worker.throttle(now, throttle));
-                let got = json_len(&answer);
-                (sent, WorkerAnswer::Stop(answer), got)
+                let (call_len, answer) = (json_len(&throttle), worker.throttle(now, throttle));
+                let answer_len = json_len(&answer);
+                (call_len, WorkerAnswer::Stop(answer), answer_len)
             }
             WorkerCall::Report => {
                 self.totals.reports += 1;
                 let report = worker.report(now);
-                let got = json_len(&report);
-                self.totals.report_bytes += got;
-                (0, WorkerAnswer::Report(report), got)
+                let answer_len = json_len(&report);
+                self.totals.report_bytes += answer_len;
+                (0, WorkerAnswer::Report(report), answer_len)
             }
         };
-        self.totals.worker_bytes += sent + got;
+        self.totals.worker_bytes += call_len + answer_len;
         let event = RackEvent::WorkerAnswered { ticket, result: Ok(answer) };
         self.push(now + WORKER_DELAY / 2, node, Event::Rack(event));
-        if let Some((job, class)) = timed {
+        if let Some((job, class)) = started_task {
             self.time_start(&job, &class);
         }
     }
@@ -388,7 +387,7 @@
     fn time_start(&mut self, job: &JobId, class: &ClassName) {
         let Some(submitted) = self.submitted.get(job) else { return };
         let delay = self.now.since(*submitted);
-        self.urgent.get_mut(class).unwrap_or(&mut self.others).add(delay);
+        self.watched.get_mut(class).unwrap_or(&mut self.others).add(delay);
     }
 }
 
--- a/crates/lab/src/report/curves.rs
+++ b/crates/lab/src/report/curves.rs
@@ -1,4 +1,4 @@
-//! Curves as SVG.
+//! Draws curves as SVG.
 
 use {
     crate::{measure::Series, report::Report},
@@ -16,22 +16,22 @@
     },
 };
 
-/// The size of a picture in pixels.
-const PICTURE: (u32, u32) = (640, 400);
+/// Width and height of a picture in pixels.
+const PICTURE_PIXELS: (u32, u32) = (640, 400);
 
-/// How much room is left above the highest point.
-const HEADROOM: f64 = 1.1;
+/// Ratio of the axis ranges to the largest values.
+const AXIS_MARGIN_RATIO: f64 = 1.1;
 
-/// Why a curve couldn't be drawn.
+/// An error in drawing a curve.
 #[derive(Debug)]
 pub enum DrawError {
-    /// The folder can't be made.
+    /// The folder can't be created.
     Folder(io::Error),
-    /// The picture can't be written; the text tells why.
+    /// The picture can't be written.
     Picture {
         /// The file.
         path: PathBuf,
-        /// What the plotting library said.
+        /// The error of the plotting library.
         cause: String,
     },
 }
@@ -49,7 +49,7 @@
 
 impl std::error::Error for DrawError {}
 
-/// Draws each series of the report into a file of its own in `dir`; returns the files.
+/// Draws each series of the report into its own file in `dir`; returns the paths.
 pub fn draw(report: &Report, dir: &Path) -> Result<Vec<PathBuf>, DrawError> {
     std::fs::create_dir_all(dir).map_err(DrawError::Folder)?;
     let mut paths = Vec::new();
@@ -65,20 +65,21 @@
 
 fn draw_one(series: &Series, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let points: Vec<_> = series.points.iter().map(|p| (p.size, p.value)).collect();
-    let widest = points.iter().map(|p| p.0).fold(0.0, f64::max) * HEADROOM;
-    let highest = points.iter().map(|p| p.1).fold(f64::MIN_POSITIVE, f64::max) * HEADROOM;
-    let root = SVGBackend::new(path, PICTURE).into_drawing_area();
+    let max_size = points.iter().map(|p| p.0).fold(0.0, f64::max) * AXIS_MARGIN_RATIO;
+    let max_value =
+        points.iter().map(|p| p.1).fold(f64::MIN_POSITIVE, f64::max) * AXIS_MARGIN_RATIO;
+    let root = SVGBackend::new(path, PICTURE_PIXELS).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(72)
-        .build_cartesian_2d(0.0..widest, 0.0..highest)?;
+        .build_cartesian_2d(0.0..max_size, 0.0..max_value)?;
     let y_name = format!("{} [{}]", series.name, series.unit);
     chart.configure_mesh().x_desc(series.size).y_desc(y_name).draw()?;
     if let Some(line) = series.line() {
         let at = |size: f64| (size, (line.start + line.slope * size).max(0.0));
-        chart.draw_series(LineSeries::new([at(0.0), at(widest)], &RED))?;
+        chart.draw_series(LineSeries::new([at(0.0), at(max_size)], &RED))?;
     }
     chart.draw_series(points.iter().map(|p| Circle::new(*p, 4, BLUE)))?;
     root.present()?;
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What an experiment found, as text, JSON and curves.
+//! Results of an experiment as text, JSON and curves.
 
 mod curves;
 mod text;
@@ -13,7 +13,7 @@
 /// A single figure.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fact {
-    /// What it says.
+    /// What is measured.
     pub name: &'static str,
     /// The figure.
     pub value: f64,
@@ -21,12 +21,12 @@
     pub unit: &'static str,
 }
 
-/// What one experiment found.
+/// Results of one experiment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
     /// The experiment's name.
     pub experiment: &'static str,
-    /// The seed that it ran with.
+    /// The seed of the run.
     pub seed: u64,
     /// Values over growing sizes.
     pub series: Vec<Series>,
@@ -36,7 +36,7 @@
     pub facts: Vec<Fact>,
 }
 
-/// A series with the line through it, for readers of the JSON.
+/// A series with its fitted line, for the JSON output.
 #[derive(Serialize)]
 struct Fitted<'a> {
     series: &'a Series,
@@ -44,7 +44,7 @@
 }
 
 impl Report {
-    /// A report without findings.
+    /// Creates an empty report.
     pub fn new(experiment: &'static str, seed: u64) -> Self {
         Report { experiment, seed, ..Report::default() }
     }
@@ -54,7 +54,7 @@
         self.facts.push(Fact { name, value, unit });
     }
 
-    /// The report as one JSON object.
+    /// Converts the report to a JSON object.
     pub fn to_json(&self) -> serde_json::Value {
         let fitted: Vec<_> =
             self.series.iter().map(|series| Fitted { series, line: series.line() }).collect();
--- a/crates/lab/src/report/text.rs
+++ b/crates/lab/src/report/text.rs
@@ -1,4 +1,4 @@
-//! The report as a table of text.
+//! The report as text.
 
 use {crate::report::Report, std::fmt};
 
--- a/crates/lab/tests/fitted_line.rs
+++ b/crates/lab/tests/fitted_line.rs
@@ -1,4 +1,4 @@
-//! The line through measured points, and the curve drawn from it.
+//! The fitted line and the curve drawn from it.
 
 use egretlb_lab::{
     measure::Series,
