--- a/crates/standins/src/checker/mod.rs
+++ b/crates/standins/src/checker/mod.rs
@@ -164,20 +164,32 @@
                 "at {at} {} started at {second_vm} ({}) while it ran at {first_vm} ({})",
                 second.task, second.fence, first.fence
             ),
-            Violation::OverCapacity { vm, at } => write!(f, "at {at} {vm} was given too much"),
-            Violation::DoneTwice { task } => write!(f, "{task} was done twice"),
-            Violation::StartedAfterDone { task } => write!(f, "{task} was started when done"),
+            Violation::OverCapacity { vm, at } => write!(f, "at {at} {vm} exceeded its capacity"),
+            Violation::DoneTwice { task } => write!(f, "{task} completed twice"),
+            Violation::StartedAfterDone { task } => {
+                write!(f, "{task} was started after its completion")
+            }
             Violation::WrongResume { of, expected } => {
                 write!(f, "{} ({}) should have resumed from {expected:?}", of.task, of.fence)
             }
             Violation::NeverResumed { task } => write!(f, "{task} was evicted and never resumed"),
             Violation::RanTwice { id } => write!(f, "request {id} ran twice"),
-            Violation::RanAfterAll { id } => write!(f, "request {id} ran, its caller was told no"),
-            Violation::DidNotRun { id } => write!(f, "request {id} never ran, its caller told yes"),
-            Violation::WrongAnswer { id } => write!(f, "request {id} got another's answer"),
-            Violation::WorkWhileLeaving { vm, at } => write!(f, "at {at} leaving {vm} got work"),
-            Violation::ConfigWentBack { node, at } => write!(f, "at {at} {node} went back"),
-            Violation::ConfigDiffers { version } => write!(f, "version {version} has two contents"),
+            Violation::RanAfterAll { id } => {
+                write!(f, "request {id} ran but was reported as not run")
+            }
+            Violation::DidNotRun { id } => {
+                write!(f, "request {id} didn't run but was reported as run")
+            }
+            Violation::WrongAnswer { id } => {
+                write!(f, "request {id} got the answer to another request")
+            }
+            Violation::WorkWhileLeaving { vm, at } => write!(f, "at {at} draining {vm} got work"),
+            Violation::ConfigWentBack { node, at } => {
+                write!(f, "at {at} {node} went back to an older configuration")
+            }
+            Violation::ConfigDiffers { version } => {
+                write!(f, "version {version} has two different documents")
+            }
         }
     }
 }
