--- a/crates/control/src/reducer/suspicion.rs
+++ b/crates/control/src/reducer/suspicion.rs
@@ -1,4 +1,4 @@
-//! Who is thought to be gone. A wrong guess costs a needless succession, never safety.
+//! Detects failed processes. A wrong suspicion costs a needless takeover, never safety.
 
 use {
     crate::{
@@ -12,133 +12,146 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// A process silent for this long is suspected: three probes went unanswered by then.
+/// A process without contact for this long is suspected; three probes fit into this time.
 pub(crate) const SUSPECT_AFTER: Duration = Duration::from_secs(4);
 
-/// How long a doubted process has to answer through the log: three of its reads.
-const DOUBT_WAIT: Duration = Duration::from_secs(3);
+/// Time to answer a liveness check through the log; covers three reads.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A process that answered a doubt through the log isn't doubted again for this long: during a
-/// cut between regions each process of the smaller side asks twice a minute.
-const DOUBT_AGAIN_AFTER: Duration = Duration::from_secs(30);
+/// A process that answered a liveness check isn't checked again for this long. Limits the records
+/// written during a network partition.
+const RECHECK_AFTER: Duration = Duration::from_secs(30);
 
-/// A process that has joined is left out of account for this long, as long as there are older
-/// ones: it learns only now who is silent, and the others would wait for its claims. One that
-/// restarts in a loop would also take shards only to lose them.
-const NEW_FOR: Duration = Duration::from_secs(10);
+/// A process that joined is no candidate for this long if older ones exist: it doesn't know yet
+/// which processes are unresponsive, so the others would wait for its claims. One that restarts in
+/// a loop would also take over shards only to lose them.
+const NEWCOMER_EXCLUDED_FOR: Duration = Duration::from_secs(10);
 
-/// Processes that joined within this time of the oldest were started with it, and none of them
-/// is new to the others. Without this the first to be ten seconds old took nearly every shard.
-const TOGETHER: Duration = Duration::from_secs(5);
+/// Processes that joined within this time of the oldest are not newcomers. Otherwise the first to
+/// reach [`NEWCOMER_EXCLUDED_FOR`] would claim nearly every shard.
+const STARTED_TOGETHER_WITHIN: Duration = Duration::from_secs(5);
 
-/// A claimant that hung until another one claimed its shard isn't meant to have shards for this
-/// long. Balancing would otherwise move the shard back to it at once, to hang again.
-const STUCK_FOR: Duration = Duration::from_secs(600);
+/// A claimant that didn't settle until another process claimed its shard is no candidate for this
+/// long. Otherwise balancing would move the shard back to it at once.
+const STUCK_EXCLUDED_FOR: Duration = Duration::from_secs(600);
 
-/// What is known of one process beside the gossip.
+/// What is known of one process besides gossip.
 #[derive(Clone, Debug, Default)]
-struct Signs {
-    seen_in_log: Option<Time>,
-    doubted: Option<Time>,
-    gone: Option<Time>,
-    joined: Option<Time>,
-    stuck: Option<Time>,
+struct Observations {
+    last_log_record: Option<Time>,
+    check_requested: Option<Time>,
+    vm_gone_at: Option<Time>,
+    first_live: Option<Time>,
+    stuck_at: Option<Time>,
 }
 
-/// The view of who is there, from gossip, the log and the VM list.
+/// Decides which processes are alive, from gossip, the log and the VM list.
 ///
-/// A process that is cut off from its peers but not from the log hears nobody. If it then claimed
-/// everything, and the others claimed it back, the shards would go to and fro for as long as the
-/// cut lasts. So one that hears no more than half of the schedulers asks through the log first,
-/// and the living answer there.
+/// A process that is cut off from its peers, but not from the log, has contact with none of them.
+/// If it claimed every shard and the others claimed them back, shards would move as long as the
+/// partition lasts. A process in contact with at most half of the schedulers therefore makes a
+/// liveness check through the log first.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Suspicion {
-    signs: BTreeMap<NodeId, Signs>,
-    few_heard: bool,
+pub(crate) struct FailureDetector {
+    observations: BTreeMap<NodeId, Observations>,
+    in_minority: bool,
     live: Vec<NodeId>,
     candidates: Vec<NodeId>,
 }
 
-impl Suspicion {
-    pub(crate) fn seen_in_log(&mut self, now: Time, node: NodeId) {
-        self.signs.entry(node).or_default().seen_in_log = Some(now);
+impl FailureDetector {
+    pub(crate) fn record_log_activity(&mut self, now: Time, node: NodeId) {
+        self.observations.entry(node).or_default().last_log_record = Some(now);
     }
 
-    pub(crate) fn doubted(&mut self, now: Time, node: NodeId) {
-        self.signs.entry(node).or_default().doubted = Some(now);
+    pub(crate) fn record_liveness_check(&mut self, now: Time, node: NodeId) {
+        self.observations.entry(node).or_default().check_requested = Some(now);
     }
 
-    pub(crate) fn stuck(&mut self, now: Time, node: NodeId) {
-        self.signs.entry(node).or_default().stuck = Some(now);
+    pub(crate) fn record_stuck(&mut self, now: Time, node: NodeId) {
+        self.observations.entry(node).or_default().stuck_at = Some(now);
     }
 
     pub(crate) fn vm_gone(&mut self, now: Time, addr: &str, state: &ControlState) {
-        let at_addr = |info: &&NodeInfo| host(&info.peer_addr) == addr;
-        for info in state.members().filter(at_addr) {
-            self.signs.entry(info.node).or_default().gone = Some(now);
+        let has_addr = |info: &&NodeInfo| host(&info.peer_addr) == addr;
+        for info in state.members().filter(has_addr) {
+            self.observations.entry(info.node).or_default().vm_gone_at = Some(now);
         }
     }
 
-    /// Begins anew after this process was out of touch.
-    pub(crate) fn excuse(&mut self) {
-        for signs in self.signs.values_mut() {
-            *signs = Signs { joined: signs.joined, stuck: signs.stuck, ..Signs::default() };
+    /// Resets the detector after this process was without a fresh read.
+    pub(crate) fn reset(&mut self) {
+        for observations in self.observations.values_mut() {
+            *observations = Observations {
+                first_live: observations.first_live,
+                stuck_at: observations.stuck_at,
+                ..Observations::default()
+            };
         }
     }
 
-    /// Looks at everyone once for this step.
+    /// Updates the view of every process.
     pub(crate) fn update(&mut self, now: Time, me: NodeId, gossip: &Gossip, state: &ControlState) {
-        self.signs.retain(|node, _| state.member(*node).is_some());
-        for (node, signs) in &mut self.signs {
-            let silent = gossip
-                .time_since_contact(now, *node)
-                .is_none_or(|silence| silence >= SUSPECT_AFTER);
-            signs.doubted = signs.doubted.filter(|_| silent);
-            let heard_since = |at: &Time| gossip.heard_at(*node).is_none_or(|heard| heard <= *at);
-            signs.gone = signs.gone.filter(heard_since);
+        self.observations.retain(|node, _| state.member(*node).is_some());
+        for (node, observations) in &mut self.observations {
+            let unresponsive =
+                gossip.idle_time(now, *node).is_none_or(|idle| idle >= SUSPECT_AFTER);
+            observations.check_requested = observations.check_requested.filter(|_| unresponsive);
+            let no_contact_since =
+                |at: &Time| gossip.last_contact(*node).is_none_or(|contact| contact <= *at);
+            observations.vm_gone_at = observations.vm_gone_at.filter(no_contact_since);
         }
         let schedulers = || state.schedulers().map(|info| info.node);
         let total = schedulers().count();
-        let heard = schedulers().filter(|n| *n == me || !self.is_silent(now, *n, gossip)).count();
-        self.few_heard = heard * 2 <= total;
+        let reachable =
+            schedulers().filter(|n| *n == me || !self.is_unresponsive(now, *n, gossip)).count();
+        self.in_minority = reachable * 2 <= total;
         self.live = schedulers()
-            .filter(|n| *n == me || !self.is_silent(now, *n, gossip) || !self.is_confirmed(now, *n))
+            .filter(|n| {
+                *n == me
+                    || !self.is_unresponsive(now, *n, gossip)
+                    || !self.is_confirmed_unresponsive(now, *n)
+            })
             .collect();
-        self.find_candidates(now, me);
+        self.update_candidates(now, me);
     }
 
-    fn find_candidates(&mut self, now: Time, me: NodeId) {
+    fn update_candidates(&mut self, now: Time, me: NodeId) {
         for node in &self.live {
-            self.signs.entry(*node).or_default().joined.get_or_insert(now);
+            self.observations.entry(*node).or_default().first_live.get_or_insert(now);
         }
-        let joined = |node: &NodeId| self.signs.get(node).and_then(|signs| signs.joined);
-        let oldest = self.live.iter().filter_map(joined).min().unwrap_or(now);
-        let is_old = |node: &NodeId| {
-            let at = joined(node).unwrap_or(now);
-            *node == me || now >= at + NEW_FOR || at <= oldest + TOGETHER
+        let first_live = |node: &NodeId| {
+            self.observations.get(node).and_then(|observations| observations.first_live)
+        };
+        let oldest = self.live.iter().filter_map(first_live).min().unwrap_or(now);
+        let is_established = |node: &NodeId| {
+            let at = first_live(node).unwrap_or(now);
+            *node == me
+                || now >= at + NEWCOMER_EXCLUDED_FOR
+                || at <= oldest + STARTED_TOGETHER_WITHIN
         };
         let is_stuck = |node: &NodeId| {
-            let stuck = self.signs.get(node).and_then(|signs| signs.stuck);
-            stuck.is_some_and(|at| now < at + STUCK_FOR)
+            let stuck = self.observations.get(node).and_then(|observations| observations.stuck_at);
+            stuck.is_some_and(|at| now < at + STUCK_EXCLUDED_FOR)
         };
-        let meant = |node: &NodeId| is_old(node) && !is_stuck(node);
-        self.candidates = self.live.iter().copied().filter(meant).collect();
+        let is_eligible = |node: &NodeId| is_established(node) && !is_stuck(node);
+        self.candidates = self.live.iter().copied().filter(is_eligible).collect();
         if self.candidates.is_empty() {
             self.candidates = self.live.clone();
         }
     }
 
-    /// The live schedulers that shards are meant for.
+    /// The live schedulers that may be assigned shards.
     pub(crate) fn candidates(&self) -> &[NodeId] {
         &self.candidates
     }
 
-    /// Whether this process hears no more than half of the schedulers, itself among them.
-    pub(crate) fn few_heard(&self) -> bool {
-        self.few_heard
+    /// Whether this process is in contact with at most half of the schedulers, itself included.
+    pub(crate) fn in_minority(&self) -> bool {
+        self.in_minority
     }
 
-    /// The schedulers that aren't suspected, this process among them, in the order of their ids.
+    /// The schedulers that aren't suspected, this process included, by id.
     pub(crate) fn live(&self) -> &[NodeId] {
         &self.live
     }
@@ -147,27 +160,28 @@
         self.live.binary_search(&node).is_ok()
     }
 
-    /// The silent schedulers to be asked for through the log now.
-    pub(crate) fn to_doubt(
+    /// The unresponsive schedulers for which a liveness check is due.
+    pub(crate) fn to_check(
         &self,
         now: Time,
         me: NodeId,
         gossip: &Gossip,
         state: &ControlState,
     ) -> SmallVec<[NodeId; 4]> {
-        if !self.few_heard {
+        if !self.in_minority {
             return SmallVec::new();
         }
         state
             .schedulers()
             .map(|info| info.node)
-            .filter(|node| *node != me && self.is_silent(now, *node, gossip))
-            .filter(|node| self.wants_doubt(now, *node))
+            .filter(|node| *node != me && self.is_unresponsive(now, *node, gossip))
+            .filter(|node| self.needs_check(now, *node))
             .collect()
     }
 
-    /// Whether the process has been silent for `limit`, in the log too, and isn't taken for living.
-    /// One that is cut off from its peers shows itself in the log, and is not to be removed.
+    /// Whether the process has been unresponsive for `limit`, wrote no record in that time and
+    /// isn't live. A process cut off from its peers only still writes records, and must not be
+    /// removed.
     pub(crate) fn is_gone_for(
         &self,
         now: Time,
@@ -175,38 +189,45 @@
         gossip: &Gossip,
         limit: Duration,
     ) -> bool {
-        let silent =
-            gossip.time_since_contact(now, info.node).is_some_and(|silence| silence >= limit);
-        let seen = self.signs.get(&info.node).and_then(|signs| signs.seen_in_log);
-        let seen_lately = seen.is_some_and(|at| now < at + limit);
-        silent && !seen_lately && (info.role == Role::Entry || !self.is_live(info.node))
+        let unresponsive = gossip.idle_time(now, info.node).is_some_and(|idle| idle >= limit);
+        let last_log_record =
+            self.observations.get(&info.node).and_then(|observations| observations.last_log_record);
+        let recent_log_record = last_log_record.is_some_and(|at| now < at + limit);
+        unresponsive && !recent_log_record && (info.role == Role::Entry || !self.is_live(info.node))
     }
 
-    fn is_silent(&self, now: Time, node: NodeId, gossip: &Gossip) -> bool {
-        let silent =
-            gossip.time_since_contact(now, node).is_none_or(|silence| silence >= SUSPECT_AFTER);
-        silent || self.signs.get(&node).is_some_and(|signs| signs.gone.is_some())
+    fn is_unresponsive(&self, now: Time, node: NodeId, gossip: &Gossip) -> bool {
+        let unresponsive = gossip.idle_time(now, node).is_none_or(|idle| idle >= SUSPECT_AFTER);
+        unresponsive
+            || self
+                .observations
+                .get(&node)
+                .is_some_and(|observations| observations.vm_gone_at.is_some())
     }
 
-    fn is_confirmed(&self, now: Time, node: NodeId) -> bool {
-        if !self.few_heard {
+    fn is_confirmed_unresponsive(&self, now: Time, node: NodeId) -> bool {
+        if !self.in_minority {
             return true;
         }
-        let Some(signs) = self.signs.get(&node) else {
+        let Some(observations) = self.observations.get(&node) else {
             return false;
         };
-        signs.doubted.is_some_and(|at| now >= at + DOUBT_WAIT && signs.seen_in_log < Some(at))
+        observations
+            .check_requested
+            .is_some_and(|at| now >= at + CHECK_TIMEOUT && observations.last_log_record < Some(at))
     }
 
-    fn wants_doubt(&self, now: Time, node: NodeId) -> bool {
-        let Some(Signs { doubted: Some(at), seen_in_log, .. }) = self.signs.get(&node) else {
+    fn needs_check(&self, now: Time, node: NodeId) -> bool {
+        let Some(Observations { check_requested: Some(at), last_log_record, .. }) =
+            self.observations.get(&node)
+        else {
             return true;
         };
-        seen_in_log.is_some_and(|seen| seen >= *at && now >= seen + DOUBT_AGAIN_AFTER)
+        last_log_record.is_some_and(|last| last >= *at && now >= last + RECHECK_AFTER)
     }
 }
 
-/// The address without its port.
+/// Strips the port from an address.
 fn host(addr: &CompactString) -> &str {
     addr.rsplit_once(':').map_or(addr, |(host, _)| host)
 }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,4 +1,4 @@
-//! The messages between egretlb's processes.
+//! Messages between the processes of the system.
 
 use {
     egretlb_control::{ConfigVersion, Heartbeat},
@@ -15,16 +15,16 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The layout of [`PeerMessage`], the first byte of each encoded message. During a rolling update
-/// two layouts are in use; a message of another layout is dropped, as if it had been lost.
-const LAYOUT: u8 = 1;
+/// Encoding version of [`PeerMessage`], the first byte of each encoded message. Messages of another
+/// version, sent during a rolling update, are dropped.
+const ENCODING_VERSION: u8 = 1;
 
-/// What one process tells another. Every message may be lost, doubled, late or out of order.
+/// A message between processes. Messages may be lost, repeated, delayed or reordered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Who was heard when.
+    /// Shows that the sender is alive, and reports its last contact with the schedulers.
     Heartbeat(Heartbeat),
-    /// Asks for the configuration in force.
+    /// Requests the configuration in force.
     ConfigRequest,
     /// The configuration in force at the sender.
     Config {
@@ -33,64 +33,65 @@
         /// Its document.
         document: String,
     },
-    /// An entry asks a key's owner for a permit.
+    /// Requests a permit from the key's owner. Sent by an entry.
     PermitRequest(PermitRequest),
-    /// The answer.
+    /// The answer to [`PeerMessage::PermitRequest`].
     Permit {
-        /// The entry's request.
+        /// The request id, as in the permit request.
         request: RequestId,
-        /// The answer.
+        /// The permit.
         permit: Permit,
     },
-    /// An entry reports what became of a permitted request.
+    /// Reports the outcome of a permitted request. Sent by an entry.
     Outcome(OutcomeReport),
-    /// The report is in the log.
+    /// The owner has journalled the outcome.
     OutcomeRecorded {
-        /// The entry's request.
+        /// The request id, as in the report.
         request: RequestId,
     },
-    /// An entry asks a rack's owner for shares of its backend servers.
+    /// Requests shares of a rack's backend servers from the rack's owner. Sent by an entry.
     ShareRequest(ShareRequest),
-    /// The answer.
+    /// The answer to [`PeerMessage::ShareRequest`].
     Shares(ShareGrant),
-    /// Others go short: ask again soon.
+    /// Tells an entry that other entries lack shares, so that it requests its shares again soon and
+    /// can be granted fewer. Sent by the rack's owner.
     RecallShares {
-        /// The rack shard.
+        /// The rack's shard.
         shard: ShardId,
     },
-    /// An entry's measurements of a service class, to its shard's owner.
+    /// An entry's load measurements of a service class, for the owner of the class's shard.
     Load {
         /// The class.
         class: ClassName,
         /// The measurements.
         load: ClassLoad,
     },
-    /// To a scheduler, whatever it owns.
+    /// A message to a scheduler that doesn't concern one of its shards.
     ToNode(NodeMsg),
-    /// To the owner of a rack's shard.
+    /// A message to the owner of a rack's shard.
     ToRack {
         /// The shard.
         shard: ShardId,
         /// The message.
         msg: RackMsg,
     },
-    /// To the owner of a job's shard.
+    /// A message to the owner of a job's shard.
     ToJob {
         /// The shard.
         shard: ShardId,
         /// The message.
         msg: JobMsg,
     },
-    /// An operator's call, passed on to the job's owner.
+    /// An operator's call, forwarded to the job's owner.
     JobCall {
-        /// The sender's number of the call.
+        /// The caller's id for the call, returned with the answer.
         call: CallId,
         /// The call.
         request: JobRequest,
     },
-    /// The answer.
+    /// The answer to [`PeerMessage::JobCall`].
     JobReply {
-        /// The receiver's number of the call.
+        /// The caller's id for the call.
         call: CallId,
         /// The answer.
         reply: JobReply,
@@ -100,16 +101,16 @@
 /// An operator's call about one job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum JobRequest {
-    /// Submit it.
+    /// Submit the job.
     Submit(JobSpec),
-    /// Cancel it.
+    /// Cancel the job.
     Cancel(JobId),
-    /// Say where it stands.
+    /// Return the job's status.
     Status(JobId),
 }
 
 impl JobRequest {
-    /// The job.
+    /// The id of the job.
     pub fn job(&self) -> &JobId {
         match self {
             JobRequest::Submit(spec) => &spec.job,
@@ -119,15 +120,15 @@
 }
 
 impl PeerMessage {
-    /// The message as bytes.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Writing to a growing buffer can't fail for types without maps of unknown length.
-        postcard::to_extend(self, vec![LAYOUT]).unwrap_or_default()
+        // Can't fail: the length of every sequence and map is known.
+        postcard::to_extend(self, vec![ENCODING_VERSION]).unwrap_or_default()
     }
 
-    /// Reads a message; `None` for one of another layout or a broken one.
+    /// Decodes a message; `None` if it is invalid or has another encoding version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let (layout, rest) = bytes.split_first()?;
-        (*layout == LAYOUT).then(|| postcard::from_bytes(rest).ok())?
+        let (version, rest) = bytes.split_first()?;
+        (*version == ENCODING_VERSION).then(|| postcard::from_bytes(rest).ok())?
     }
 }
--- a/crates/requests/src/entry/class.rs
+++ b/crates/requests/src/entry/class.rs
@@ -37,7 +37,7 @@
 
 /// Settings of a latency-critical class in the current configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) struct Service {
+pub(super) struct ClassSettings {
     pub(super) organisation: Organisation,
     pub(super) target: Duration,
     pub(super) idempotent: bool,
@@ -48,7 +48,7 @@
 pub(super) struct ClassState {
     pub(super) name: ClassName,
     /// `None` if the current configuration has no such latency-critical class.
-    pub(super) service: Option<Service>,
+    pub(super) settings: Option<ClassSettings>,
     pub(super) queue: BTreeMap<QueueKey, RequestId>,
     pub(super) open: u32,
     pub(super) latency: LatencyHistogram,
@@ -56,15 +56,15 @@
     pub(super) budget: RetryBudget,
     pub(super) drain_meter: DrainMeter,
     pub(super) load: LoadMeter,
-    /// Since when requests have waited without any usable share.
-    pub(super) starved_since: Option<Time>,
+    /// Since when requests have waited while the class had no share.
+    pub(super) without_share_since: Option<Time>,
 }
 
 impl ClassState {
     fn new(name: ClassName) -> Self {
         ClassState {
             name,
-            service: None,
+            settings: None,
             queue: BTreeMap::new(),
             open: 0,
             latency: LatencyHistogram::new(Duration::ZERO),
@@ -72,7 +72,7 @@
             budget: RetryBudget::new(),
             drain_meter: DrainMeter::new(),
             load: LoadMeter::default(),
-            starved_since: None,
+            without_share_since: None,
         }
     }
 
@@ -88,7 +88,8 @@
 
     /// How long an attempt is open before a hedge is sent.
     pub(super) fn hedge_after(&self) -> Duration {
-        let target = self.service.as_ref().map_or(Duration::from_secs(1), |service| service.target);
+        let target =
+            self.settings.as_ref().map_or(Duration::from_secs(1), |settings| settings.target);
         let tail = self.latency.quantile(950).map(|p95| p95 * HEDGE_DELAY_PERCENT / 100);
         tail.unwrap_or(target / 2).max(MIN_HEDGE_DELAY)
     }
@@ -102,7 +103,8 @@
         head.map(|(key, request)| (*key, *request))
     }
 
-    pub(super) fn record_need(&mut self) {
+    /// Records the number of requests that are open or waiting.
+    pub(super) fn record_concurrency_need(&mut self) {
         let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
         self.load.record_need(self.open.saturating_add(waiting));
     }
--- a/crates/tasks/src/jobs/mod.rs
+++ b/crates/tasks/src/jobs/mod.rs
@@ -1,8 +1,8 @@
-//! The book of jobs and their tasks, for the job shards that a node owns.
+//! Table of jobs and their tasks, for the job shards that a node owns.
 //!
-//! It knows where each task may run and is the only one to decide that it may run somewhere else.
-//! An attempt is journalled before it is asked for, and no other attempt begins before that one is
-//! known to be over: that one rule is what keeps a task from running in two places.
+//! It alone decides where a task may run. An attempt is journalled before it is started, and the
+//! next attempt begins only after the previous one is known to have ended, so a task never runs in
+//! two places.
 
 mod api;
 mod calls;
@@ -32,118 +32,117 @@
         Ticket, Time, shard_of_class, worker::TaskFence,
     },
     job::Job,
-    queue::{NodeInfo, Sizes},
+    queue::{KnownVmSizes, NodeInfo},
     rand::{SeedableRng, rngs::SmallRng},
     record::{JobRecord, ParkRule, fold},
     rounds::Round,
-    services::Service,
+    services::ServiceState,
     std::{
         collections::{BTreeMap, BTreeSet, HashMap},
         sync::Arc,
     },
 };
 
-/// What waits for a journal entry.
+/// What happens when a journal entry is acknowledged.
 #[derive(Clone, Debug)]
 enum Pending {
-    /// A submission or cancellation, to be answered.
+    /// Answers a submission or cancellation.
     Call { call: CallId, shard: ShardId, reply: JobReply, since: Time },
-    /// An attempt, to be started.
+    /// Starts an attempt.
     Start { shard: ShardId, of: TaskFence },
-    /// An end, to be acknowledged.
+    /// Acknowledges an end.
     End { shard: ShardId, ended: Box<crate::msg::Ended> },
 }
 
-/// One shard, owned or being replayed.
+/// State of one shard, owned or being replayed.
 #[derive(Debug, Default)]
 struct Shard {
     /// `None` while the shard is being replayed.
     epoch: Option<Epoch>,
-    /// What was replayed, until the shard is owned.
+    /// Replayed jobs, until the shard is owned.
     replayed: BTreeMap<JobId, JobRecord>,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs that have tasks to place, to start or to stop.
+    /// Jobs with tasks to place, start or stop.
     open: BTreeSet<JobId>,
     rounds: BTreeMap<Ticket, Round>,
 }
 
-/// Builds a [`JobBook`].
+/// Builds a [`JobTable`].
 #[derive(Debug, Default)]
-pub struct JobBookBuilder {
+pub struct JobTableBuilder {
     limits: Limits,
     protections: Protections,
     seed: u64,
 }
 
-impl JobBookBuilder {
-    /// Other limits than the default ones.
+impl JobTableBuilder {
+    /// Overrides the default limits.
     pub fn limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Switches protections off, in tests.
+    /// Disables protections, in tests.
     pub fn protections(mut self, protections: Protections) -> Self {
         self.protections = protections;
         self
     }
 
-    /// The seed of the book's random choices.
+    /// Seed of the random placement choices.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// The book, without any shards.
-    pub fn build(self) -> JobBook {
-        JobBook {
+    /// Builds a table without any shards.
+    pub fn build(self) -> JobTable {
+        JobTable {
             limits: self.limits,
             protections: self.protections,
             rng: SmallRng::seed_from_u64(self.seed),
             document: None,
             classes: HashMap::new(),
-            plan_services_at: Time::ZERO,
+            next_service_plan_at: Time::ZERO,
             nodes: BTreeMap::new(),
             shards: BTreeMap::new(),
             pending: HashMap::new(),
             next_ticket: Ticket(0),
             services: BTreeMap::new(),
             run_times: SizeTable::default(),
-            forget_at: Time::ZERO,
-            sizes: Sizes::default(),
+            next_forget_at: Time::ZERO,
+            sizes: KnownVmSizes::default(),
         }
     }
 }
 
-/// The book of jobs and where their tasks may run.
+/// Table of jobs and of where their tasks may run.
 #[derive(Debug)]
-pub struct JobBook {
+pub struct JobTable {
     limits: Limits,
     protections: Protections,
     rng: SmallRng,
     document: Option<Arc<ConfigDocument>>,
-    /// Where each class stands in the document: with thousands of classes a search through all
-    /// of them for each waiting job would cost more than placing it.
+    /// Index of each class in the configuration.
     classes: HashMap<ClassName, usize>,
-    plan_services_at: Time,
+    next_service_plan_at: Time,
     nodes: BTreeMap<NodeId, NodeInfo>,
     shards: BTreeMap<ShardId, Shard>,
     pending: HashMap<Ticket, Pending>,
     next_ticket: Ticket,
-    services: BTreeMap<ClassName, Service>,
-    /// Run times learned from ends, by class.
+    services: BTreeMap<ClassName, ServiceState>,
+    /// Learned run times by class.
     run_times: SizeTable,
-    forget_at: Time,
-    sizes: Sizes,
+    next_forget_at: Time,
+    sizes: KnownVmSizes,
 }
 
-impl JobBook {
-    /// A builder.
-    pub fn builder() -> JobBookBuilder {
-        JobBookBuilder::default()
+impl JobTable {
+    /// Creates a builder.
+    pub fn builder() -> JobTableBuilder {
+        JobTableBuilder::default()
     }
 
-    /// Takes in one event and puts what is to be done into `out`.
+    /// Handles one event and appends its effects to `out`.
     pub fn step(
         &mut self,
         now: Time,
@@ -152,47 +151,47 @@
         out: &mut Vec<JobEffect>,
     ) {
         match event {
-            JobEvent::Owned { shard, epoch } => self.own(now, shard, epoch),
-            JobEvent::Lost { shard } => self.lose(shard, out),
-            JobEvent::Config { document } => self.take_config(document),
+            JobEvent::Owned { shard, epoch } => self.acquire_shard(now, shard, epoch),
+            JobEvent::Lost { shard } => self.drop_shard(shard, out),
+            JobEvent::Config { document } => self.apply_config(document),
             JobEvent::Tick => self.tick(now, auth, out),
-            JobEvent::Nodes { nodes } => self.take_nodes(nodes),
+            JobEvent::Nodes { nodes } => self.apply_nodes(nodes),
             JobEvent::Submit { call, spec } => self.submit(now, call, spec, auth, out),
             JobEvent::Cancel { call, job } => self.cancel(now, call, job, auth, out),
             JobEvent::Status { call, job } => self.status(now, call, job, out),
-            JobEvent::Journaled { ticket } => self.journaled(now, ticket, auth, out),
+            JobEvent::Journaled { ticket } => self.on_journaled(now, ticket, auth, out),
             JobEvent::Message { from, msg } => self.on_message(now, from, msg, auth, out),
             JobEvent::Load { from, class, load } => self.on_load(now, from, class, load),
         }
     }
 
-    /// Folds an entry of a predecessor's journal into a shard that isn't owned yet.
+    /// Replays a journal entry of a predecessor into a shard that isn't owned yet.
     pub fn replay(&mut self, shard: ShardId, entry: &JobEntry) {
-        let park = self.park_rule();
-        fold(&mut self.shards.entry(shard).or_default().replayed, entry, park);
+        let park_rule = self.park_rule();
+        fold(&mut self.shards.entry(shard).or_default().replayed, entry, park_rule);
     }
 
-    /// Takes over a shard's snapshot; entries that follow it are replayed on top.
+    /// Restores a shard's snapshot; later entries are replayed on top.
     pub fn restore(&mut self, shard: ShardId, snapshot: JobSnapshot) {
-        let kept = self.shards.entry(shard).or_default();
+        let state = self.shards.entry(shard).or_default();
         let jobs = snapshot.jobs.into_iter();
-        kept.replayed = jobs.map(|record| (record.spec.job.clone(), record)).collect();
+        state.replayed = jobs.map(|record| (record.spec.job.clone(), record)).collect();
     }
 
-    /// Everything that lasts of a shard, owned or replayed.
+    /// The durable state of a shard, owned or replayed.
     pub fn snapshot(&self, shard: ShardId) -> JobSnapshot {
-        let Some(kept) = self.shards.get(&shard) else { return JobSnapshot::default() };
-        let owned = kept.jobs.values().map(|job| job.record.clone());
-        JobSnapshot { jobs: owned.chain(kept.replayed.values().cloned()).collect() }
+        let Some(state) = self.shards.get(&shard) else { return JobSnapshot::default() };
+        let owned = state.jobs.values().map(|job| job.record.clone());
+        JobSnapshot { jobs: owned.chain(state.replayed.values().cloned()).collect() }
     }
 
-    fn take_config(&mut self, document: Arc<ConfigDocument>) {
+    fn apply_config(&mut self, document: Arc<ConfigDocument>) {
         let names = document.classes.iter().enumerate();
         self.classes = names.map(|(at, class)| (class.name.clone(), at)).collect();
         self.document = Some(document);
     }
 
-    /// The class of the name, in the configuration in force.
+    /// Looks the class up in the current configuration.
     fn class(&self, name: &ClassName) -> Option<&ClassSpec> {
         self.document.as_ref()?.classes.get(*self.classes.get(name)?)
     }
@@ -201,19 +200,19 @@
         ParkRule { vms: self.limits.parked_after_vms, fails: self.limits.parked_after_fails }
     }
 
-    fn own(&mut self, now: Time, shard: ShardId, epoch: Epoch) {
-        let kept = self.shards.entry(shard).or_default();
-        kept.epoch = Some(epoch);
-        for (id, record) in std::mem::take(&mut kept.replayed) {
+    fn acquire_shard(&mut self, now: Time, shard: ShardId, epoch: Epoch) {
+        let state = self.shards.entry(shard).or_default();
+        state.epoch = Some(epoch);
+        for (id, record) in std::mem::take(&mut state.replayed) {
             let job = Job::adopt(now, record);
-            kept.open.insert(id.clone());
-            kept.jobs.insert(id, job);
+            state.open.insert(id.clone());
+            state.jobs.insert(id, job);
         }
     }
 
-    /// The shard's successor decides from now on. Callers who still wait are told to ask again:
-    /// the entry may or may not be in the journal that the successor reads.
-    fn lose(&mut self, shard: ShardId, out: &mut Vec<JobEffect>) {
+    /// Drops a shard. Waiting callers are asked to retry, since the successor may or may not read
+    /// their entry.
+    fn drop_shard(&mut self, shard: ShardId, out: &mut Vec<JobEffect>) {
         self.shards.remove(&shard);
         self.services.retain(|class, _| shard_of_class(class) != shard);
         self.pending.retain(|_, pending| match pending {
@@ -226,8 +225,8 @@
         });
     }
 
-    /// The epoch of a shard for which unsafe steps are allowed now.
-    fn held(&self, now: Time, shard: ShardId, auth: &dyn Authority) -> Option<Epoch> {
+    /// The epoch of a shard for which this node holds authority.
+    fn authorized_epoch(&self, now: Time, shard: ShardId, auth: &dyn Authority) -> Option<Epoch> {
         let epoch = self.shards.get(&shard)?.epoch?;
         let held = !self.protections.authority || auth.epoch_if_held(now, shard) == Some(epoch);
         held.then_some(epoch)
@@ -235,28 +234,28 @@
 
     /// Applies an entry and journals it.
     fn journal(&mut self, shard: ShardId, entry: JobEntry, out: &mut Vec<JobEffect>) -> Ticket {
-        let park = self.park_rule();
+        let park_rule = self.park_rule();
         self.next_ticket = self.next_ticket.next();
-        if let Some(kept) = self.shards.get_mut(&shard)
-            && let Some(job) = kept.jobs.get_mut(entry.job())
+        if let Some(state) = self.shards.get_mut(&shard)
+            && let Some(job) = state.jobs.get_mut(entry.job())
         {
-            record::fold_record(&mut job.record, &entry, park);
+            record::fold_record(&mut job.record, &entry, park_rule);
         }
         out.push(JobEffect::Journal { shard, entry, ticket: self.next_ticket });
         self.next_ticket
     }
 
     fn tick(&mut self, now: Time, auth: &dyn Authority, out: &mut Vec<JobEffect>) {
-        self.give_up_calls(now, out);
-        self.ask_rooms(now, out);
+        self.expire_calls(now, out);
+        self.query_capacity(now, out);
         self.plan_services(now, auth, out);
         self.forget_old_jobs(now, auth, out);
-        // Most of a node's shards have nothing to do at most times.
-        let busy = |kept: &Shard| !kept.open.is_empty() || !kept.rounds.is_empty();
-        let busy = self.shards.iter().filter(|(_, kept)| busy(kept));
+        // Most shards of a node have nothing to do.
+        let busy = |state: &Shard| !state.open.is_empty() || !state.rounds.is_empty();
+        let busy = self.shards.iter().filter(|(_, state)| busy(state));
         let shards: Vec<ShardId> = busy.map(|(shard, _)| *shard).collect();
         for shard in shards {
-            if self.held(now, shard, auth).is_some() {
+            if self.authorized_epoch(now, shard, auth).is_some() {
                 self.expire_rounds(now, shard);
                 self.resend(now, shard, out);
                 self.plan(now, shard, out);
@@ -265,7 +264,7 @@
         }
     }
 
-    fn journaled(
+    fn on_journaled(
         &mut self,
         now: Time,
         ticket: Ticket,
@@ -275,7 +274,7 @@
         match self.pending.remove(&ticket) {
             Some(Pending::Call { call, shard, reply, .. }) => {
                 // Only an append acknowledged under authority is certain to be read by a successor.
-                let held = self.held(now, shard, auth).is_some();
+                let held = self.authorized_epoch(now, shard, auth).is_some();
                 if let JobReply::Accepted { job } = &reply {
                     self.mark_durable(shard, job);
                 }
@@ -302,15 +301,15 @@
         match msg {
             JobMsg::Placed(placed) => self.on_placed(now, from, placed, auth, out),
             JobMsg::Started { vm, rack, of } => self.on_started(now, vm, rack, of, auth, out),
-            JobMsg::InDoubt { of } => {
+            JobMsg::UnconfirmedStart { of } => {
                 if let Some(active) = self.active_mut(&of) {
-                    active.doubt = true;
+                    active.unconfirmed = true;
                 }
             }
             JobMsg::Ended(ended) => self.on_ended(now, ended, auth, out),
-            JobMsg::Leaving { of } => {
+            JobMsg::VmDraining { of } => {
                 if let Some(active) = self.active_mut(&of) {
-                    active.leaving = true;
+                    active.draining = true;
                 }
             }
         }
@@ -321,7 +320,7 @@
         self.shards.get_mut(&shard)?.jobs.get_mut(&task.job)
     }
 
-    /// The attempt, if it is the one that may run now.
+    /// The task's current attempt, if it is the one named.
     fn active_mut(&mut self, of: &TaskFence) -> Option<&mut job::Active> {
         let job = self.job_mut(&of.task)?;
         job.active.get_mut(&of.task.index).filter(|active| active.attempt.fence == of.fence)
--- a/crates/tasks/src/jobs/starts.rs
+++ b/crates/tasks/src/jobs/starts.rs
@@ -1,8 +1,8 @@
-//! Starting attempts, and asking about them until their fate is known.
+//! Starting attempts, and querying them until their outcome is known.
 
 use {
     super::{
-        JobBook, JobEffect, JobEntry, Pending,
+        JobEffect, JobEntry, JobTable, Pending,
         job::{Active, Job},
         record::AttemptRecord,
     },
@@ -10,9 +10,9 @@
     egretlb_types::{Authority, Fence, ShardId, TaskId, Time, VmId, worker::TaskFence},
 };
 
-impl JobBook {
-    /// Journals an attempt for which room was found. It is asked for once that is acknowledged:
-    /// an attempt that runs and that a successor can't read of would be started a second time.
+impl JobTable {
+    /// Journals an attempt for a grant. It is started once the entry is acknowledged; otherwise a
+    /// successor that doesn't know of it would start the task a second time.
     pub(super) fn start(
         &mut self,
         now: Time,
@@ -21,24 +21,24 @@
         auth: &dyn Authority,
         out: &mut Vec<JobEffect>,
     ) {
-        if !self.is_wanted(shard, &grant) {
+        if !self.is_current_grant(shard, &grant) {
             return;
         }
-        let Some(epoch) = self.held(now, shard, auth) else { return };
-        let lent = self.is_lent(now, &grant.task);
+        let Some(epoch) = self.authorized_epoch(now, shard, auth) else { return };
+        let over_quota = self.is_over_quota(now, &grant.task);
         let attempt = AttemptRecord {
             fence: Fence { epoch, attempt: grant.attempt },
             vm: grant.vm,
             rack: grant.rack,
             data_centre: grant.data_centre,
             resources: grant.resources,
-            lent,
+            over_quota,
         };
         let of = TaskFence { task: grant.task.clone(), fence: attempt.fence };
         if let Some(job) = self.job_mut(&grant.task) {
             job.waiting.remove(&grant.task.index);
             job.sweeps = 0;
-            job.never_since = None;
+            job.never_fits_since = None;
             let active = Active::new(now, attempt.clone(), Some(grant.reservation));
             job.active.insert(grant.task.index, active);
         }
@@ -63,27 +63,27 @@
             active.journaled = true;
             active.send_at = now;
         }
-        // Without authority the attempt isn't asked for now. Once authority is back it is, by
-        // `resend`: its entry then precedes whatever a successor could have read.
-        if self.held(now, shard, auth).is_none() {
+        // Without authority the attempt isn't started now. `resend` starts it once authority is
+        // back; its entry then precedes what a successor reads.
+        if self.authorized_epoch(now, shard, auth).is_none() {
             return;
         }
         let resend = self.limits.resend;
         let Some(job) = self.job_mut(&of.task) else { return };
-        if let Some(msg) = ask(job, of.task.index, now + resend) {
+        if let Some(msg) = start_or_stop_message(job, of.task.index, now + resend) {
             out.push(msg);
         }
     }
 
-    /// Asks again for what has had no answer: starts, stops, and now and then running attempts.
+    /// Resends unanswered starts and stops, and periodically checks running attempts.
     pub(super) fn resend(&mut self, now: Time, shard: ShardId, out: &mut Vec<JobEffect>) {
-        let again = now + self.limits.resend;
-        let seldom = now + self.limits.ask_running;
-        let mut stops = self.limits.cancel_at_once;
-        let Some(kept) = self.shards.get_mut(&shard) else { return };
-        let open: Vec<_> = kept.open.iter().cloned().collect();
+        let resend_at = now + self.limits.resend;
+        let running_check_at = now + self.limits.running_check_interval;
+        let mut stops = self.limits.max_concurrent_stops;
+        let Some(state) = self.shards.get_mut(&shard) else { return };
+        let open: Vec<_> = state.open.iter().cloned().collect();
         for id in &open {
-            let Some(job) = kept.jobs.get_mut(id) else { continue };
+            let Some(job) = state.jobs.get_mut(id) else { continue };
             let waits = |active: &&Active| active.stop && active.send_at > now;
             stops = stops.saturating_sub(job.active.values().filter(waits).count());
             let due = job.active.iter().filter(|(_, a)| a.journaled && now >= a.send_at);
@@ -94,14 +94,14 @@
                     continue;
                 }
                 stops -= usize::from(stop);
-                let next = if running && !stop { seldom } else { again };
-                out.extend(ask(job, index, next));
+                let next = if running && !stop { running_check_at } else { resend_at };
+                out.extend(start_or_stop_message(job, index, next));
             }
         }
     }
 
-    /// An attempt runs. One that shouldn't is stopped: it was given up for good reasons, and its
-    /// task may run elsewhere soon.
+    /// Handles a running attempt. If it isn't the task's current one it is stopped, since the task
+    /// may run elsewhere.
     pub(super) fn on_started(
         &mut self,
         now: Time,
@@ -111,10 +111,10 @@
         auth: &dyn Authority,
         out: &mut Vec<JobEffect>,
     ) {
-        let seldom = now + self.limits.ask_running;
-        let again = now + self.limits.resend;
+        let running_check_at = now + self.limits.running_check_interval;
+        let resend_at = now + self.limits.resend;
         let shard = super::job_shard_of_task(&of.task);
-        if self.held(now, shard, auth).is_none() {
+        if self.authorized_epoch(now, shard, auth).is_none() {
             return;
         }
         if let Some(active) = self.active_mut(&of) {
@@ -122,26 +122,27 @@
                 active.since = now;
             }
             active.running = true;
-            active.doubt = false;
-            // Asking without the reservation from now on can't start it again.
+            active.unconfirmed = false;
+            // Without the reservation, queries from now on can't start it again.
             active.reservation = None;
-            active.send_at = if active.stop { again.min(active.send_at) } else { seldom };
+            active.send_at =
+                if active.stop { resend_at.min(active.send_at) } else { running_check_at };
             return;
         }
         let msg = RackMsg::Stop(Stop { vm, of, checkpoint: false });
         out.push(JobEffect::SendToRack { shard: rack, msg });
     }
 
-    /// Whether the task's room is lent: its team was over its quota when it found room.
-    fn is_lent(&self, now: Time, task: &TaskId) -> bool {
+    /// Whether the task's team is over its quota.
+    fn is_over_quota(&self, now: Time, task: &TaskId) -> bool {
         let shard = super::job_shard_of_task(task);
-        let job = self.shards.get(&shard).and_then(|kept| kept.jobs.get(&task.job));
-        job.is_some_and(|job| self.rank_of(now, job) == super::queue::Rank::Lent)
+        let job = self.shards.get(&shard).and_then(|state| state.jobs.get(&task.job));
+        job.is_some_and(|job| self.rank_of(now, job) == super::queue::Rank::OverQuota)
     }
 }
 
-/// The message that asks for an attempt's start or stop, or for its fate.
-fn ask(job: &mut Job, index: u32, next: Time) -> Option<JobEffect> {
+/// The message that starts or stops an attempt, or queries its state.
+fn start_or_stop_message(job: &mut Job, index: u32, next: Time) -> Option<JobEffect> {
     let record = &job.record;
     let active = job.active.get_mut(&index)?;
     active.send_at = next;
@@ -157,7 +158,7 @@
             reservation: active.reservation,
             class: record.spec.class.clone(),
             service: record.service,
-            lent: active.attempt.lent,
+            over_quota: active.attempt.over_quota,
             resources: active.attempt.resources,
             checkpoint: record.tasks.get(index as usize)?.checkpoint.clone(),
             command: record.spec.command.clone(),
--- a/crates/tasks/src/racks/answers.rs
+++ b/crates/tasks/src/racks/answers.rs
@@ -1,7 +1,7 @@
-//! What workers answer, and what is known when they don't.
+//! Answers of workers, and calls without an answer.
 
 use {
-    super::{About, Call, CallError, RackBook, RackEffect, WorkerAnswer, to_job, vm::Phase},
+    super::{Call, CallError, CallKind, RackEffect, RackTable, WorkerAnswer, to_job, vm::Phase},
     crate::msg::{AttemptEnd, JobMsg},
     egretlb_types::{
         Authority, Ticket, Time, VmId,
@@ -10,7 +10,7 @@
     std::time::Duration,
 };
 
-impl RackBook {
+impl RackTable {
     pub(super) fn on_answer(
         &mut self,
         now: Time,
@@ -21,22 +21,22 @@
     ) {
         let Some(call) = self.calls.remove(&ticket) else { return };
         let Some(vm) = self.vms.get_mut(&call.vm) else { return };
-        match call.about {
-            About::Report => vm.polling = false,
-            About::Renew => vm.renewing = false,
-            About::Start(ref of) | About::Stop(ref of) | About::Throttle(ref of) => {
-                if let Some(on) = vm.attempts.get_mut(of) {
-                    on.calling = false;
+        match call.kind {
+            CallKind::Report => vm.polling = false,
+            CallKind::Renew => vm.renewing = false,
+            CallKind::Start(ref of) | CallKind::Stop(ref of) | CallKind::Throttle(ref of) => {
+                if let Some(attempt) = vm.attempts.get_mut(of) {
+                    attempt.call_in_flight = false;
                 }
             }
         }
         match result {
-            Ok(answer) => self.on_good_answer(now, call, answer, auth, out),
+            Ok(answer) => self.on_response(now, call, answer, auth, out),
             Err(e) => self.on_no_answer(now, call, e, out),
         }
     }
 
-    fn on_good_answer(
+    fn on_response(
         &mut self,
         now: Time,
         call: Call,
@@ -44,43 +44,44 @@
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) {
-        let Call { vm: id, sent, about } = call;
-        match (about, answer) {
-            (About::Report, WorkerAnswer::Report(report)) => {
+        let Call { vm: id, sent, kind } = call;
+        match (kind, answer) {
+            (CallKind::Report, WorkerAnswer::Report(report)) => {
                 self.on_report(now, &id, sent, report, auth, out);
             }
-            (About::Renew, WorkerAnswer::Renew(answer)) => self.on_renewed(now, &id, answer),
-            (About::Start(of), WorkerAnswer::Start(answer)) => {
+            (CallKind::Renew, WorkerAnswer::Renew(answer)) => self.on_renewed(now, &id, answer),
+            (CallKind::Start(of), WorkerAnswer::Start(answer)) => {
                 self.on_started(now, &id, &of, answer, out);
             }
-            (About::Stop(of), WorkerAnswer::Stop(answer)) => {
+            (CallKind::Stop(of), WorkerAnswer::Stop(answer)) => {
                 self.on_stopped(now, &id, &of, answer, out);
             }
-            // A throttle's answer changes nothing that a report won't tell; an answer of another
-            // kind than the call is a fault of the worker's and is treated as none.
+            // A throttle needs no handling: reports show its effect. An answer that doesn't match
+            // the call is ignored.
             _ => {}
         }
         self.reindex(&id);
     }
 
-    /// A call got no answer. Grants and renewals on the VM end until it reports again.
+    /// Handles a call without an answer. Nothing is granted or renewed on the VM until it reports
+    /// again.
     fn on_no_answer(&mut self, now: Time, call: Call, e: CallError, out: &mut Vec<RackEffect>) {
         let id = call.vm;
-        let resolve = self.protections.resolve_doubt;
-        let poll_min = self.limits.poll_min;
+        let resolve = self.protections.resolve_unconfirmed;
+        let min_poll_interval = self.limits.min_poll_interval;
         let Some(vm) = self.vms.get_mut(&id) else { return };
-        vm.suspect = true;
-        vm.poll_at = now + poll_min;
-        if let About::Start(of) = call.about {
-            let Some(on) = vm.attempts.get_mut(&of) else { return };
-            let never_left = e == CallError::NotSent && !on.doubt;
-            on.doubt |= e == CallError::Unknown;
-            if never_left || !resolve {
-                // Certain: the worker never sees it, and nobody else starts on this VM.
+        vm.unresponsive = true;
+        vm.poll_at = now + min_poll_interval;
+        if let CallKind::Start(of) = call.kind {
+            let Some(attempt) = vm.attempts.get_mut(&of) else { return };
+            let not_sent = e == CallError::NotSent && !attempt.unconfirmed;
+            attempt.unconfirmed |= e == CallError::Unknown;
+            if not_sent || !resolve {
+                // The worker never gets the call, and no other node starts tasks on this VM.
                 vm.close(now, &of, AttemptEnd::NeverRan, Duration::ZERO);
-                self.tell_ends(now, &id, out);
+                self.report_ends(now, &id, out);
             } else {
-                out.push(to_job(&of.task, JobMsg::InDoubt { of: of.clone() }));
+                out.push(to_job(&of.task, JobMsg::UnconfirmedStart { of: of.clone() }));
             }
         }
         self.reindex(&id);
@@ -95,36 +96,36 @@
         out: &mut Vec<RackEffect>,
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let Some(on) = vm.attempts.get_mut(of) else { return };
+        let Some(attempt) = vm.attempts.get_mut(of) else { return };
         match answer {
             StartAnswer::Started => {
-                on.ran = true;
-                on.start = None;
-                on.doubt = false;
-                on.since = now;
-                if on.phase == Phase::Starting {
-                    on.phase = Phase::Running;
+                attempt.has_run = true;
+                attempt.start = None;
+                attempt.unconfirmed = false;
+                attempt.since = now;
+                if attempt.phase == Phase::Starting {
+                    attempt.phase = Phase::Running;
                 }
-                if on.service {
+                if attempt.service {
                     self.backends_changed.insert(vm.shard);
                 }
-                vm.poll_at = vm.poll_at.min(now + self.limits.poll_min);
+                vm.poll_at = vm.poll_at.min(now + self.limits.min_poll_interval);
                 let msg = JobMsg::Started { vm: id.clone(), rack: vm.shard, of: of.clone() };
                 out.push(to_job(&of.task, msg));
             }
             StartAnswer::AlreadyEnded => {
-                on.phase = Phase::Stopping;
-                on.call_at = now;
+                attempt.phase = Phase::Stopping;
+                attempt.next_call_at = now;
             }
-            StartAnswer::StaleFence | StartAnswer::Refused if on.doubt => {
-                // An earlier call of this start may have been taken up; the VM has to say.
-                on.phase = Phase::Stopping;
-                on.call_at = now;
+            StartAnswer::StaleFence | StartAnswer::Refused if attempt.unconfirmed => {
+                // An earlier call of this start may have succeeded; a stop call resolves it.
+                attempt.phase = Phase::Stopping;
+                attempt.next_call_at = now;
             }
             StartAnswer::StaleFence | StartAnswer::Refused => {
                 vm.close(now, of, AttemptEnd::NeverRan, Duration::ZERO);
                 vm.poll_at = now;
-                self.tell_ends(now, id, out);
+                self.report_ends(now, id, out);
             }
         }
     }
@@ -138,14 +139,14 @@
         out: &mut Vec<RackEffect>,
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let Some(on) = vm.attempts.get(of) else { return };
-        let ran = now.since(on.since);
-        let service = on.service;
+        let Some(attempt) = vm.attempts.get(of) else { return };
+        let ran = now.since(attempt.since);
+        let service = attempt.service;
         let how = match answer {
             StopAnswer::Stopped { checkpoint } => AttemptEnd::Stopped { checkpoint },
             StopAnswer::Ended { end } => end.into(),
-            // It ran, and the worker knows nothing of it: the worker itself was restarted.
-            StopAnswer::NeverRan if on.ran => AttemptEnd::Lost,
+            // It ran and the worker doesn't know it: the worker was restarted.
+            StopAnswer::NeverRan if attempt.has_run => AttemptEnd::Lost,
             StopAnswer::NeverRan => AttemptEnd::NeverRan,
             StopAnswer::Throttled => return,
         };
@@ -153,10 +154,10 @@
             self.backends_changed.insert(vm.shard);
         }
         vm.close(now, of, how, ran);
-        self.tell_ends(now, id, out);
+        self.report_ends(now, id, out);
     }
 
-    /// Tasks that the worker doesn't run any more: the next report says how they ended.
+    /// Tasks that the worker no longer runs; a report is requested at once to learn how they ended.
     fn on_renewed(&mut self, now: Time, id: &VmId, answer: RenewAnswer) {
         let Some(vm) = self.vms.get_mut(id) else { return };
         if !answer.unknown.is_empty() {
--- a/crates/tasks/src/racks/index.rs
+++ b/crates/tasks/src/racks/index.rs
@@ -1,9 +1,9 @@
-//! Finds VMs with room without looking at all of them.
+//! Index of VMs by free capacity.
 //!
-//! VMs are kept in cells by the room that is left: one axis for processor time, one for memory,
-//! each in quarter powers of two, and one for accelerators. All VMs of a cell above the wanted
-//! size fit for certain; those of a cell that the wanted size falls into are tried, a bounded
-//! number of them. The number of cells depends on the sizes of VMs, not on how many there are.
+//! VMs are grouped in cells by free processor time and memory, in quarter powers of two, and by
+//! free accelerators. VMs of cells above the demand certainly fit; a bounded number of those in the
+//! demand's own cell are tried. The number of cells depends on the sizes of VMs, not on their
+//! number.
 
 use {
     egretlb_types::Resources,
@@ -11,10 +11,10 @@
     std::collections::BTreeMap,
 };
 
-/// Accelerators beyond this many share a cell.
+/// Larger numbers of accelerators share this cell.
 const ACCELERATORS_MAX: u32 = 15;
 
-/// A cell: VMs with about as much room.
+/// Rounded free capacity, the key of a group of VMs.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Cell {
     accelerators: u8,
@@ -22,7 +22,7 @@
     memory: u8,
 }
 
-/// The quarter power of two at or below `size`.
+/// Index of the quarter power of two at or below `size`.
 fn step(size: u32) -> u8 {
     if size < 4 {
         return size as u8;
@@ -32,67 +32,69 @@
     (log * 4 + quarter) as u8
 }
 
-fn cell(room: &Resources) -> Cell {
+fn cell(free: &Resources) -> Cell {
     Cell {
-        accelerators: room.accelerators.0.min(ACCELERATORS_MAX) as u8,
-        cpu: step(room.cpu.0),
-        memory: step(room.memory.0),
+        accelerators: free.accelerators.0.min(ACCELERATORS_MAX) as u8,
+        cpu: step(free.cpu.0),
+        memory: step(free.memory.0),
     }
 }
 
 impl Cell {
-    /// Whether a VM of this cell may have room for something of the cell `want`.
-    fn may_hold(&self, want: &Cell) -> bool {
-        self.accelerators >= want.accelerators && self.cpu >= want.cpu && self.memory >= want.memory
+    /// Whether a VM of this cell may fit a demand of the other cell.
+    fn may_fit(&self, demand: &Cell) -> bool {
+        self.accelerators >= demand.accelerators
+            && self.cpu >= demand.cpu
+            && self.memory >= demand.memory
     }
 }
 
-/// VMs by room. VMs are named by small numbers that their owner chooses.
+/// VMs by free capacity, identified by slot numbers that the caller assigns.
 #[derive(Debug, Default)]
-pub(super) struct RoomIndex {
+pub(super) struct CapacityIndex {
     cells: BTreeMap<Cell, Vec<u32>>,
-    places: Vec<Option<(Cell, usize)>>,
+    positions: Vec<Option<(Cell, usize)>>,
 }
 
-impl RoomIndex {
-    /// Puts the VM where its room belongs, or takes it out if it may get nothing.
-    pub(super) fn set(&mut self, slot: u32, room: Option<&Resources>) {
+impl CapacityIndex {
+    /// Moves the VM to the cell of its free capacity, or removes it if it accepts no tasks.
+    pub(super) fn set(&mut self, slot: u32, free: Option<&Resources>) {
         let index = slot as usize;
-        if self.places.len() <= index {
-            self.places.resize(index + 1, None);
+        if self.positions.len() <= index {
+            self.positions.resize(index + 1, None);
         }
-        let to = room.map(cell);
-        if self.places[index].map(|(from, _)| from) == to {
+        let to = free.map(cell);
+        if self.positions[index].map(|(from, _)| from) == to {
             return;
         }
         self.take_out(index);
         if let Some(to) = to {
             let slots = self.cells.entry(to).or_default();
             slots.push(slot);
-            self.places[index] = Some((to, slots.len() - 1));
+            self.positions[index] = Some((to, slots.len() - 1));
         }
     }
 
     fn take_out(&mut self, index: usize) {
-        let Some((from, at)) = self.places[index].take() else { return };
+        let Some((from, at)) = self.positions[index].take() else { return };
         let Some(slots) = self.cells.get_mut(&from) else { return };
         slots.swap_remove(at);
         if let Some(moved) = slots.get(at) {
-            self.places[*moved as usize] = Some((from, at));
+            self.positions[*moved as usize] = Some((from, at));
         }
         if slots.is_empty() {
             self.cells.remove(&from);
         }
     }
 
-    /// Up to `limit` VMs that may have room for `want`, drawn at random from each cell, fuller
-    /// cells first. The caller checks each.
-    pub(super) fn sample(&self, want: &Resources, limit: usize, rng: &mut SmallRng) -> Vec<u32> {
-        let want = cell(want);
+    /// Up to `limit` VMs that may fit the demand, drawn at random from cells spread over the range.
+    /// The caller checks each.
+    pub(super) fn sample(&self, demand: &Resources, limit: usize, rng: &mut SmallRng) -> Vec<u32> {
+        let demand = cell(demand);
         let fitting: Vec<&Vec<u32>> = self
             .cells
-            .range(Cell { accelerators: want.accelerators, cpu: 0, memory: 0 }..)
-            .filter(|(cell, _)| cell.may_hold(&want))
+            .range(Cell { accelerators: demand.accelerators, cpu: 0, memory: 0 }..)
+            .filter(|(cell, _)| cell.may_fit(&demand))
             .map(|(_, slots)| slots)
             .collect();
         let total: usize = fitting.iter().map(|slots| slots.len()).sum();
@@ -101,7 +103,8 @@
             fitting.iter().for_each(|slots| picked.extend_from_slice(slots));
             return picked;
         }
-        // Cells take turns, so that both a tight and a roomy fit are among the candidates.
+        // Takes VMs from cells spread over the whole range, so that tight and loose fits are among
+        // the candidates.
         let cells = fitting.len();
         let each = limit.div_ceil(cells);
         let first = rng.random_range(0..cells);
--- a/crates/tasks/src/racks/start.rs
+++ b/crates/tasks/src/racks/start.rs
@@ -1,9 +1,9 @@
-//! Starts and stops asked for by the jobs' owners.
+//! Starts and stops requested by the jobs' owners.
 
 use {
     super::{
-        About, Guard, RackBook, RackEffect, WorkerCall, to_job,
-        vm::{OnVm, Phase},
+        CallKind, Guard, RackEffect, RackTable, WorkerCall, to_job,
+        vm::{Phase, VmAttempt},
     },
     crate::msg::{AttemptEnd, Ended, JobMsg, Start, Stop},
     egretlb_types::{
@@ -13,13 +13,12 @@
     std::time::Duration,
 };
 
-impl RackBook {
-    /// Starts an attempt in the room reserved for it, or finds out what became of it.
+impl RackTable {
+    /// Starts an attempt in its reservation, or resolves its state.
     ///
-    /// Only the reservation made for this very attempt lets it start. A start that comes late or
-    /// doubled finds none; starting it regardless could run an attempt that its job's owner has
-    /// long given up and repeated elsewhere. The VM is told to stop it instead, which also makes
-    /// it refuse any start of it that is still on its way, and its answer says what happened.
+    /// A late or duplicated start finds no reservation. Starting it anyway could run an attempt
+    /// that its job's owner has given up and restarted elsewhere. A stop call resolves its state
+    /// instead, and makes the VM refuse any start still in transit.
     pub(super) fn on_start(
         &mut self,
         now: Time,
@@ -28,32 +27,32 @@
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) {
-        // An adopted attempt's room isn't known to be lent until its job's owner says so.
+        // An adopted attempt isn't known to be over quota until its job's owner says so.
         let known = self.vms.get_mut(&start.vm).and_then(|vm| vm.attempts.get_mut(&start.of));
-        if let Some(on) = known {
-            on.lent = start.lent;
+        if let Some(attempt) = known {
+            attempt.over_quota = start.over_quota;
         }
-        if !self.holds(now, shard, auth)
-            || !self.answer_known(now, shard, &start.vm, &start.of, out)
+        if !self.has_authority(now, shard, auth)
+            || !self.answer_if_known(now, shard, &start.vm, &start.of, out)
         {
             return;
         }
         let reserved = start.reservation.and_then(|id| self.take_reservation(&start, id));
         let checked = self.protections.reservation_per_start;
         match reserved {
-            Some(resources) => self.begin(now, start, resources, auth, out),
+            Some(resources) => self.start_reserved(now, start, resources, auth, out),
             None if !checked => {
                 let resources = start.resources;
-                self.begin(now, start, resources, auth, out);
+                self.start_reserved(now, start, resources, auth, out);
             }
             None => {
-                let on = asked_about(now, &start.class, start.service, true);
-                self.ask_fate(now, &start.vm, &start.of, on, auth, out);
+                let attempt = unresolved_attempt(now, &start.class, start.service, true);
+                self.resolve_outcome(now, &start.vm, &start.of, attempt, auth, out);
             }
         }
     }
 
-    /// Stops an attempt, or finds out what became of it.
+    /// Stops an attempt, or resolves its state.
     pub(super) fn on_stop(
         &mut self,
         now: Time,
@@ -62,7 +61,7 @@
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) {
-        if !self.holds(now, shard, auth) {
+        if !self.has_authority(now, shard, auth) {
             return;
         }
         let drain = self.limits.drain;
@@ -70,39 +69,38 @@
             self.answer_unknown_vm(now, shard, &stop.vm, &stop.of, out);
             return;
         };
-        if let Some(on) = vm.attempts.get_mut(&stop.of) {
-            match on.phase {
-                Phase::Running if on.service => {
-                    on.phase = Phase::Draining { until: now + drain };
+        if let Some(attempt) = vm.attempts.get_mut(&stop.of) {
+            match attempt.phase {
+                Phase::Running if attempt.service => {
+                    attempt.phase = Phase::Draining { until: now + drain };
                     self.backends_changed.insert(shard);
                 }
                 Phase::Running | Phase::Starting => {
-                    on.phase = Phase::Stopping;
-                    on.checkpoint = stop.checkpoint;
-                    on.call_at = now;
+                    attempt.phase = Phase::Stopping;
+                    attempt.checkpoint = stop.checkpoint;
+                    attempt.next_call_at = now;
                 }
                 Phase::Draining { .. } | Phase::Stopping => {}
             }
             self.call_due(now, &stop.vm, auth, out);
             return;
         }
-        if self.answer_known(now, shard, &stop.vm, &stop.of, out) {
+        if self.answer_if_known(now, shard, &stop.vm, &stop.of, out) {
             let Ok(class) = "unknown".parse() else { return };
-            let on = asked_about(now, &class, false, stop.checkpoint);
-            self.ask_fate(now, &stop.vm, &stop.of, on, auth, out);
+            let attempt = unresolved_attempt(now, &class, false, stop.checkpoint);
+            self.resolve_outcome(now, &stop.vm, &stop.of, attempt, auth, out);
         }
     }
 
-    /// The end is journalled by the job's owner.
+    /// Handles the acknowledgement of an end.
     pub(super) fn on_ack(&mut self, vm: &VmId, of: &TaskFence) {
         if let Some(closed) = self.vms.get_mut(vm).and_then(|vm| vm.closed.get_mut(of)) {
             closed.acked = true;
         }
     }
 
-    /// Answers a question about an attempt if the answer is at hand. Returns whether the VM has
-    /// to be asked.
-    fn answer_known(
+    /// Reports the attempt's state if it is known. Returns whether the VM has to be queried.
+    fn answer_if_known(
         &mut self,
         now: Time,
         shard: ShardId,
@@ -114,8 +112,8 @@
             self.answer_unknown_vm(now, shard, id, of, out);
             return false;
         };
-        if let Some(on) = vm.attempts.get(of) {
-            if on.phase == Phase::Running {
+        if let Some(attempt) = vm.attempts.get(of) {
+            if attempt.phase == Phase::Running {
                 let msg = JobMsg::Started { vm: id.clone(), rack: shard, of: of.clone() };
                 out.push(to_job(&of.task, msg));
             }
@@ -124,21 +122,22 @@
         if let Some(closed) = vm.closed.get_mut(of) {
             closed.acked = false;
             closed.send_at = now;
-            closed.sends = 0;
-            self.tell_ends(now, id, out);
+            closed.send_count = 0;
+            self.report_ends(now, id, out);
             return false;
         }
         if vm.lost {
             vm.close(now, of, AttemptEnd::Lost, Duration::ZERO);
-            self.tell_ends(now, id, out);
+            self.report_ends(now, id, out);
             return false;
         }
-        // Until a report says what runs here, nothing can be said, and nothing may be stopped.
-        vm.is_fresh() && !vm.suspect
+        // Until the first fresh report the attempt may run unknown to this owner, and must not be
+        // stopped.
+        vm.is_fresh() && !vm.unresponsive
     }
 
-    /// A VM that isn't on the list, or not yet: its attempts are lost once no lease granted by an
-    /// earlier owner can last.
+    /// Handles an attempt on a VM that isn't listed. It is lost once every lease granted by an
+    /// earlier owner must have lapsed.
     fn answer_unknown_vm(
         &mut self,
         now: Time,
@@ -155,7 +154,7 @@
             rack: shard,
             of: of.clone(),
             how: AttemptEnd::Lost,
-            suspect: false,
+            vm_quarantined: false,
             ran: Duration::ZERO,
         };
         out.push(to_job(&of.task, JobMsg::Ended(ended)));
@@ -177,7 +176,7 @@
         Some(resources)
     }
 
-    fn begin(
+    fn start_reserved(
         &mut self,
         now: Time,
         start: Start,
@@ -196,33 +195,33 @@
             checkpoint: start.checkpoint,
             command: start.command,
         };
-        let mut on = asked_about(now, &start.class, start.service, true);
-        on.phase = Phase::Starting;
-        on.resources = resources;
-        on.lent = start.lent;
-        on.start = Some(Box::new(task));
+        let mut attempt = unresolved_attempt(now, &start.class, start.service, true);
+        attempt.phase = Phase::Starting;
+        attempt.resources = resources;
+        attempt.over_quota = start.over_quota;
+        attempt.start = Some(Box::new(task));
         let Some(vm) = self.vms.get_mut(&start.vm) else { return };
-        vm.attempts.insert(start.of, on);
+        vm.attempts.insert(start.of, attempt);
         self.reindex(&start.vm);
         self.call_due(now, &start.vm, auth, out);
     }
 
-    /// Asks a VM for the fate of an attempt that isn't known to run there, by stopping it.
-    fn ask_fate(
+    /// Queries a VM for the state of an attempt that isn't known to run there, by stopping it.
+    fn resolve_outcome(
         &mut self,
         now: Time,
         id: &VmId,
         of: &TaskFence,
-        on: OnVm,
+        attempt: VmAttempt,
         auth: &dyn Authority,
         out: &mut Vec<RackEffect>,
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        vm.attempts.insert(of.clone(), on);
+        vm.attempts.insert(of.clone(), attempt);
         self.call_due(now, id, auth, out);
     }
 
-    /// Makes the calls for starts and stops that are due, first ones and repeated ones.
+    /// Sends the starts and stops that are due, including retries.
     pub(super) fn call_due(
         &mut self,
         now: Time,
@@ -231,26 +230,26 @@
         out: &mut Vec<RackEffect>,
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let (shard, suspect) = (vm.shard, vm.suspect);
-        // An unreachable VM is only polled: each start on its way would prolong the time after
-        // which its attempts are known to be lost.
-        if suspect {
+        let (shard, unresponsive) = (vm.shard, vm.unresponsive);
+        // An unreachable VM is only polled: a start in transit would postpone the time at which its
+        // attempts are known to be lost.
+        if unresponsive {
             return;
         }
         let mut due = Vec::new();
-        for (of, on) in &mut vm.attempts {
-            if let Phase::Draining { until } = on.phase
+        for (of, attempt) in &mut vm.attempts {
+            if let Phase::Draining { until } = attempt.phase
                 && now >= until
             {
-                on.phase = Phase::Stopping;
+                attempt.phase = Phase::Stopping;
             }
-            let waits = matches!(on.phase, Phase::Starting | Phase::Stopping);
-            if waits && !on.calling && now >= on.call_at {
+            let waits = matches!(attempt.phase, Phase::Starting | Phase::Stopping);
+            if waits && !attempt.call_in_flight && now >= attempt.next_call_at {
                 due.push(of.clone());
             }
         }
         for of in due {
-            if !self.holds(now, shard, auth) {
+            if !self.has_authority(now, shard, auth) {
                 return;
             }
             self.call_start_or_stop(now, id, of, out);
@@ -264,47 +263,47 @@
         of: TaskFence,
         out: &mut Vec<RackEffect>,
     ) {
-        let bound = self.bound_of_call(now);
+        let bound = self.lease_bound_of_call(now);
         let resend = self.limits.resend;
         let Some(vm) = self.vms.get_mut(id) else { return };
         let guard = Guard::Authority(vm.shard);
-        let Some(on) = vm.attempts.get_mut(&of) else { return };
-        on.calling = true;
-        on.call_at = now + resend;
-        let start = on.start.as_deref().filter(|_| on.phase == Phase::Starting).cloned();
-        let checkpoint = on.checkpoint;
-        let (about, call) = match start {
+        let Some(attempt) = vm.attempts.get_mut(&of) else { return };
+        attempt.call_in_flight = true;
+        attempt.next_call_at = now + resend;
+        let start = attempt.start.as_deref().filter(|_| attempt.phase == Phase::Starting).cloned();
+        let checkpoint = attempt.checkpoint;
+        let (kind, call) = match start {
             Some(start) => {
                 vm.extend_bound(bound);
-                (About::Start(of), WorkerCall::Start(start))
+                (CallKind::Start(of), WorkerCall::Start(start))
             }
             None => {
                 let stop = StopTask { of: of.clone(), checkpoint };
-                (About::Stop(of), WorkerCall::Stop(stop))
+                (CallKind::Stop(of), WorkerCall::Stop(stop))
             }
         };
-        self.call(now, id, about, call, guard, out);
+        self.call(now, id, kind, call, guard, out);
     }
 }
 
-/// An attempt of which only the fate is asked for. It holds no room: a fresh report doesn't list
-/// it, and no start of it is on its way.
-fn asked_about(now: Time, class: &ClassName, service: bool, checkpoint: bool) -> OnVm {
-    OnVm {
+/// An attempt with unknown state. It reserves nothing: a fresh report doesn't list it, and no start
+/// is in transit.
+fn unresolved_attempt(now: Time, class: &ClassName, service: bool, checkpoint: bool) -> VmAttempt {
+    VmAttempt {
         class: class.clone(),
         service,
-        lent: false,
+        over_quota: false,
         resources: Resources::default(),
         phase: Phase::Stopping,
         start: None,
-        doubt: false,
-        ran: false,
+        unconfirmed: false,
+        has_run: false,
         checkpoint,
-        calling: false,
-        call_at: now,
+        call_in_flight: false,
+        next_call_at: now,
         since: now,
         used: Resources::default(),
         slowdown_permille: 1_000,
-        throttled: None,
+        throttled_since: None,
     }
 }
--- a/crates/workflow/src/scheduler/candidates.rs
+++ b/crates/workflow/src/scheduler/candidates.rs
@@ -2,14 +2,14 @@
 //!
 //! Scanning all workers for each task would be too expensive: steps have dozens of tasks, and there are thousands of
 //! starts each second on hundreds of workers. A start only changes its own worker, so the other workers are
-//! scanned once for all tasks of a step that are placed together. If none qualifies, only workers contacted since
-//! are scanned again, and all workers after [`FULL_SCAN_INTERVAL`].
+//! scanned once for all tasks of a step that are placed together. If none qualifies, only workers polled or
+//! changed since are scanned again, and all workers after [`FULL_SCAN_INTERVAL`].
 
 use {
     super::{
         Requirements, Scheduler, Worker,
-        active_workflow::{Searched, StepState},
-        placement::{Fitness, has_capacity},
+        active_workflow::{LastSearch, StepState},
+        placement::{Fitness, meets_requirements},
     },
     crate::{Step, TaskId, WorkerId},
     compact_str::CompactString,
@@ -22,14 +22,15 @@
     },
 };
 
-/// Interval of full scans: a worker can also become eligible without contact, such as by the end of its quarantine.
+/// Interval of full scans: a worker can also become eligible without a poll or change, such as by the end of its
+/// quarantine.
 const FULL_SCAN_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Maximum number of contacts kept; large fleets have over a thousand within [`FULL_SCAN_INTERVAL`].
 const MAX_CONTACTS: usize = 2_048;
 
-/// Demands of running best-effort tasks that recently fit no other worker. Caches the result, since hundreds of
-/// throttled tasks may search on each reply of their worker.
+/// Demands of running best-effort tasks that recently fit no other worker, so that they aren't moved. Cached, since
+/// hundreds of throttled tasks may search on each reply of their worker.
 #[derive(Debug, Default)]
 pub(super) struct FailedSearches {
     demands: Vec<(Time, CompactString, Step)>,
@@ -47,12 +48,13 @@
         })
     }
 
+    /// Adds a demand that fit no other worker.
     pub(super) fn note(&mut self, now: Time, service: CompactString, step: &Step) {
         self.demands.push((now, service, step.clone()));
     }
 }
 
-/// The most recent replies and changes of workers, in order.
+/// The workers whose polls ended, answered or not, or that changed most recently, in order.
 #[derive(Debug, Default)]
 pub(super) struct ContactLog {
     ids: VecDeque<WorkerId>,
@@ -61,6 +63,7 @@
 }
 
 impl ContactLog {
+    /// Adds a worker after a poll or a change.
     pub(super) fn note(&mut self, id: &WorkerId) {
         self.ids.push_back(id.clone());
         if self.ids.len() > MAX_CONTACTS {
@@ -149,7 +152,7 @@
         self.stats.workers_scanned += scanned as u64;
         let at =
             last_search.filter(|_| contacted.is_some()).map_or(now, |last_search| last_search.at);
-        self.set_last_search(task, candidates.is_empty().then_some(Searched { at, contacts }));
+        self.set_last_search(task, candidates.is_empty().then_some(LastSearch { at, contacts }));
         Candidates { best_first: candidates.into(), last_popped: None }
     }
 
@@ -169,11 +172,11 @@
         requirements: &Requirements<'_>,
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
     ) -> Vec<Candidate> {
-        let needs_ticket = self.needs_ticket(task.step_id()).is_some();
+        let needs_ticket = self.advice_terms(task.step_id()).is_some();
         let candidate = |(id, worker): (&WorkerId, &Worker)| {
-            // The capacity check comes first, since most workers are full.
-            let eligible =
-                has_capacity(worker, task, requirements) && worker.accepts_work(now, &self.limits);
+            // Free capacity is checked first, since most workers are full.
+            let eligible = meets_requirements(worker, task, requirements)
+                && worker.accepts_work(now, &self.limits);
             let eligible = eligible && (!needs_ticket || self.is_allowed(now, task, id));
             let fitness = eligible
                 .then(|| self.eligible_fitness(now, (id, worker), task, service, requirements))??;
@@ -188,13 +191,13 @@
         occurrence.steps.get_mut(usize::from(task.step))
     }
 
-    fn last_search(&mut self, task: TaskId) -> Option<Searched> {
-        self.step_state(task)?.searched
+    fn last_search(&mut self, task: TaskId) -> Option<LastSearch> {
+        self.step_state(task)?.last_search
     }
 
-    fn set_last_search(&mut self, task: TaskId, last_search: Option<Searched>) {
+    fn set_last_search(&mut self, task: TaskId, last_search: Option<LastSearch>) {
         if let Some(step) = self.step_state(task) {
-            step.searched = last_search;
+            step.last_search = last_search;
         }
     }
 
--- a/crates/workflow/src/scheduler/gangs.rs
+++ b/crates/workflow/src/scheduler/gangs.rs
@@ -4,7 +4,9 @@
 //! that is slower across racks preferably runs in one rack.
 
 use {
-    super::{Attempt, Effect, Phase, Ready, Requirements, Scheduler, placement::has_capacity},
+    super::{
+        Attempt, Effect, Phase, QueuedStep, Requirements, Scheduler, placement::meets_requirements,
+    },
     crate::{RunId, Step, TaskId, WorkerId},
     compact_str::CompactString,
     egretlb_types::Time,
@@ -19,7 +21,7 @@
     pub(super) fn place_gang(
         &mut self,
         now: Time,
-        key: Ready,
+        key: QueuedStep,
         service: &CompactString,
         step: &Step,
         out: &mut Vec<Effect>,
@@ -29,7 +31,7 @@
             return false;
         }
         let waiting = self.queue_of(key).map_or(0, |queue| queue.len());
-        // All members start as one run, so this waits for those that are still ending.
+        // All members start with the same run number, so this waits until all of them are queued.
         if waiting < step.count as usize {
             return false;
         }
@@ -42,6 +44,7 @@
         if wait_for_rack && requirements.rack.is_none() {
             return false;
         }
+        // Each member occupies its worker under run 0 while the others are placed.
         let mut placed: Vec<(TaskId, WorkerId)> = Vec::with_capacity(waiting);
         for index in 0..step.count {
             let task = key.task(index);
@@ -59,7 +62,7 @@
             }
         }
         if placed.len() < step.count as usize {
-            self.queue_advice(key);
+            self.queue_ticket_query(key);
             return false;
         }
         let run = placed.iter().map(|(task, _)| self.next_run(*task)).max().unwrap_or_default();
@@ -91,7 +94,7 @@
                 && worker.accepts_work(now, &self.limits)
                 && !self.is_in_maintenance(id)
                 && self.is_allowed(now, task, id)
-                && has_capacity(worker, task, requirements);
+                && meets_requirements(worker, task, requirements);
             let Some(rack) = worker.info.rack().filter(|_| eligible) else { continue };
             let fits = worker.free().times(&requirements.reserved);
             let worker_slots = if requirements.step.per_worker == 0 {
--- a/crates/workflow/src/scheduler/isolated_start.rs
+++ b/crates/workflow/src/scheduler/isolated_start.rs
@@ -1,12 +1,12 @@
-//! Isolated starts of tasks that are suspected of crashing workers.
+//! Isolated starts of suspected tasks: those that may crash their workers.
 //!
-//! A suspected task is started on a worker without other attempts in probation, and nothing else is started there
-//! until it passes its own. So the next crash shows whether it is the cause, and affects few other tasks.
+//! A suspected task is started on a worker without other attempts in their crash window, and nothing else is started
+//! there until its own window is over. So the next crash shows whether it is the cause, and affects few other tasks.
 
 use {
     super::{
-        Attempt, Ready, Requirements, Scheduler, Worker, active_workflow::TaskState,
-        lost_workers::PROBATION, placement::has_capacity,
+        Attempt, QueuedStep, Requirements, Scheduler, Worker, active_workflow::TaskState,
+        lost_workers::CRASH_WINDOW, placement::meets_requirements,
     },
     crate::{AnnouncedRun, RunId, TaskId, WorkerId},
     compact_str::CompactString,
@@ -17,7 +17,8 @@
 /// Number of workers of a service per worker reserved at a time, so that most stay open to other tasks.
 const WORKERS_PER_RESERVATION: usize = 4;
 
-/// How long a worker is reserved before an isolated start: runs there pass [`PROBATION`], and two polls confirm it.
+/// How long a worker is reserved before an isolated start: runs there outlast [`CRASH_WINDOW`], and two polls confirm
+/// it.
 const RESERVATION_SPAN: Duration = Duration::from_secs(1);
 
 /// A reserved worker, polled every 250 ms, has probably crashed after this long without a reply.
@@ -26,18 +27,18 @@
 /// The worker for the isolated start of a suspected task.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum IsolatedStart {
-    /// The task may start on this worker.
-    At(WorkerId),
-    /// Workers have free capacity, but none is ready for an isolated start.
+    /// The task may start on this worker now.
+    Now(WorkerId),
+    /// The task has to wait: no worker is ready for an isolated start yet, or this tick doesn't search for one.
     Later,
-    /// No worker has free capacity.
+    /// No worker can take the task, and no responsive one is reserved.
     NoCapacity,
 }
 
 /// Cost of an isolated start on a worker: waiting for other attempts, then the impact of a crash.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct IsolationCost {
-    any_in_probation: bool,
+    any_in_crash_window: bool,
     long_running: usize,
     runs: usize,
 }
@@ -48,10 +49,10 @@
         self.isolated_starts > 0 || now < self.reserved_until
     }
 
-    /// Whether a listed run has passed its probation; ends the isolation in that case.
-    pub(super) fn pass_probation(&mut self, now: Time, task: TaskId, run: RunId) -> bool {
+    /// Ends the isolation of a listed run whose crash window is over; returns whether it is over.
+    pub(super) fn pass_crash_window(&mut self, now: Time, task: TaskId, run: RunId) -> bool {
         let Some(attempt) = self.attempts.get_mut(&(task, run)) else { return false };
-        let passed = now.since(attempt.running_since) >= PROBATION;
+        let passed = now.since(attempt.running_since) >= CRASH_WINDOW;
         if passed && std::mem::take(&mut attempt.isolated) {
             self.isolated_starts -= 1;
         }
@@ -61,7 +62,7 @@
     fn isolation_cost(&self) -> IsolationCost {
         let long_running = self.attempts.values().filter(|attempt| attempt.long_running).count();
         IsolationCost {
-            any_in_probation: !self.all_past_probation(),
+            any_in_crash_window: !self.all_past_crash_window(),
             long_running,
             runs: self.attempts.len(),
         }
@@ -69,7 +70,7 @@
 }
 
 impl Attempt {
-    /// Marks the attempt as the first of a suspected task since a crash.
+    /// Sets whether the attempt is an isolated start.
     pub(super) fn with_isolation(mut self, isolated: bool) -> Attempt {
         self.isolated = isolated;
         self
@@ -83,7 +84,8 @@
             && !self.step(task).is_some_and(|step| step.gang)
     }
 
-    /// Chooses the worker for a suspected task, once the announcement is recorded.
+    /// Chooses the worker for a suspected task. First announces the run, so that a crash is counted even if the leader
+    /// changes; the task may start once the announcement is recorded.
     pub(super) fn choose_isolated(
         &mut self,
         now: Time,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// The state of the announced start; none if there is none or its worker doesn't qualify any more.
+    /// Whether the announced run may start now; none if there is none or its worker doesn't qualify any more.
     fn announced_start(
         &mut self,
         now: Time,
@@ -115,13 +117,13 @@
         if !self.can_take_suspect(now, &id, worker, task, service, requirements) {
             return None;
         }
-        let past_probation = worker.all_past_probation();
+        let past_crash_window = worker.all_past_crash_window();
         if !self.is_recorded(task) {
             self.reserve_worker(now, &id);
             return Some(IsolatedStart::Later);
         }
-        match (past_probation, now < worker.reserved_until) {
-            (true, _) => Some(IsolatedStart::At(id)),
+        match (past_crash_window, now < worker.reserved_until) {
+            (true, _) => Some(IsolatedStart::Now(id)),
             (false, true) => Some(IsolatedStart::Later),
             (false, false) => None,
         }
@@ -130,8 +132,8 @@
     /// Whether all crashes of a task and its announced run are in the store.
     fn is_recorded(&self, task: TaskId) -> bool {
         let append = self.pending_append.as_ref();
-        !self.lost_workers.is_unrecorded(task.workflow)
-            && !append.is_some_and(|recording| recording.has_crashes_of(task.workflow))
+        !self.lost_workers.has_unrecorded_crash_state(task.workflow)
+            && !append.is_some_and(|append| append.has_crashes_of(task.workflow))
     }
 
     fn reserve_worker(&mut self, now: Time, id: &WorkerId) {
@@ -151,11 +153,11 @@
         service: &CompactString,
         requirements: &Requirements<'_>,
     ) -> IsolatedStart {
-        let (mut fit_workers, mut reserved_workers) = (0_usize, 0_usize);
+        let (mut eligible_workers, mut reserved_workers) = (0_usize, 0_usize);
         let mut best: Option<(IsolationCost, &WorkerId)> = None;
         let of_service = |(_, worker): &(&WorkerId, &Worker)| worker.info.service == *service;
         for (id, worker) in self.workers.iter().filter(of_service) {
-            fit_workers += usize::from(worker.is_eligible(now, &self.limits));
+            eligible_workers += usize::from(worker.is_eligible(now, &self.limits));
             // A reserved worker that has probably crashed doesn't count against the limit.
             let responsive =
                 worker.last_contact.is_some_and(|at| now.since(at) < PROBABLY_CRASHED_AFTER);
@@ -170,7 +172,7 @@
                 best = Some((isolation_cost, id));
             }
         }
-        self.stats.workers_scanned += fit_workers as u64;
+        self.stats.workers_scanned += eligible_workers as u64;
         let Some(id) = best.map(|(_, id)| id.clone()) else {
             return if reserved_workers > 0 {
                 IsolatedStart::Later
@@ -179,7 +181,8 @@
             };
         };
         let down_too_long = requirements.step.long_running && self.is_down_too_long(now, task);
-        if reserved_workers >= (fit_workers / WORKERS_PER_RESERVATION).max(1) && !down_too_long {
+        if reserved_workers >= (eligible_workers / WORKERS_PER_RESERVATION).max(1) && !down_too_long
+        {
             return IsolatedStart::Later;
         }
         self.reserve_worker(now, &id);
@@ -192,13 +195,13 @@
             state.announced = Some(AnnouncedRun { run, worker: id });
         }
         self.dirty.insert(task.workflow);
-        self.lost_workers.note_unrecorded(task.workflow);
+        self.lost_workers.note_unrecorded_crash_state(task.workflow);
         IsolatedStart::Later
     }
 
     /// Moves the first task that isn't suspected to the front of the queue, so that suspected tasks don't block the
     /// others of the step. Returns whether there is one.
-    pub(super) fn pass_over_suspects(&mut self, key: Ready) -> bool {
+    pub(super) fn move_unsuspected_to_front(&mut self, key: QueuedStep) -> bool {
         let waiting: Vec<u32> = self.queue_of(key).into_iter().flatten().map(|i| *i).collect();
         let position = waiting.iter().position(|index| !self.is_suspect(key.task(*index)));
         let Some(position) = position else { return false };
@@ -208,7 +211,7 @@
         true
     }
 
-    /// Whether a worker can take a suspected task, regardless of other attempts in probation.
+    /// Whether a worker can take a suspected task, regardless of other attempts in their crash window.
     fn can_take_suspect(
         &self,
         now: Time,
@@ -218,7 +221,7 @@
         service: &CompactString,
         requirements: &Requirements<'_>,
     ) -> bool {
-        has_capacity(worker, task, requirements)
+        meets_requirements(worker, task, requirements)
             && worker.is_eligible(now, &self.limits)
             && worker.isolated_starts == 0
             && now >= worker.excluded_until()
--- a/crates/workflow/src/scheduler/pacing.rs
+++ b/crates/workflow/src/scheduler/pacing.rs
@@ -1,13 +1,14 @@
-//! Paces of best-effort tasks that share a worker with latency-critical tasks.
+//! Throttles best-effort tasks that share a worker with latency-critical tasks: their pace is the
+//! share of their CPU that they may use.
 //!
-//! The load of latency-critical tasks swings within seconds, and a best-effort task that does no
-//! harm at low load does much at the peak. Admitting only what the peak tolerates leaves
-//! best-effort tasks unplaced, and stopping them when a target is missed loses their work. A change
-//! of pace takes effect within a tenth of a second and loses nothing.
+//! The load of latency-critical tasks changes within seconds, and a best-effort task that doesn't
+//! interfere at low load may interfere at peak load. If only those that the peak tolerates were
+//! placed, many would wait; if they were stopped when a target is missed, their work would be lost.
+//! A change of pace takes effect within a tenth of a second and loses no work.
 //!
-//! Each answer of a worker gives the headroom that its latency-critical tasks would have without
-//! best-effort tasks. What is left below the target is divided among the interfering best-effort
-//! tasks.
+//! Each poll reply of a worker gives an estimate of the headroom below their targets that its
+//! latency-critical tasks would have without best-effort tasks. That is divided among the
+//! best-effort tasks that interfere.
 
 use {
     super::{
@@ -35,11 +36,10 @@
 /// Paces are multiples of this many percent; finer steps are within the noise of the measurements.
 const PACE_STEP_PERCENT: f32 = 10.0;
 
-/// A smaller change, in percentage points, is only sent if it stops a task entirely or restores its
-/// full pace.
+/// A smaller change, in percentage points, is only sent if it pauses a task or restores its full pace.
 const MIN_PACE_CHANGE_PERCENT: u32 = 20;
 
-/// A best-effort task at or below this pace, in percent, is moved if another worker fits it.
+/// A best-effort task at or below this pace, in percent, is moved if another worker can take it.
 const SLOW_PACE_PERCENT: u32 = 30;
 
 /// How long a task must be at or below [`SLOW_PACE_PERCENT`] before it is moved.
@@ -89,6 +89,7 @@
             worker.set_pace(task, run, percent);
             if let Some(attempt) = worker.attempts.get_mut(&(task, run)) {
                 attempt.pace_sent = Some(percent);
+                // Restarts the timeout for stalled tasks.
                 attempt.progressed_at = now;
                 let slow = percent <= SLOW_PACE_PERCENT;
                 attempt.throttled_since = slow.then(|| attempt.throttled_since.unwrap_or(now));
@@ -96,10 +97,10 @@
             log::debug!(task:%, run:%, worker:% = id, percent; "filler_paced");
             out.push(Effect::Pace { worker: id.clone(), addr, epoch, task, run, percent });
         }
-        self.move_slowed(now, id, out);
+        self.move_throttled(now, id, out);
     }
 
-    /// Records the headrooms of a worker's latency-critical tasks without best-effort tasks.
+    /// Updates the headroom that a worker's latency-critical tasks would have without best-effort tasks.
     fn update_own_headrooms(&mut self, id: &WorkerId) {
         let Some(Worker { attempts, neighbours, .. }) = self.workers.get_mut(id) else { return };
         let latency_critical = attempts.iter().filter(|(_, attempt)| attempt.latency_critical);
@@ -133,28 +134,28 @@
         changes
     }
 
-    /// Moves best-effort tasks that have been slow for long and fit another worker.
-    fn move_slowed(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
+    /// Moves best-effort tasks that were throttled for [`MOVE_SLOW_AFTER`] if another worker can take them.
+    fn move_throttled(&mut self, now: Time, id: &WorkerId, out: &mut Vec<Effect>) {
         let Some(worker) = self.workers.get(id) else { return };
-        let is_long_slow = |attempt: &Attempt| {
+        let is_throttled_for_long = |attempt: &Attempt| {
             let running = matches!(attempt.phase, Phase::Running { .. });
             let worth_moving = attempt.movable || attempt.percent < MAX_MOVED_PROGRESS_PERCENT;
             running
                 && worth_moving
                 && attempt.throttled_since.is_some_and(|at| now.since(at) >= MOVE_SLOW_AFTER)
         };
-        let slowed: Vec<(TaskId, RunId)> = worker
+        let throttled: Vec<(TaskId, RunId)> = worker
             .attempts
             .iter()
-            .filter(|(_, attempt)| is_long_slow(attempt))
+            .filter(|(_, attempt)| is_throttled_for_long(attempt))
             .map(|(key, _)| *key)
             .collect();
-        for (task, run) in slowed {
+        for (task, run) in throttled {
             if self.fits_elsewhere(now, id, task) {
                 self.stats.evicted += 1;
                 log::info!(task:%, run:%, worker:% = id; "slowed_filler_moved");
-                self.stop_runs(now, id, StopReason::Throttled, out, |of, number| {
-                    of == task && number == run
+                self.stop_runs(now, id, StopReason::Throttled, out, |other_task, other_run| {
+                    other_task == task && other_run == run
                 });
             }
         }
--- a/crates/workflow/src/scheduler/poll_reply.rs
+++ b/crates/workflow/src/scheduler/poll_reply.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Quarantines a worker after several failures in a row. It reports healthy and always has free capacity, so it
-    /// would attract and fail a large share of the tasks.
+    /// Counts a failure on a worker; quarantines it after several in a row. Such a worker reports healthy and always
+    /// has free capacity, so many more tasks would be placed there and fail.
     fn on_failure(&mut self, now: Time, id: &WorkerId) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.failures += 1;
@@ -122,7 +122,7 @@
         let Some(workflow) = self.workflows.get_mut(&task.workflow) else { return };
         let Some(occurrence) = workflow.occurrences.get_mut(&task.occurrence) else { return };
         let Some(state) = occurrence.steps.get_mut(usize::from(task.step)) else { return };
-        // The end of one member ends its whole gang.
+        // If one member of a gang succeeds, all are done.
         let members =
             if gang { 0..state.tasks.len() } else { task.index as usize..task.index as usize + 1 };
         let mut redundant = Vec::new();
@@ -178,8 +178,8 @@
 
     /// Compares the expected runs of a worker with those that it lists.
     ///
-    /// Replies on two connections may overtake each other. A list is therefore compared by the worker's own clock and
-    /// only covers commands that were confirmed at an earlier reading.
+    /// Replies on two connections may overtake each other. So a confirmed run that isn't listed counts as ended only if
+    /// the worker's clock in the reply is later than in the last confirmation of the run or its stop.
     fn compare_runs(
         &mut self,
         now: Time,
@@ -232,11 +232,11 @@
         }
         for (task, run) in expired_starts {
             log::info!(task:%, run:%, worker:% = id; "start_too_late");
-            // Otherwise the worker with most free capacity would be chosen again and again.
+            // Otherwise the same worker, which has the most free capacity, would be chosen again.
             self.avoid(now, task, id);
             self.drop_attempt(now, id, task, run);
         }
-        // The worker may still execute the start; a stop prevents that.
+        // Such a run may still start, or be in an unreadable row; a stop settles both.
         for (task, run) in unconfirmed {
             self.stop_runs(now, id, StopReason::StartUnconfirmed, out, |other_task, other_run| {
                 other_task == task && other_run == run
@@ -264,7 +264,7 @@
         }
         attempt.percent = percent;
         attempt.measurement = running.figure;
-        let past_crash_window = now.since(attempt.running_since) >= CRASHES_CLEARED_AFTER;
+        let clears_crashes = now.since(attempt.running_since) >= CRASHES_CLEARED_AFTER;
         match attempt.phase {
             Phase::Starting | Phase::Unconfirmed { .. } => attempt.set_running(now, clock_ms),
             Phase::Running { .. } => {}
@@ -280,17 +280,17 @@
         if let Some(speed) = speed {
             worker.add_speed_sample(now, speed);
         }
-        let passed_probation = worker.pass_probation(now, task, run);
+        let passed_crash_window = worker.pass_crash_window(now, task, run);
         let Some(state) = self.task_mut(task) else { return };
-        let announcement_settled =
-            passed_probation && state.announced.take_if(|announced| announced.run == run).is_some();
+        let announcement_over = passed_crash_window
+            && state.announced.take_if(|announced| announced.run == run).is_some();
         if !running.saved.is_empty() {
             state.saved.clone_from(&running.saved);
         }
-        if past_crash_window && !state.crashes.is_empty() {
+        if clears_crashes && !state.crashes.is_empty() {
             self.clear_crashes_of_task(task);
         }
-        if announcement_settled {
+        if announcement_over {
             self.dirty.insert(task.workflow);
         }
     }
@@ -320,7 +320,7 @@
         }
     }
 
-    /// Takes over a run started by a previous leader, or stops it if its task doesn't wait any more.
+    /// Takes over a run started by a previous leader, or stops it if its task doesn't wait for a run any more.
     fn adopt_run(
         &mut self,
         now: Time,
@@ -404,6 +404,7 @@
         }
     }
 
+    /// Removes a task that was found running from its queue and marks its workflow as started.
     fn unqueue(&mut self, task: TaskId) {
         let Some(workflow) = self.workflows.get_mut(&task.workflow) else { return };
         workflow.started = true;
--- a/crates/workflow/src/scheduler/queue.rs
+++ b/crates/workflow/src/scheduler/queue.rs
@@ -1,8 +1,8 @@
-//! The life of a workflow: its occurrences, its open steps and the queues of their tasks.
+//! Life cycle of workflows: their occurrences, their open steps and the queues of tasks.
 
 use {
     super::{
-        Effect, Ready, Scheduler,
+        Effect, QueuedStep, Scheduler,
         active_workflow::{ActiveWorkflow, StepState, TaskState},
         waits::StopReason,
     },
@@ -11,6 +11,7 @@
 };
 
 impl Scheduler {
+    /// Adds a workflow from its records, with its due occurrences. Ignores one that is known already.
     pub(super) fn add_workflow(
         &mut self,
         now: Time,
@@ -27,7 +28,7 @@
         }
         let Some(mut active) = ActiveWorkflow::new(entry, inherited) else { return };
         if entry.cancelled {
-            // Nothing of it is wanted any more; runs that are found are stopped.
+            // No task is started; runs that are found are stopped.
             active.outcome = Some(Outcome::Cancelled);
             active.occurrences.clear();
             self.dirty.insert(id);
@@ -40,8 +41,11 @@
         self.begin_occurrences(now, id);
     }
 
-    pub(super) fn begin_due(&mut self, now: Time) {
-        let due = |active: &ActiveWorkflow| active.next < active.submission.workflow.occurrences();
+    /// Begins the due occurrences of all workflows.
+    pub(super) fn begin_due_occurrences(&mut self, now: Time) {
+        let due = |active: &ActiveWorkflow| {
+            active.next_occurrence < active.submission.workflow.occurrences()
+        };
         let ids: Vec<WorkflowId> =
             self.workflows.iter().filter(|(_, active)| due(active)).map(|(id, _)| *id).collect();
         for id in ids {
@@ -52,12 +56,12 @@
     /// Begins the occurrences of a workflow that are due by wall-clock time.
     pub(super) fn begin_occurrences(&mut self, now: Time, id: WorkflowId) {
         while let Some(active) = self.workflows.get_mut(&id) {
-            let number = active.next;
+            let number = active.next_occurrence;
             let more = number < active.submission.workflow.occurrences();
             if active.outcome.is_some() || !more || active.due_at(number) > self.wall_ms {
                 return;
             }
-            active.next += 1;
+            active.next_occurrence += 1;
             if active.complete.contains(&number) || active.occurrences.contains_key(&number) {
                 continue;
             }
@@ -89,8 +93,8 @@
             state.queue = pending.map(|(index, _)| index).collect();
             if !state.queue.is_empty() {
                 let long_running = steps[usize::from(step_no)].long_running;
-                state.since = now;
-                self.ready.insert(Ready {
+                state.queue_since = now;
+                self.queued_steps.insert(QueuedStep {
                     priority,
                     long_running,
                     due_ms,
@@ -120,7 +124,7 @@
         }
         active.outcome = Some(outcome);
         self.dirty.insert(id);
-        self.ready.retain(|ready| ready.workflow != id);
+        self.queued_steps.retain(|queued| queued.workflow != id);
         let tasks = active.occurrences.values().flat_map(|occurrence| &occurrence.steps);
         let attempts: Vec<(WorkerId, RunId)> =
             tasks.flat_map(|step| &step.tasks).flat_map(|task| task.attempts.clone()).collect();
@@ -129,8 +133,8 @@
         self.remove_advice(id);
         log::info!(workflow:% = id, outcome:? = outcome, copies = attempts.len(); "workflow_ended");
         for (worker, run) in attempts {
-            self.stop_runs(now, &worker, StopReason::WorkflowEnded, out, |task, of| {
-                task.workflow == id && of == run
+            self.stop_runs(now, &worker, StopReason::WorkflowEnded, out, |task, other_run| {
+                task.workflow == id && other_run == run
             });
         }
     }
@@ -173,11 +177,11 @@
             return;
         }
         if step.queue.is_empty() {
-            step.since = now;
+            step.queue_since = now;
         }
         step.queue.push_front(task.index);
         let long_running = active.submission.workflow.steps[usize::from(task.step)].long_running;
-        self.ready.insert(Ready {
+        self.queued_steps.insert(QueuedStep {
             priority,
             long_running,
             due_ms,
--- a/crates/workflow/src/scheduler/restore.rs
+++ b/crates/workflow/src/scheduler/restore.rs
@@ -1,4 +1,4 @@
-//! Rewrites records that another writer replaced by unreadable ones.
+//! Rewrites records that were replaced in the store by unreadable ones.
 //!
 //! Running processes keep the former record, but one that starts later reads only the newest record
 //! of each key: it wouldn't know the workflow, or would run finished tasks again. So the leader,
@@ -16,7 +16,7 @@
             // The next heartbeat replaces it.
             Key::Leader => {}
             Key::Roster => self.roster_dirty = true,
-            Key::InterferenceModel => self.learned_dirty = true,
+            Key::InterferenceModel => self.model_dirty = true,
             Key::Wave(number) => self.maintenance.record_again(number),
             Key::Submission(id) => self.records_to_rewrite.extend(submission(id, ledger)),
             Key::Cancel(id) => {
--- a/crates/workflow/src/scheduler/waits/queued.rs
+++ b/crates/workflow/src/scheduler/waits/queued.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        super::{Ready, Requirements, Scheduler, Worker, placement::has_capacity},
+        super::{QueuedStep, Requirements, Scheduler, Worker, placement::meets_requirements},
         Cause, MAX_NAMED, MAX_NAMED_WITH_CAPACITY, Reason, ServiceWorkers, WaitingStep,
     },
     crate::{Step, StepId, TaskId, WorkerId},
@@ -10,8 +10,8 @@
     smallvec::SmallVec,
 };
 
-/// How far a worker gets through the checks for a task, in their order. The furthest stage of all
-/// workers gives the reason.
+/// The check for a task that a worker fails, in the order of the checks. The latest one that any
+/// worker fails, or `Accepts`, gives the reason of the wait.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum CheckStage {
     NoWorkers,
@@ -54,21 +54,21 @@
 #[derive(Clone, Copy)]
 struct WaitingTask<'a> {
     task: TaskId,
-    need: Requirements<'a>,
+    requirements: Requirements<'a>,
     /// The requirements without anti-affinity to the step's other tasks.
     without_anti_affinity: Requirements<'a>,
 }
 
 impl Scheduler {
     /// Describes the queued tasks of a step.
-    pub(super) fn queued_row(&mut self, now: Time, key: Ready) -> Option<WaitingStep> {
+    pub(super) fn queued_row(&mut self, now: Time, key: QueuedStep) -> Option<WaitingStep> {
         self.front_task(key)?;
         let Cause { reason, workers, until, service_workers } = self.cause(now, key)?;
         let queue = self.queue_of(key)?;
         let tasks = queue.len();
         let mut indices: Vec<u32> = queue.iter().copied().take(MAX_NAMED).collect();
         indices.sort_unstable();
-        let Ready { workflow, occurrence, step, long_running, .. } = key;
+        let QueuedStep { workflow, occurrence, step, long_running, .. } = key;
         let step = StepId { workflow, occurrence, step };
         Some(WaitingStep {
             step,
@@ -84,12 +84,12 @@
     }
 
     /// Since when the longest-waiting queued task of the step hasn't run.
-    pub(super) fn queued_since(&mut self, key: Ready) -> Option<Time> {
+    pub(super) fn queued_since(&mut self, key: QueuedStep) -> Option<Time> {
         let queue: SmallVec<[u32; 16]> = self.queue_of(key)?.iter().copied().collect();
         queue.into_iter().filter_map(|index| self.down_since(key.task(index))).min()
     }
 
-    fn cause(&mut self, now: Time, key: Ready) -> Option<Cause> {
+    fn cause(&mut self, now: Time, key: QueuedStep) -> Option<Cause> {
         let active = self.workflows.get(&key.workflow)?;
         let step = active.submission.workflow.steps.get(usize::from(key.step))?.clone();
         if active.inherited && !self.unreconciled.is_empty() {
@@ -125,14 +125,14 @@
         Some(cause)
     }
 
-    /// Returns what excludes the most suitable workers.
+    /// Returns what excludes the workers that pass the most checks.
     fn furthest_stage(&mut self, now: Time, task: TaskId, step: &Step) -> Option<Cause> {
-        let need = Requirements::new(step, &mut self.colocation);
+        let requirements = Requirements::new(step, &mut self.colocation);
         let without_anti_affinity = Step { per_worker: 0, ..step.clone() };
         let waiting = WaitingTask {
             task,
-            need,
-            without_anti_affinity: Requirements { step: &without_anti_affinity, ..need },
+            requirements,
+            without_anti_affinity: Requirements { step: &without_anti_affinity, ..requirements },
         };
         let mut best = CheckStage::NoWorkers;
         let mut workers: SmallVec<[WorkerId; 1]> = SmallVec::new();
@@ -164,7 +164,7 @@
         Some(Cause { reason: best.reason(), workers, until, service_workers: Some(counts) })
     }
 
-    /// Returns how far a worker gets; `None` if it accepts no tasks at all.
+    /// Returns the check that a worker fails; `None` if it accepts no tasks at all.
     fn stage(
         &self,
         now: Time,
@@ -172,34 +172,34 @@
         id: &WorkerId,
         worker: &Worker,
     ) -> Option<CheckStage> {
-        let WaitingTask { task, need, without_anti_affinity } = *waiting;
+        let WaitingTask { task, requirements, without_anti_affinity } = *waiting;
         if !worker.is_eligible(now, &self.limits) {
             return None;
         }
-        if need.step.label.as_ref().is_some_and(|label| !worker.info.has_label(label)) {
+        if requirements.step.label.as_ref().is_some_and(|label| !worker.info.has_label(label)) {
             return Some(CheckStage::NoLabel);
         }
-        if !has_capacity(worker, task, &without_anti_affinity) {
+        if !meets_requirements(worker, task, &without_anti_affinity) {
             return Some(CheckStage::NoCapacity);
         }
         let state = self.task(task)?;
         Some(match () {
             () if now < worker.excluded_until() => CheckStage::Excluded,
-            () if !has_capacity(worker, task, &need) => CheckStage::AntiAffinity,
+            () if !meets_requirements(worker, task, &requirements) => CheckStage::AntiAffinity,
             () if state.avoid.as_ref().is_some_and(|avoid| avoid.worker == *id) => {
                 CheckStage::FailedThere
             }
             () if self.is_in_maintenance(id) => CheckStage::Maintenance,
             () if !self.is_allowed(now, task, id) => CheckStage::NoTicket,
-            () if need.step.best_effort
+            () if requirements.step.best_effort
                 && self
                     .colocation
-                    .added_interference(&worker.neighbours, need.best_effort_demand())
+                    .added_interference(&worker.neighbours, requirements.best_effort_demand())
                     .is_none() =>
             {
                 CheckStage::Interference
             }
-            () if self.waits_for_better_worker(now, worker, task, &need) => {
+            () if self.waits_for_better_worker(now, worker, task, &requirements) => {
                 CheckStage::BetterWorkerExpected
             }
             () => CheckStage::Accepts,
